--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -19,9 +19,9 @@
 from damaskdeck.protocol.members import Member
 from damaskdeck.protocol.ports import Event
 from damaskdeck.protocol.resources import Kind, Resource
+from damaskdeck.state.changehistory import HistoryReader
 from damaskdeck.state.configuration import Configuration
 from damaskdeck.state.versions import encode_resource, make_key
-from damaskdeck.state.watches import Reader
 from damaskdeck.transport.api.streams import list_lines
 from standins.loops import LoopClock, run_virtual
 from standins.peers import PeerSwitch
@@ -150,7 +150,7 @@
             nodes = self.nodes.values()
             if all(node.weight == weight for node in nodes):
                 found.setdefault("in_force", passed)
-            asked = next(iter(nodes)).relay.ask_in_force(self.lowest)
+            asked = next(iter(nodes)).relay.read_in_force(self.lowest)
             if (await asked).is_everywhere and "in_force" in found:
                 return {"in_force": found["in_force"], "told": passed}
             await asyncio.sleep(STEP)
@@ -349,7 +349,10 @@
     configuration.apply_snapshot((), 0)
     lines = [
         list_lines(
-            Reader(configuration.history, 0, clock), Kind.WORKLOAD, lambda _: True, ""
+            HistoryReader(configuration.history, 0, clock),
+            Kind.WORKLOAD,
+            lambda _: True,
+            "",
         )
         for _ in range(readers)
     ]
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -9,7 +9,7 @@
 from benchmarks.arrivals import Mix, make_target_size
 from damaskdeck.coordination.places.placement import Placed, Placer
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.state.accounts import Accounts, TaskNeed
+from damaskdeck.state.workeraccounts import TaskNeed, WorkerAccounts
 
 Figures = dict[str, Any]
 RUNNING = 13_000
@@ -33,7 +33,7 @@
     """Return what accounts, index and reservations of a full fleet take, in MiB."""
     sizes = [arrival.declared for arrival in mix.arrivals]
     tracemalloc.start()
-    accounts = Accounts()
+    accounts = WorkerAccounts()
     placer = Placer(accounts)
     for worker in mix.workers:
         accounts.set_worker(worker)
@@ -55,7 +55,7 @@
         for _ in range(arrival.tasks)
         if arrival.type != "service"
     ]
-    accounts = Accounts()
+    accounts = WorkerAccounts()
     placer = Placer(accounts)
     for worker in mix.workers:
         accounts.set_worker(worker)
@@ -93,7 +93,7 @@
 
 
 def _fill(
-    accounts: Accounts,
+    accounts: WorkerAccounts,
     placer: Placer,
     rng: random.Random,
     sizes: list[Size],
--- a/benchmarks/failures.py
+++ b/benchmarks/failures.py
@@ -135,11 +135,11 @@
         return sum(worker.epoch > before for worker, before in epochs) >= count
 
 
-async def list_held(stage: Stage, daemon: str) -> list[str]:
+async def list_owned(stage: Stage, daemon: str) -> list[str]:
     """List the workers that a daemon owns."""
     reply = await stage.fleet.clients[daemon].call("GET", "/v1/status")
-    things = reply.read_json()["owned"]["worker"]
-    return [thing.partition("/")[2] or thing for thing in things]
+    shards = reply.read_json()["owned"]["worker"]
+    return [shard.partition("/")[2] or shard for shard in shards]
 
 
 async def lose_daemon(
@@ -147,7 +147,7 @@
 ) -> dict[str, Any]:
     """End a daemon and wait until its workers have new owners."""
     name = f"entry-{ZONE[-1]}0"
-    held = await list_held(stage, name)
+    held = await list_owned(stage, name)
     moves = Moves(stage, held)
     found = await watch(stage, partial(end, name), partial(moves.has_moved, len(held)))
     return {**found, "workers moved": len(held)}
--- a/benchmarks/gangs.py
+++ b/benchmarks/gangs.py
@@ -10,7 +10,7 @@
 from typing import Any
 from unittest import mock
 
-from damaskdeck.coordination.queues import lategangs
+from damaskdeck.coordination.queues import starvinggangs
 from damaskdeck.protocol.handlers import Submission
 from damaskdeck.protocol.sizes import Size
 from standins.loops import run_virtual
@@ -35,10 +35,10 @@
 
 async def stream(plane: Plane) -> None:
     """Submit small tasks without end."""
-    keeper = plane.find("d2").keeper
+    ledger_owner = plane.find("d2").ledger_owner
     while True:
         small = Submission("small", "team", SMALL)
-        calls = [keeper.submit_job(small) for _ in range(SMALL_RATE)]
+        calls = [ledger_owner.submit_job(small) for _ in range(SMALL_RATE)]
         await asyncio.gather(*calls)
         await plane.clock.sleep(SECOND)
 
@@ -54,7 +54,7 @@
     await plane.clock.sleep(2 * SECOND)
     running = asyncio.ensure_future(stream(plane))
     await plane.clock.sleep(60 * SECOND)
-    await plane.find("d2").keeper.submit_job(Submission("gang", "team", GANG))
+    await plane.find("d2").ledger_owner.submit_job(Submission("gang", "team", GANG))
     began = plane.clock.monotonic()
     shares = []
     while plane.clock.monotonic() - began < LIMIT * SECOND:
@@ -79,6 +79,6 @@
     sizes = (300,) if quick else (200, 360)
     kept = [run_virtual(measure(tasks)) for tasks in sizes]
     never = timedelta(days=1)
-    with mock.patch.object(lategangs, "GANG_WAIT", never):
+    with mock.patch.object(starvinggangs, "STARVATION_LIMIT", never):
         unkept = [run_virtual(measure(tasks)) for tasks in sizes]
     return {"kept_room": kept, "no_kept_room": unkept}
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -18,7 +18,7 @@
 from damaskdeck.protocol.ports import Instance, InstanceRole
 from damaskdeck.protocol.resources import Urgency
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.state.accounts import Accounts, TaskNeed
+from damaskdeck.state.workeraccounts import TaskNeed, WorkerAccounts
 
 Figures = dict[str, Any]
 SEED = 1
@@ -92,7 +92,7 @@
         self.ticks = ticks
         self.rng = random.Random(SEED)
         self.loads = [_draw_load(self.rng, number) for number in range(WORKLOADS)]
-        self.accounts = Accounts()
+        self.accounts = WorkerAccounts()
         self.placer = Placer(self.accounts)
         self.estimates = Estimates()
         self.counts: Counter[str] = Counter()
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -68,13 +68,13 @@
             await self.clock.advance(timedelta(seconds=1))
 
     async def measure_gap(
-        self, owner: Daemon, things: tuple[str, ...], step: timedelta
+        self, owner: Daemon, shards: tuple[str, ...], step: timedelta
     ) -> float:
         """Return the seconds from the first thing lost to the last one regained."""
         others = [daemon for daemon in self.daemons if daemon is not owner]
         began = self.clock.monotonic()
-        while not is_decided(others, things):
-            if not owner.tasks[0].cancelling() and is_decided([owner], things):
+        while not is_decided(others, shards):
+            if not owner.tasks[0].cancelling() and is_decided([owner], shards):
                 began = self.clock.monotonic()
             await self.clock.advance(step)
         return (self.clock.monotonic() - began).total_seconds()
@@ -86,11 +86,11 @@
         await asyncio.sleep(0)
 
 
-def is_decided(daemons: list[Daemon], things: tuple[str, ...]) -> bool:
-    """Tell whether some daemon decides about each of ``things``."""
+def is_decided(daemons: list[Daemon], shards: tuple[str, ...]) -> bool:
+    """Tell whether some daemon decides about each of ``shards``."""
     return all(
-        any(daemon.ownership.get_epoch(thing) is not None for daemon in daemons)
-        for thing in things
+        any(daemon.ownership.get_epoch(shard) is not None for daemon in daemons)
+        for shard in shards
     )
 
 
@@ -113,8 +113,8 @@
     scopes = {"worker": WORKERS_PER_ZONE, "target": TARGETS_PER_ZONE}
     for scope, count in scopes.items():
         names = tuple(f"{member.zone}-{scope}-{index:03}" for index in range(count))
-        ownership.set_things(scope, names)
-    ownership.set_things("ledger", tuple(f"{index:02}" for index in range(LEDGERS)))
+        ownership.set_shards(scope, names)
+    ownership.set_shards("ledger", tuple(f"{index:02}" for index in range(LEDGERS)))
     runs = (members.run(), ownership.run())
     return Daemon(members, ownership, [asyncio.ensure_future(run) for run in runs])
 
@@ -172,9 +172,9 @@
         await deployment.clock.advance(timedelta(milliseconds=137 * trial))
         daemon = deployment.daemons[trial % ZONE_SIZE]
         owner = daemon.ownership
-        things = owner.list_held("worker") + owner.list_held("ledger")
+        shards = owner.list_owned("worker") + owner.list_owned("ledger")
         leave(deployment, daemon)
-        gaps.append(await deployment.measure_gap(daemon, things, step))
+        gaps.append(await deployment.measure_gap(daemon, shards, step))
         await deployment.close()
     return {"median": statistics.median(gaps), "max": max(gaps), "trials": trials}
 
@@ -233,14 +233,14 @@
         deployment = Deployment(27)
         await deployment.advance(WARM_UP)
         one, other = (daemon.members for daemon in deployment.daemons[:2])
-        contact = one._contacts[other.self.name]
+        peer_state = one._peer_states[other.self.name]
         now = deployment.clock.monotonic()
-        writing = _time(lambda: one._write_heartbeat(contact, now), rounds)
-        beat = one._write_heartbeat(contact, now)
+        writing = _time(lambda: one._write_heartbeat(peer_state, now), rounds)
+        beat = one._write_heartbeat(peer_state, now)
         began = time.process_time()
         for number in itertools.islice(itertools.count(10_000), rounds):
             beat["number"] = number
-            await other._take_heartbeat(one.self.name, beat)
+            await other._handle_heartbeat(one.self.name, beat)
         taking = (time.process_time() - began) / rounds * 1e6
         await deployment.close()
         return {"write_us": round(writing, 1), "take_us": round(taking, 1)}
--- a/benchmarks/passes.py
+++ b/benchmarks/passes.py
@@ -12,25 +12,25 @@
 from datetime import timedelta
 
 from damaskdeck.clock import SystemClock
-from damaskdeck.coordination.pools.advising import AdviceDesk
-from damaskdeck.coordination.pools.allowances import Allowances
+from damaskdeck.coordination.pools.accountlimits import AccountLimits
+from damaskdeck.coordination.pools.advice import AdviceScheduler
 from damaskdeck.coordination.pools.ceilings import Ceilings
 from damaskdeck.coordination.pools.contacts import WorkerContact
-from damaskdeck.coordination.pools.dispatching import Dispatcher
+from damaskdeck.coordination.pools.dispatcher import Dispatcher
 from damaskdeck.coordination.pools.times import PoolBounds, derive_times
-from damaskdeck.coordination.pools.transfers import Mandate
+from damaskdeck.coordination.pools.transfers import OwnerTerm
 from damaskdeck.delays import LoopDelay
 from damaskdeck.protocol.pools import Done, EndedTask, EndKind, PoolWorker
 from damaskdeck.protocol.queues import (
-    AdviceTerms,
+    AdvisorTiming,
     JobSpec,
     Queue,
     QueueTable,
     StepSpec,
 )
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.state.board import Board, Job, Run, RunPhase
 from damaskdeck.state.jobrecords import JobRecord
+from damaskdeck.state.pooljobs import Job, JobIndex, Run, RunPhase
 
 FLEETS = (24, 175, 270, 790)
 STEPS = 50
@@ -42,7 +42,7 @@
 BOUNDS = PoolBounds(
     timedelta(seconds=6), timedelta(seconds=1), timedelta(seconds=6), timedelta(120)
 )
-TERMS = AdviceTerms(timedelta(milliseconds=20), timedelta(), timedelta(seconds=3600))
+TERMS = AdvisorTiming(timedelta(milliseconds=20), timedelta(), timedelta(seconds=3600))
 QUEUE = Queue(
     "quick", "a.example", "/quick/", "hub", 0, 3, 3.0, timedelta(seconds=9), TERMS
 )
@@ -68,11 +68,11 @@
     """As much of an owner as the dispatcher asks for."""
 
     def __init__(self) -> None:
-        self.mandate = Mandate(1, 1, 1, None)
-        self.board = Board()
+        self.term = OwnerTerm(1, 1, 1, None)
+        self.job_index = JobIndex()
         self.contacts: dict[str, WorkerContact] = {}
         self._table = QueueTable(1, (QUEUE,), frozenset({"hub"}), 100_000)
-        self.allowances = Allowances(self, Ceilings(lambda: None))
+        self.account_limits = AccountLimits(self, Ceilings(lambda: None))
 
     def now(self) -> float:
         return time.monotonic()
@@ -88,38 +88,41 @@
 
     def charge(self, run: Run) -> None:
         """Count a run that takes room."""
-        self.allowances.charge(run)
+        self.account_limits.charge(run)
 
     def release(self, run: Run) -> None:
         """Count a run no longer."""
-        self.allowances.release(run)
+        self.account_limits.release(run)
 
-    def note_running(self, run: Run) -> None:
+    def record_running(self, run: Run) -> None:
         """Nothing follows from it here."""
 
 
 async def _measure(workers: int, decisions: int) -> dict[str, float]:
     clock, owner = SystemClock(), _Owner()
-    desk = AdviceDesk(None, clock, list, lambda step: None)
-    dispatcher = Dispatcher(owner, clock, derive_times(BOUNDS), desk)
+    advice_scheduler = AdviceScheduler(None, clock, list, lambda step: None)
+    dispatcher = Dispatcher(owner, clock, derive_times(BOUNDS), advice_scheduler)
     numbers = itertools.count()
     running = [run for n in range(workers) for run in _fill(_add(owner, clock, n))]
     jobs = [
-        _submit(owner, dispatcher, desk, f"{next(numbers):016x}") for _ in range(STEPS)
+        _submit(owner, dispatcher, advice_scheduler, f"{next(numbers):016x}")
+        for _ in range(STEPS)
     ]
     dispatcher._pass()
     costs = []
     for number in range(decisions):
         while sum(map(_is_waiting, jobs)) < STEPS:
             jobs = [job for job in jobs if _is_waiting(job)]
-            jobs.append(_submit(owner, dispatcher, desk, f"{next(numbers):016x}"))
+            jobs.append(
+                _submit(owner, dispatcher, advice_scheduler, f"{next(numbers):016x}")
+            )
         dispatcher._pass()
         run = running[number * 7 % len(running)]
         contact = owner.contacts[run.worker]
         began = time.perf_counter()
         contact.remove_run(run)
-        dispatcher.note_end(contact, run.task, _end(run), run)
-        dispatcher.note_room(contact)
+        dispatcher.record_end(contact, run.task, _end(run), run)
+        dispatcher.handle_freed_capacity(contact)
         dispatcher._pass()
         costs.append(1e6 * (time.perf_counter() - began))
         await asyncio.sleep(0)
@@ -135,13 +138,13 @@
     info = PoolWorker(
         f"w{number}", "hub", f"10.0.0.1:{number}", f"z{number % 5}", ROOM, frozenset()
     )
-    mandate, times = owner.mandate, derive_times(BOUNDS)
+    term, times = owner.term, derive_times(BOUNDS)
     contact = WorkerContact(
-        info, mandate, owner, _Workers(), None, clock, times, float("-inf"), LoopDelay()
+        info, term, owner, _Workers(), None, clock, times, float("-inf"), LoopDelay()
     )
-    contact.is_known = contact.is_rostered = True
-    contact.room_told_at = float("inf")
-    contact._lease.note_clock(timedelta(), owner.now())
+    contact.is_synchronized = contact.is_rostered = True
+    contact.capacity_reported_at = float("inf")
+    contact._lease.record_clock(timedelta(), owner.now())
     owner.contacts[info.identifier] = contact
     return contact
 
@@ -170,17 +173,20 @@
 
 
 def _submit(
-    owner: _Owner, dispatcher: Dispatcher, desk: AdviceDesk, identifier: str
+    owner: _Owner,
+    dispatcher: Dispatcher,
+    advice_scheduler: AdviceScheduler,
+    identifier: str,
 ) -> Job:
     job = _build(identifier)
-    owner.board.add(job)
-    verdicts = desk.get(job.occurrences[0][0])
+    owner.job_index.add(job)
+    step_advice = advice_scheduler.get(job.occurrences[0][0])
     for number, worker in enumerate(owner.contacts):
         if (number + int(identifier, 16)) % CONSENT_EVERY:
-            verdicts.refused.add(worker)
+            step_advice.refused.add(worker)
         else:
-            verdicts.tickets[worker] = ("ticket", time.monotonic() + 3600)
-    dispatcher.take(job)
+            step_advice.tickets[worker] = ("ticket", time.monotonic() + 3600)
+    dispatcher.add_job(job)
     return job
 
 
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -9,7 +9,7 @@
 from benchmarks.replay import Cell, Task
 from damaskdeck.coordination.places.backfill import Backfill, count_slices
 from damaskdeck.coordination.places.estimates import Estimates
-from damaskdeck.coordination.places.failures import Failures
+from damaskdeck.coordination.places.failures import FailureHistory
 from damaskdeck.coordination.places.filters import Predicate
 from damaskdeck.coordination.places.placement import Impossible, Placed, Placer
 from damaskdeck.coordination.places.preemption import (
@@ -24,8 +24,13 @@
 from damaskdeck.coordination.queues.waiting import WaitingJob
 from damaskdeck.defaults import WEIGHTS
 from damaskdeck.protocol.resources import Urgency
-from damaskdeck.state.accounts import Accounts, NoRoom, Reserved, TaskNeed
 from damaskdeck.state.quotas import Quotas
+from damaskdeck.state.workeraccounts import (
+    InsufficientCapacity,
+    Reserved,
+    TaskNeed,
+    WorkerAccounts,
+)
 
 PREEMPTING = (Urgency.URGENT, Urgency.HIGH)
 
@@ -56,7 +61,7 @@
         weights: Mapping[str, float] = WEIGHTS,
         make_placer: Callable[..., Placer] = Placer,
     ) -> None:
-        self.accounts = Accounts()
+        self.accounts = WorkerAccounts()
         self.placer = make_placer(self.accounts, weights)
         for worker in cell.mix.workers:
             self.accounts.set_worker(worker)
@@ -70,7 +75,7 @@
             self.accounts, clock, budget, find_refusal=self.placer.find_refusal
         )
         self.placer.add_filter(CLAIMED, self.preemptor.prepare_claims)
-        self.quarantine = Quarantine(clock, Failures())
+        self.quarantine = Quarantine(clock, FailureHistory())
         self.quarantine.set_fleet(frozenset(self.accounts.workers))
         self.placer.add_filter("probed", self._prepare_probes)
         self.estimates = Estimates()
@@ -103,7 +108,7 @@
         self.quotas.release(task.arrival.team, task.size, rank)
         if has_failed:
             task.avoid |= {task.worker}
-        self.queue.note_room(self.accounts.workers[task.worker].free)
+        self.queue.unblock_fitting(self.accounts.workers[task.worker].free)
         if task.state == "waiting":
             self._push(task.name, [task])
         self.spent += time.perf_counter() - started
@@ -152,7 +157,7 @@
         return True
 
     def _note_cleared(self, name: str) -> None:
-        self.preemptor.note_end(name)
+        self.preemptor.record_end(name)
         job_name = self._clearing.pop(name, None)
         if job_name in self._cleared:
             self._cleared[job_name][1].discard(name)
@@ -180,7 +185,7 @@
     def _note_quarantine(self, task: Task, has_failed: bool) -> None:
         succeeded = False if has_failed else task.state == "completed" or None
         arrival = task.arrival
-        self.quarantine.note_end(
+        self.quarantine.record_end(
             task.worker, arrival.workload, arrival.job, task.name, succeeded
         )
         self._close(task.worker)
@@ -191,12 +196,12 @@
         self.accounts.close_worker(worker, "quarantined" if is_closed else "")
 
     def _prepare_probes(self, need: TaskNeed) -> Predicate | None:
-        held = self.quarantine.held
-        if not held:
+        isolated = self.quarantine.isolated
+        if not isolated:
             return None
         may_start = self.quarantine.may_start
         return lambda account: (
-            account.name not in held or may_start(account.name, need.idempotent)
+            account.name not in isolated or may_start(account.name, need.idempotent)
         )
 
     def _start_planned(self, cell: Cell) -> None:
@@ -216,7 +221,7 @@
 
     def _place_all(
         self, cell: Cell, job: WaitingJob
-    ) -> dict[str, str] | NoRoom | Impossible:
+    ) -> dict[str, str] | InsufficientCapacity | Impossible:
         placed: dict[str, str] = {}
         for task in islice(self._jobs[job.name], job.offered):
             need = task.make_need()._replace(started=cell.now)
@@ -228,7 +233,7 @@
             placed[task.name] = outcome
         return placed
 
-    def _place(self, need: TaskNeed) -> str | NoRoom | Impossible:
+    def _place(self, need: TaskNeed) -> str | InsufficientCapacity | Impossible:
         """Reserve room for a task, where it was cleared for it, or elsewhere."""
         claimed = self.preemptor.find_claim(need.task)
         if claimed and isinstance(self.accounts.reserve(need, claimed), Reserved):
@@ -244,8 +249,8 @@
         self.backfill.drop_plan(job.name)
         for name, worker in placed.items():
             self.preemptor.drop_claim(name)
-            self.backfill.note_start(cell.tasks[name].make_need(), worker)
-            self.quarantine.note_start(worker, name)
+            self.backfill.record_start(cell.tasks[name].make_need(), worker)
+            self.quarantine.record_start(worker, name)
             cell.start(cell.tasks[name], worker)
 
     def _plan(self, cell: Cell, job: WaitingJob) -> None:
--- a/benchmarks/pool.py
+++ b/benchmarks/pool.py
@@ -131,7 +131,7 @@
 
     def step(self, pool: Pool) -> None:
         """Make one pass."""
-        self._queue.note_room(pool.room)
+        self._queue.unblock_fitting(pool.room)
         offers = Pass(self._queue)
         while (waiting := offers.next()) is not None:
             if fits(waiting.size, pool.room):
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import Any
 
-from damaskdeck.coordination.places.failures import Failures
+from damaskdeck.coordination.places.failures import FailureHistory
 from damaskdeck.coordination.places.quarantine import Quarantine
 from standins.clock import ManualClock
 
@@ -27,7 +27,7 @@
     def __init__(self, workers: int, failing: int, loads: int, broken: int) -> None:
         self.rng = random.Random(SEED)
         self.clock = ManualClock()
-        self.quarantine = Quarantine(self.clock, Failures())
+        self.quarantine = Quarantine(self.clock, FailureHistory())
         self.workers = [f"w{number}" for number in range(workers)]
         self.quarantine.set_fleet(frozenset(self.workers))
         self.failing = frozenset(self.rng.sample(self.workers, failing))
@@ -51,14 +51,14 @@
                 if self.quarantine.may_start(worker, True):
                     self._start(second, worker)
         spent = time.process_time() - began
-        held = self.quarantine.held
+        isolated = self.quarantine.isolated
         times = sorted(self.first_held.values())
         return {
-            "failing_held": f"{len(held & self.failing)} of {len(self.failing)}",
+            "failing_held": f"{len(isolated & self.failing)} of {len(self.failing)}",
             "held_after_s_p50": times[len(times) // 2] if times else None,
             "held_after_s_most": times[-1] if times else None,
             "good_ever_held": len(self.held_good),
-            "good_held_at_end": len(held - self.failing),
+            "good_held_at_end": len(isolated - self.failing),
             "cap": self.quarantine.cap,
             "starts": self.started,
             "starts_on_failing": self.wasted,
@@ -71,7 +71,7 @@
         ends_well = load >= self.broken and worker not in self.failing
         self.wasted += worker in self.failing
         task = f"task-{self.started}"
-        self.quarantine.note_start(worker, task)
+        self.quarantine.record_start(worker, task)
         end = second + (self.rng.randint(*RUN_TIME) if ends_well else 1)
         entry = (end, self.started, worker, f"load-{load}", ends_well)
         heapq.heappush(self.ends, entry)
@@ -80,10 +80,10 @@
         while self.ends and self.ends[0][0] <= second:
             _, number, worker, load, ended_well = heapq.heappop(self.ends)
             task = f"task-{number}"
-            self.quarantine.note_end(worker, load, task, task, ended_well)
+            self.quarantine.record_end(worker, load, task, task, ended_well)
 
     def _note_held(self, second: int) -> None:
-        for worker in self.quarantine.held:
+        for worker in self.quarantine.isolated:
             if worker in self.failing:
                 self.first_held.setdefault(worker, second)
             else:
--- a/benchmarks/queueing.py
+++ b/benchmarks/queueing.py
@@ -79,9 +79,9 @@
         queue.push_all(draw_jobs(WAITING, shapes))
         first = _time(lambda: _fail_all(queue))  # noqa: B023
         next_one = min(_time(lambda: _fail_all(queue)) for _ in range(20))  # noqa: B023
-        queue.note_room(Size(2000, 4096, 0))
+        queue.unblock_fitting(Size(2000, 4096, 0))
         after_room = _time(lambda: _fail_all(queue))  # noqa: B023
-        queue.note_room(Size(1 << 40, 1 << 40, 1 << 20))
+        queue.unblock_fitting(Size(1 << 40, 1 << 40, 1 << 20))
         _take_all(queue, WAITING)
         at_quota = min(_time(lambda: _take_all(queue, WAITING)) for _ in range(5))  # noqa: B023
         for team in quotas.list_teams():
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from damaskdeck.state import records
-from damaskdeck.state.changes import apply_record
-from damaskdeck.state.jobs import JobTable
+from damaskdeck.state.jobmodel import TaskState
+from damaskdeck.state.jobtable import JobTable
 from damaskdeck.state.ledger import Committed, Ledger, Opened
-from damaskdeck.state.names import name_task
-from damaskdeck.state.work import TaskState
+from damaskdeck.state.names import build_task_name
+from damaskdeck.state.replay import apply_record
 from standins.loops import LoopClock, run_virtual
 from standins.store import MemoryStore
 
@@ -100,7 +100,7 @@
 
 def _describe_job(number: int, tasks: int) -> tuple[bytes, bytes, bytes]:
     job = f"00-job-{number:06d}"
-    names = [name_task(job, index) for index in range(tasks)]
+    names = [build_task_name(job, index) for index in range(tasks)]
     submitted = records.Submitted(
         job=job,
         workload=f"workload-{number % 300}",
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -13,7 +13,7 @@
 from benchmarks.arrivals import Arrival, Mix
 from damaskdeck.protocol.resources import Urgency
 from damaskdeck.protocol.sizes import ZERO_SIZE, Size, add_sizes, subtract_sizes
-from damaskdeck.state.accounts import TaskNeed
+from damaskdeck.state.workeraccounts import TaskNeed
 
 ZERO = timedelta()
 FAILURE_TIME = timedelta(seconds=1)
--- a/benchmarks/requests.py
+++ b/benchmarks/requests.py
@@ -133,7 +133,7 @@
 def replay_ours(arrivals: list[Arrival]) -> tuple[Run, list[float]]:
     """Replay with our routers; also return each decision's microseconds."""
     decisions: list[float] = []
-    original = Router._find_place
+    original = Router._choose_route
 
     def measured(router: Router, course: Any) -> Any:
         start = time.thread_time_ns()
@@ -148,11 +148,11 @@
         result.calls.update(deployed.stop())
         return result
 
-    Router._find_place = measured
+    Router._choose_route = measured
     try:
         return run_virtual(play()), decisions
     finally:
-        Router._find_place = original
+        Router._choose_route = original
 
 
 def measure_processor(count: int) -> Figures:
--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -30,7 +30,7 @@
     Layout,
     RequestDeployment,
 )
-from tests.naive_router import PAUSE, NaiveRouter
+from tests.naive_router import RETRY_PAUSE, NaiveRouter
 
 NAIROBI = Layout(zones=3, entries=2, targets=8, slots=8, connections=64)
 MEAN_TIME = 0.05
@@ -184,7 +184,7 @@
 
 async def start_naive(targets: SimulatedTargets) -> list[RequestHandler]:
     """Return a naive router for each entry."""
-    return make_naive(targets, PAUSE)
+    return make_naive(targets, RETRY_PAUSE)
 
 
 async def start_lazy(targets: SimulatedTargets) -> list[RequestHandler]:
--- a/benchmarks/sizing.py
+++ b/benchmarks/sizing.py
@@ -4,7 +4,7 @@
 from typing import Any, NamedTuple
 
 from damaskdeck import defaults
-from damaskdeck.coordination.members.membership import FAR_ROUNDS
+from damaskdeck.coordination.members.membership import CROSS_ZONE_ROUNDS
 from damaskdeck.coordination.members.rendezvous import choose_links
 
 SECONDS_PER_DAY = 86_400
@@ -307,7 +307,7 @@
         ),
         "heartbeats a daemon sends to other zones, a second": Growth(
             "zones / daemons of a zone",
-            tuple(far / beat / FAR_ROUNDS for _, far in links),
+            tuple(far / beat / CROSS_ZONE_ROUNDS for _, far in links),
         ),
         "renewals of members' leases, a second, all": compute(
             "daemons",
--- a/benchmarks/split.py
+++ b/benchmarks/split.py
@@ -13,12 +13,12 @@
     choose_owner,
     summarize_workers,
 )
-from damaskdeck.state.accounts import (
+from damaskdeck.state.workeraccounts import (
     AccountHandler,
-    Accounts,
-    NoRoom,
+    InsufficientCapacity,
     TaskNeed,
     WorkerAccount,
+    WorkerAccounts,
 )
 
 REPORT_INTERVAL = timedelta(milliseconds=500)
@@ -28,7 +28,7 @@
 class OwnedAccounts:
     """The part of the accounts that one owner sees."""
 
-    def __init__(self, accounts: Accounts, names: tuple[str, ...]) -> None:
+    def __init__(self, accounts: WorkerAccounts, names: tuple[str, ...]) -> None:
         self._accounts = accounts
         self._names = names
         self._owned = frozenset(names)
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        accounts: Accounts,
+        accounts: WorkerAccounts,
         weights: Mapping[str, float],
         owners: Mapping[str, tuple[str, ...]],
         read_clock: Callable[[], timedelta],
@@ -84,7 +84,7 @@
         for placer in self._placers.values():
             placer.add_filter(name, prepare)
 
-    def place(self, need: TaskNeed) -> Placed | NoRoom | Impossible:
+    def place(self, need: TaskNeed) -> Placed | InsufficientCapacity | Impossible:
         """Ask a few owners, one after another."""
         now = self._read_clock()
         for _ in range(ASKED):
@@ -94,12 +94,12 @@
             self.asked += 1
             outcome = self._placers[view.name].place(need)
             if isinstance(outcome, Placed):
-                view.note_asked(need)
+                view.deduct(need)
                 return outcome
             self.refused += 1
-            view.note_refused(need)
-        dimension = self._index.name_impossible(need)
-        return Impossible(dimension) if dimension else NoRoom("summaries")
+            view.record_refusal(need)
+        dimension = self._index.find_impossible_dimension(need)
+        return Impossible(dimension) if dimension else InsufficientCapacity("summaries")
 
     def _read_views(self, now: timedelta) -> list[OwnerView]:
         """Take over the summaries that are due, each owner's at its own time."""
@@ -128,7 +128,7 @@
         if names[part::each]
     }
 
-    def make(accounts: Accounts, weights: Mapping[str, float]) -> SplitPlacer:
+    def make(accounts: WorkerAccounts, weights: Mapping[str, float]) -> SplitPlacer:
         return SplitPlacer(accounts, weights, owners, lambda: cell.now)
 
     return Policy(cell, make_placer=make)
--- a/benchmarks/tasks.py
+++ b/benchmarks/tasks.py
@@ -67,10 +67,10 @@
     plane: Plane, workload: str, count: int, payload: bytes
 ) -> list[JobView]:
     """Submit many jobs at once, from an entry that doesn't keep the ledger."""
-    keeper = plane.find("d2").keeper
+    ledger_owner = plane.find("d2").ledger_owner
     submission = Submission(workload, "team", payload)
     answers = await asyncio.gather(
-        *(keeper.submit_job(submission) for _ in range(count))
+        *(ledger_owner.submit_job(submission) for _ in range(count))
     )
     return [answer for answer in answers if isinstance(answer, JobView)]
 
@@ -97,7 +97,7 @@
 
 async def wait_for_ends(plane: Plane, views: list[JobView]) -> None:
     """Wait until the ledger holds the ends of all jobs."""
-    table = plane.find("d1").keeper.desks["00"].kept.table
+    table = plane.find("d1").ledger_owner.controllers["00"].ledger.table
     names = [view.name for view in views]
     while any(table.jobs[name].state is not JobState.COMPLETED for name in names):
         await plane.clock.sleep(SECOND / 10)
@@ -109,11 +109,11 @@
     await submit_all(plane, "blocker", WORKERS, ENDLESS)
     await wait_for_running(plane, WORKERS)
     views = await submit_all(plane, "job", count, SHORT)
-    keeper = plane.find("d2").keeper
+    ledger_owner = plane.find("d2").ledger_owner
     answers: list[Any] = []
 
     async def cancel() -> None:
-        calls = (keeper.cancel_job(view.name) for view in views)
+        calls = (ledger_owner.cancel_job(view.name) for view in views)
         answers.extend(await asyncio.gather(*calls))
 
     figures = await measure(plane, cancel())
--- a/src/damaskdeck/coordination/configuration/marks.py
+++ b/src/damaskdeck/coordination/configuration/marks.py
@@ -5,7 +5,7 @@
 from damaskdeck import defaults
 from damaskdeck.clock import Clock
 from damaskdeck.protocol.ports import Entry, Listing, Store, Written
-from damaskdeck.state.versions import PREFIX, decode_value
+from damaskdeck.state.versions import CONFIG_PREFIX, decode_value
 
 ROUND_LIMIT = 200
 PAUSE = timedelta(milliseconds=100)
@@ -19,7 +19,7 @@
     At most :data:`ROUND_LIMIT` are removed, ten a second, so that a wave of
     deletions doesn't use up the store's writes.
     """
-    found = await store.list(PREFIX)
+    found = await store.list(CONFIG_PREFIX)
     if not isinstance(found, Listing):
         return 0
     limit = (clock.now() - retention).timestamp()
--- a/src/damaskdeck/coordination/configuration/relay.py
+++ b/src/damaskdeck/coordination/configuration/relay.py
@@ -25,21 +25,21 @@
     Outdated,
 )
 from damaskdeck.metrics import count_drop
-from damaskdeck.protocol.members import Members
-from damaskdeck.protocol.messages import Peers
-from damaskdeck.protocol.outcomes import Refused, Unknown
-from damaskdeck.protocol.ports import Event, Store
-from damaskdeck.protocol.relays import (
+from damaskdeck.protocol.configurationmessages import (
     ConfigurationAccepted,
-    ConfigurationAsk,
     ConfigurationChanges,
-    ConfigurationPull,
-    ConfigurationReply,
     ConfigurationReport,
+    PullConfiguration,
+    PullConfigurationReply,
+    ReadConfigurationReport,
 )
+from damaskdeck.protocol.members import Members
+from damaskdeck.protocol.messages import Peers
+from damaskdeck.protocol.outcomes import Refused, Unknown
+from damaskdeck.protocol.ports import Event, Store
 from damaskdeck.protocol.resources import Kind
-from damaskdeck.state.configuration import PART, Configuration
-from damaskdeck.state.versions import Version, encode_version
+from damaskdeck.state.configuration import COMPONENT, Configuration
+from damaskdeck.state.versions import ResourceVersion, encode_version
 
 STARTUP_WAIT = timedelta(seconds=2)
 MARKS_INTERVAL = timedelta(hours=1)
@@ -93,8 +93,8 @@
         self._lacking: ConfigurationReport | None = None
         peers.register(ConfigurationChanges, self._take_changes)
         peers.register(ConfigurationAccepted, self._take_accepted)
-        peers.register(ConfigurationPull, self._answer_pull)
-        peers.register(ConfigurationAsk, self._answer_ask)
+        peers.register(PullConfiguration, self._answer_pull)
+        peers.register(ReadConfigurationReport, self._answer_ask)
 
     @property
     def is_ready(self) -> bool:
@@ -110,9 +110,9 @@
         """Tell whether this daemon watches the store for its zone."""
         return self._watcher.is_watcher()
 
-    async def ask_in_force(self, revision: int = 0) -> InForce:
+    async def read_in_force(self, revision: int = 0) -> InForce:
         """Ask all live daemons what is in force, and whether ``revision`` is."""
-        return await self._reports.ask_in_force(self._peers, revision)
+        return await self._reports.read_in_force(self._peers, revision)
 
     async def put(
         self, kind: Kind, resource: Any, expected: int | None
@@ -172,7 +172,7 @@
         message = ConfigurationChanges(base=base, revision=revision, entries=entries)
         self._send(message, ConfigurationChanges, self._members.self.zone)
 
-    def _announce(self, version: Version) -> None:
+    def _announce(self, version: ResourceVersion) -> None:
         """Tell everybody of a write that this daemon's call made."""
         message = ConfigurationAccepted(entry=pack(encode_version(version)))
         self._send(message, ConfigurationAccepted, "")
@@ -186,7 +186,7 @@
         events = [unpack(entry) for entry in message["entries"]]
         base, revision = message["base"], message["revision"]
         if not self._configuration.apply_changes(base, events, revision):
-            count_drop(PART, "gap")
+            count_drop(COMPONENT, "gap")
 
     async def _take_accepted(
         self, instance: str, message: ConfigurationAccepted
@@ -194,11 +194,11 @@
         apply_ahead(self._configuration, [message["entry"]])
 
     async def _answer_pull(
-        self, instance: str, message: ConfigurationPull
-    ) -> ConfigurationReply:
+        self, instance: str, message: PullConfiguration
+    ) -> PullConfigurationReply:
         return answer_pull(self._configuration, message)
 
     async def _answer_ask(
-        self, instance: str, message: ConfigurationAsk
+        self, instance: str, message: ReadConfigurationReport
     ) -> ConfigurationReport:
         return self._reports.make_own()
--- a/src/damaskdeck/coordination/configuration/reports.py
+++ b/src/damaskdeck/coordination/configuration/reports.py
@@ -8,10 +8,13 @@
 
 from damaskdeck.errors import DECODE_ERRORS
 from damaskdeck.metrics import count_drop, count_retry
+from damaskdeck.protocol.configurationmessages import (
+    ConfigurationReport,
+    ReadConfigurationReport,
+)
 from damaskdeck.protocol.members import Members
 from damaskdeck.protocol.messages import Answered, Peers
-from damaskdeck.protocol.relays import ConfigurationAsk, ConfigurationReport
-from damaskdeck.state.configuration import PART, Configuration
+from damaskdeck.state.configuration import COMPONENT, Configuration
 
 TOPIC = "configuration"
 AHEAD_LIMIT = 64
@@ -64,7 +67,7 @@
             try:
                 reports[name] = _decoder.decode(report.value)
             except DECODE_ERRORS:
-                count_drop(PART, "invalid_report")
+                count_drop(COMPONENT, "invalid_report")
         reports[self._members.self.name] = self.make_own()
         return reports
 
@@ -81,7 +84,9 @@
         names = [member.name for member in self._members.list_live()]
         names.remove(self._members.self.name)
         calls = [
-            peers.call(name, ConfigurationAsk(), ConfigurationAsk, ASK_TIMEOUT)
+            peers.call(
+                name, ReadConfigurationReport(), ReadConfigurationReport, ASK_TIMEOUT
+            )
             for name in names
         ]
         answers = await asyncio.gather(*calls)
@@ -90,10 +95,10 @@
             if isinstance(answer, Answered):
                 reports[name] = answer.message
             else:
-                count_retry(PART, answer.code)
+                count_retry(COMPONENT, answer.code)
         return reports
 
-    async def ask_in_force(self, peers: Peers, revision: int) -> InForce:
+    async def read_in_force(self, peers: Peers, revision: int) -> InForce:
         """Ask what is in force on all live daemons."""
         reports = await self.ask(peers)
         live = [member.name for member in self._members.list_live()]
--- a/src/damaskdeck/coordination/configuration/rules.py
+++ b/src/damaskdeck/coordination/configuration/rules.py
@@ -12,15 +12,15 @@
 from damaskdeck.protocol.resources import (
     Kind,
     Resource,
-    read_size,
+    parse_size,
 )
-from damaskdeck.protocol.sizes import ZERO_SIZE, name_shortfall
-from damaskdeck.state.versions import SPECS
+from damaskdeck.protocol.sizes import ZERO_SIZE, find_exceeded_dimension
+from damaskdeck.state.versions import SPEC_TYPES
 
 Rule = Callable[[Resource, ConfigurationReader], Iterable[Fault]]
 
-_write_rules: dict[Kind, list[Rule]] = {kind: [] for kind in SPECS}
-_delete_rules: dict[Kind, list[Rule]] = {kind: [] for kind in SPECS}
+_write_rules: dict[Kind, list[Rule]] = {kind: [] for kind in SPEC_TYPES}
+_delete_rules: dict[Kind, list[Rule]] = {kind: [] for kind in SPEC_TYPES}
 
 
 def write_rule(*kinds: Kind) -> Callable[[Rule], Rule]:
@@ -52,7 +52,7 @@
     faults = find_faults(resource, Resource)
     if not isinstance(resource, dict):
         return faults
-    faults += find_faults(resource.get("spec"), SPECS[kind], "spec")
+    faults += find_faults(resource.get("spec"), SPEC_TYPES[kind], "spec")
     if resource.get("kind") != kind:
         faults += (Fault("kind", "wrong_kind", f"must be {kind}"),)
     if faults:
@@ -103,7 +103,7 @@
 @write_rule(Kind.WORKLOAD)
 def check_size(resource: Resource, _: ConfigurationReader) -> Iterator[Fault]:
     """Require a size; work without one can't be kept within an instance."""
-    if read_size(resource["spec"]["size"]) == ZERO_SIZE:
+    if parse_size(resource["spec"]["size"]) == ZERO_SIZE:
         yield Fault("spec.size", "empty_size", "must ask for something")
 
 
@@ -116,8 +116,8 @@
     team = configuration.get(Kind.TEAM, spec["team"])
     if team is None:
         return
-    need, quota = read_size(spec["size"]), read_size(team["spec"]["quota"])
-    short = name_shortfall(need, quota)
+    need, quota = parse_size(spec["size"]), parse_size(team["spec"]["quota"])
+    short = find_exceeded_dimension(need, quota)
     if short:
         yield Fault("spec.size", "above_quota", f"one task exceeds the quota: {short}")
 
--- a/src/damaskdeck/coordination/configuration/watchers.py
+++ b/src/damaskdeck/coordination/configuration/watchers.py
@@ -11,14 +11,14 @@
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_retry
 from damaskdeck.protocol.members import Members
-from damaskdeck.protocol.ports import Event, Events, Listing, Store, TooOld
-from damaskdeck.state.configuration import PART, Configuration
-from damaskdeck.state.versions import PREFIX
+from damaskdeck.protocol.ports import Event, Events, Listing, RevisionTooOld, Store
+from damaskdeck.state.configuration import COMPONENT, Configuration
+from damaskdeck.state.versions import CONFIG_PREFIX
 
 SHORTEST_PAUSE = timedelta(milliseconds=250)
 LONGEST_PAUSE = timedelta(seconds=2)
 
-_log = get_logger(PART)
+_log = get_logger(COMPONENT)
 
 Push = Callable[[int, list[Event], int], None]
 
@@ -105,17 +105,17 @@
             return await self._list()
         after = max(self._cursor, self._configuration.revision)
         wait = self._watch_wait if self._reports.reaches_store else timedelta()
-        found = await self._store.watch(PREFIX, after, wait)
+        found = await self._store.watch(CONFIG_PREFIX, after, wait)
         if isinstance(found, Events):
             self._take_events(found)
             return True
-        if isinstance(found, TooOld):
+        if isinstance(found, RevisionTooOld):
             return await self._list()
         self._note_failure(found.code)
         return False
 
     async def _list(self) -> bool:
-        found = await self._store.list(PREFIX)
+        found = await self._store.list(CONFIG_PREFIX)
         if not isinstance(found, Listing):
             self._note_failure(found.code)
             return False
@@ -136,7 +136,7 @@
         self._cursor = max(self._cursor, found.revision)
 
     def _note_failure(self, code: str) -> None:
-        count_retry(PART, code)
+        count_retry(COMPONENT, code)
         if self._reports.reaches_store:
             _log.warn("The store can't be watched.", code=code)
         self._reports.reaches_store = False
--- a/src/damaskdeck/coordination/configuration/writes.py
+++ b/src/damaskdeck/coordination/configuration/writes.py
@@ -24,9 +24,9 @@
     Written,
 )
 from damaskdeck.protocol.resources import Kind, Resource
-from damaskdeck.state.configuration import PART, Configuration
+from damaskdeck.state.configuration import COMPONENT, Configuration
 from damaskdeck.state.versions import (
-    Version,
+    ResourceVersion,
     decode_value,
     encode_deletion,
     encode_resource,
@@ -38,7 +38,7 @@
 RETRY_PAUSE = timedelta(milliseconds=200)
 RETRY_AFTER = timedelta(seconds=2)
 
-_log = get_logger(PART)
+_log = get_logger(COMPONENT)
 
 
 class Declared(NamedTuple):
@@ -87,7 +87,7 @@
         configuration: Configuration,
         store: Store,
         clock: Clock,
-        announce: Callable[[Version], None],
+        announce: Callable[[ResourceVersion], None],
         resolve_limit: timedelta = defaults.RESOLVE_LIMIT,
     ) -> None:
         self._configuration = configuration
@@ -152,7 +152,9 @@
             if version is not None:
                 self._configuration.apply_ahead(version)
 
-    def _take(self, kind: Kind, name: str, value: bytes, revision: int) -> Version:
+    def _take(
+        self, kind: Kind, name: str, value: bytes, revision: int
+    ) -> ResourceVersion:
         version = read_version(Event(make_key(kind, name), value, revision))
         assert version is not None
         self._configuration.apply_ahead(version)
@@ -174,11 +176,11 @@
             resource = _read_resource(answer.current)
             may_retry = resource is None if expected == 0 else expected is None
             if not may_retry:
-                count_refusal(PART, "outdated")
+                count_refusal(COMPONENT, "outdated")
                 return Outdated(resource)
-            count_retry(PART, "race")
+            count_retry(COMPONENT, "race")
             compared = answer.current.revision if answer.current else 0
-        count_refusal(PART, "outdated")
+        count_refusal(COMPONENT, "outdated")
         return Outdated(resource)
 
     async def _write_once(
@@ -196,7 +198,7 @@
         while isinstance(answer, Lost | Rejected):
             if self._clock.monotonic() >= deadline:
                 return Unknown("answer_lost", "the write may have taken effect")
-            count_retry(PART, answer.code)
+            count_retry(COMPONENT, answer.code)
             await self._clock.sleep(RETRY_PAUSE)
             answer = await self._put(call)
             if isinstance(answer, Conflict):
@@ -243,7 +245,7 @@
     """Tell the operator that the store took nothing."""
     is_down = rejected.code == "unreachable"
     code = "store_unavailable" if is_down else rejected.code
-    count_refusal(PART, code)
+    count_refusal(COMPONENT, code)
     return Refused(code, rejected.detail or "nothing was written", RETRY_AFTER)
 
 
--- a/src/damaskdeck/coordination/jobs/deferrals.py
+++ b/src/damaskdeck/coordination/jobs/deferrals.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from damaskdeck.clock import Clock
-from damaskdeck.state.work import Task
+from damaskdeck.state.jobmodel import Task
 
 BACKOFF = timedelta(seconds=1)
 BACKOFF_LIMIT = timedelta(seconds=60)
@@ -67,7 +67,7 @@
             due.append(heapq.heappop(self._due)[1])
         return tuple(due)
 
-    def forget(self, task: str) -> None:
+    def discard(self, task: str) -> None:
         """Forget a task that doesn't wait any more for good."""
         self._pauses.pop(task, None)
         self._deferrals.pop(task, None)
--- a/src/damaskdeck/coordination/jobs/dispatch.py
+++ b/src/damaskdeck/coordination/jobs/dispatch.py
@@ -8,7 +8,6 @@
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.jobs.deferrals import Deferrals
 from damaskdeck.coordination.jobs.impossible import ImpossibleJobs
-from damaskdeck.coordination.jobs.kept import KeptLedger
 from damaskdeck.coordination.jobs.launches import Launcher, Pick
 from damaskdeck.coordination.jobs.needs import (
     get_size,
@@ -17,15 +16,16 @@
     make_need,
     make_request,
 )
+from damaskdeck.coordination.jobs.ownedledger import OwnedLedger
 from damaskdeck.coordination.jobs.shapes import Shapes
-from damaskdeck.coordination.queues.lategangs import ASK_INTERVAL, LateGangs
 from damaskdeck.coordination.queues.passes import Pass
 from damaskdeck.coordination.queues.queueing import RANKS, JobQueue
+from damaskdeck.coordination.queues.starvinggangs import ASK_INTERVAL, StarvingGangs
 from damaskdeck.coordination.queues.waiting import WaitingJob
-from damaskdeck.coordination.workers.owners import Owners
+from damaskdeck.coordination.workers.owners import OwnerSelector
 from damaskdeck.metrics import count_refusal, observe_wait
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.state.work import FINAL_TASK_STATES, Job, Task, TaskState
+from damaskdeck.state.jobmodel import FINAL_TASK_STATES, Job, Task, TaskState
 
 PASS_INTERVAL = timedelta(milliseconds=20)
 IDLE_INTERVAL = timedelta(milliseconds=250)
@@ -44,8 +44,8 @@
 
     def __init__(
         self,
-        kept: KeptLedger,
-        owners: Owners,
+        kept: OwnedLedger,
+        owners: OwnerSelector,
         shapes: Shapes,
         launcher: Launcher,
         queue: JobQueue,
@@ -64,7 +64,7 @@
         self._waiting: dict[str, dict[str, None]] = {}
         self._charged: dict[str, tuple[str, Size, int]] = {}
         self._launching: set[str] = set()
-        self._gangs = LateGangs(
+        self._gangs = StarvingGangs(
             queue, clock, lambda job: self._impossible.find_reason(job) is not None
         )
         self._changed = asyncio.Event()
@@ -112,7 +112,7 @@
         if not is_due and name in self._charged:
             charged = self._charged.pop(name)
             self._queue.quotas.release(*charged)
-            self._queue.note_room(charged[1])
+            self._queue.unblock_fitting(charged[1])
         elif is_due and name not in self._charged:
             job = self._kept.table.jobs[task.job]
             rank = RANKS[get_urgency(job.spec)]
@@ -128,8 +128,8 @@
         else:
             waiting.pop(name, None)
         if task is None or task.state in FINAL_TASK_STATES:
-            self._deferrals.forget(name)
-            self._owners.forget(name)
+            self._deferrals.discard(name)
+            self._owners.discard(name)
         return job
 
     def _is_waiting(self, task: Task) -> bool:
@@ -190,7 +190,7 @@
         if not len(self._queue):
             return
         if self._owners.refresh():
-            self._queue.note_room(self._shapes.capacity)
+            self._queue.unblock_fitting(self._shapes.capacity)
         groups: dict[str, list[Pick]] = {}
         turn = Pass(self._queue)
         for offer in self._gangs.list():
@@ -228,7 +228,9 @@
         tasks = [self._kept.table.tasks[name] for name in self._waiting[offer.name]]
         need = make_need(job, tasks[0])
         is_late = self._gangs.is_late(offer)
-        list_owners = self._owners.list_able if is_late else self._owners.list_fitting
+        list_owners = (
+            self._owners.list_capable if is_late else self._owners.list_fitting
+        )
         owners = list_owners(need)
         if not owners:
             turn.fail(offer, "no worker has enough of it free")
@@ -289,9 +291,9 @@
             return
         delay = ASK_INTERVAL if "gang" in pick.request else REFUSED_PAUSE
         if code == "making_room" and pick.owner:
-            self._owners.note_making_room(pick.owner, pick.task)
+            self._owners.record_preemption(pick.owner, pick.task)
             delay = ROOM_PAUSE
         elif pick.owner:
             need = make_need(self._kept.table.jobs[task.job], task)
-            self._owners.note_refused(pick.owner, need)
+            self._owners.record_refusal(pick.owner, need)
         self._deferrals.pause(pick.task, delay)
--- a/src/damaskdeck/coordination/jobs/impossible.py
+++ b/src/damaskdeck/coordination/jobs/impossible.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.jobs.kept import KeptLedger
+from damaskdeck.coordination.jobs.ownedledger import OwnedLedger
 from damaskdeck.coordination.jobs.shapes import Shapes
 from damaskdeck.logs import get_logger
 from damaskdeck.state import records
@@ -31,7 +31,7 @@
 class ImpossibleJobs:
     """Judges the waiting jobs of one kept ledger when the fleet changes."""
 
-    def __init__(self, kept: KeptLedger, shapes: Shapes, clock: Clock) -> None:
+    def __init__(self, kept: OwnedLedger, shapes: Shapes, clock: Clock) -> None:
         self._kept = kept
         self._shapes = shapes
         self._clock = clock
--- a/src/damaskdeck/coordination/jobs/inbox.py
+++ b/src/damaskdeck/coordination/jobs/inbox.py
@@ -3,18 +3,18 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from damaskdeck.coordination.jobs.desks import Desk
+from damaskdeck.coordination.jobs.controllers import LedgerController
 from damaskdeck.protocol import jobs
-from damaskdeck.protocol.handlers import Claimed, Known, Submission
+from damaskdeck.protocol.conversions import (
+    build_job_data,
+    build_job_reply,
+    build_outcome_data,
+    parse_outcome,
+)
+from damaskdeck.protocol.handlers import ClaimedKey, KnownKey, Submission
 from damaskdeck.protocol.messages import Peers
 from damaskdeck.protocol.outcomes import Refused
-from damaskdeck.protocol.replies import (
-    read_outcome,
-    show_job,
-    show_outcome,
-    show_reply,
-)
-from damaskdeck.state.names import pick_ledger, read_ledger
+from damaskdeck.state.names import parse_ledger_name, select_ledger
 
 RETRY_AFTER = timedelta(seconds=1)
 
@@ -26,7 +26,10 @@
     """
 
     def __init__(
-        self, peers: Peers, find_desk: Callable[[str | None], Desk | None], count: int
+        self,
+        peers: Peers,
+        find_desk: Callable[[str | None], LedgerController | None],
+        count: int,
     ) -> None:
         self._find_desk = find_desk
         self._count = count
@@ -36,70 +39,74 @@
         peers.register(jobs.ListJobs, self._take_listing)
         peers.register(jobs.ClaimKey, self._take_claim)
         peers.register(jobs.SettleKey, self._take_settlement)
-        peers.register(jobs.TaskReports, self._take_reports)
+        peers.register(jobs.TaskUpdates, self._take_reports)
 
     async def _take_submission(self, _: str, message: jobs.SubmitJob) -> jobs.JobReply:
-        desk = self._find_desk(pick_ledger(message["team"], self._count))
-        if desk is None:
-            return show_reply(refuse_no_keeper())
-        return show_reply(await desk.submissions.submit(Submission(**message)))
+        controller = self._find_desk(select_ledger(message["team"], self._count))
+        if controller is None:
+            return build_job_reply(refuse_no_keeper())
+        return build_job_reply(
+            await controller.submissions.submit(Submission(**message))
+        )
 
     async def _take_reading(self, _: str, message: jobs.ReadJob) -> jobs.JobReply:
-        desk = self._find_desk(read_ledger(message["job"]))
-        if desk is None:
-            return show_reply(refuse_no_keeper())
-        return show_reply(desk.submissions.read(message["job"]))
+        controller = self._find_desk(parse_ledger_name(message["job"]))
+        if controller is None:
+            return build_job_reply(refuse_no_keeper())
+        return build_job_reply(controller.submissions.read(message["job"]))
 
     async def _take_cancellation(
         self, _: str, message: jobs.CancelJob
     ) -> jobs.JobReply:
-        desk = self._find_desk(read_ledger(message["job"]))
-        if desk is None:
-            return show_reply(refuse_no_keeper())
-        return show_reply(await desk.submissions.cancel(message["job"]))
+        controller = self._find_desk(parse_ledger_name(message["job"]))
+        if controller is None:
+            return build_job_reply(refuse_no_keeper())
+        return build_job_reply(await controller.submissions.cancel(message["job"]))
 
     async def _take_listing(self, _: str, message: jobs.ListJobs) -> jobs.JobsReply:
-        desk = self._find_desk(message["ledger"])
-        if desk is None:
-            return jobs.JobsReply(outcome=show_outcome(refuse_no_keeper()))
-        found = desk.submissions.list(
+        controller = self._find_desk(message["ledger"])
+        if controller is None:
+            return jobs.JobsReply(outcome=build_outcome_data(refuse_no_keeper()))
+        found = controller.submissions.list(
             message["team"], message["after"], message["limit"]
         )
-        return jobs.JobsReply(jobs=[show_job(view) for view in found])
+        return jobs.JobsReply(jobs=[build_job_data(view) for view in found])
 
     async def _take_claim(self, _: str, message: jobs.ClaimKey) -> jobs.KeyReply:
-        desk = self._find_desk(pick_ledger(message["team"], self._count))
-        if desk is None:
+        controller = self._find_desk(select_ledger(message["team"], self._count))
+        if controller is None:
             return jobs.KeyReply(
-                state="failed", outcome=show_outcome(refuse_no_keeper())
+                state="failed", outcome=build_outcome_data(refuse_no_keeper())
             )
         index = (message["team"], message["service"], message["key"])
         timeout = timedelta(seconds=message["timeout"])
-        found = await desk.keys.claim(index, message["digest"], timeout)
-        if isinstance(found, Claimed):
+        found = await controller.keys.claim(index, message["digest"], timeout)
+        if isinstance(found, ClaimedKey):
             return jobs.KeyReply(state="claimed")
-        if isinstance(found, Known):
-            return jobs.KeyReply(state="known", outcome=show_outcome(found.outcome))
-        return jobs.KeyReply(state="failed", outcome=show_outcome(found))
+        if isinstance(found, KnownKey):
+            return jobs.KeyReply(
+                state="known", outcome=build_outcome_data(found.outcome)
+            )
+        return jobs.KeyReply(state="failed", outcome=build_outcome_data(found))
 
     async def _take_settlement(self, _: str, message: jobs.SettleKey) -> jobs.KeyReply:
-        desk = self._find_desk(pick_ledger(message["team"], self._count))
-        if desk is None:
+        controller = self._find_desk(select_ledger(message["team"], self._count))
+        if controller is None:
             return jobs.KeyReply(
-                state="failed", outcome=show_outcome(refuse_no_keeper())
+                state="failed", outcome=build_outcome_data(refuse_no_keeper())
             )
         index = (message["team"], message["service"], message["key"])
-        outcome = read_outcome(message["outcome"])
-        is_durable = await desk.keys.settle(index, outcome)
+        outcome = parse_outcome(message["outcome"])
+        is_durable = await controller.keys.settle(index, outcome)
         return jobs.KeyReply(state="settled" if is_durable else "failed")
 
     async def _take_reports(
-        self, _: str, message: jobs.TaskReports
-    ) -> jobs.TasksNoted | None:
-        desk = self._find_desk(message["ledger"])
-        if desk is None:
+        self, _: str, message: jobs.TaskUpdates
+    ) -> jobs.TaskUpdatesReply | None:
+        controller = self._find_desk(message["ledger"])
+        if controller is None:
             return None
-        return await desk.followups.take_news(message["tasks"])
+        return await controller.tracker.take_news(message["tasks"])
 
 
 def refuse_no_keeper() -> Refused:
--- a/src/damaskdeck/coordination/jobs/keys.py
+++ b/src/damaskdeck/coordination/jobs/keys.py
@@ -2,13 +2,13 @@
 
 from datetime import timedelta
 
-from damaskdeck.coordination.jobs.kept import KeptLedger
-from damaskdeck.protocol.handlers import Claimed, Known
+from damaskdeck.coordination.jobs.ownedledger import OwnedLedger
+from damaskdeck.protocol.conversions import build_outcome_data, parse_outcome
+from damaskdeck.protocol.handlers import ClaimedKey, KnownKey
 from damaskdeck.protocol.outcomes import Outcome, Refused, Unknown
-from damaskdeck.protocol.replies import read_outcome, show_outcome
 from damaskdeck.state import records
+from damaskdeck.state.jobmodel import IdempotencyKey, KeyIndex
 from damaskdeck.state.ledger import Committed
-from damaskdeck.state.work import Key, KeyIndex
 
 IN_PROGRESS_RETRY = timedelta(seconds=1)
 
@@ -16,13 +16,13 @@
 class Keys:
     """Claims and settles the keys of one kept ledger."""
 
-    def __init__(self, kept: KeptLedger) -> None:
+    def __init__(self, kept: OwnedLedger) -> None:
         self._kept = kept
         self._claiming: set[KeyIndex] = set()
 
     async def claim(
         self, index: KeyIndex, digest: bytes, timeout: timedelta
-    ) -> Claimed | Known | Refused | Unknown:
+    ) -> ClaimedKey | KnownKey | Refused | Unknown:
         """Claim a key; only one caller is ever told that it may run."""
         key = self._kept.table.keys.get(index)
         if key is not None:
@@ -37,7 +37,7 @@
 
     async def _claim(
         self, index: KeyIndex, digest: bytes, timeout: timedelta
-    ) -> Claimed | Refused | Unknown:
+    ) -> ClaimedKey | Refused | Unknown:
         team, service, name = index
         record = records.KeyClaimed(
             team=team,
@@ -47,7 +47,7 @@
             deadline=self._kept.get_time() + timeout.total_seconds(),
         )
         outcome = await self._kept.commit((record, records.KeyClaimed))
-        return Claimed() if isinstance(outcome, Committed) else outcome
+        return ClaimedKey() if isinstance(outcome, Committed) else outcome
 
     async def settle(self, index: KeyIndex, outcome: Outcome) -> bool:
         """Remember an outcome; returns whether it is durable."""
@@ -61,17 +61,19 @@
             team=team,
             service=service,
             key=name,
-            outcome=show_outcome(outcome),
+            outcome=build_outcome_data(outcome),
             at=self._kept.get_time(),
         )
         done = await self._kept.commit((record, records.KeySettled))
         return isinstance(done, Committed)
 
-    def _tell(self, key: Key, digest: bytes) -> Known | Refused:
+    def _tell(self, key: IdempotencyKey, digest: bytes) -> KnownKey | Refused:
         if key.digest != digest:
             return Refused("key_reused", "the key was used with another request")
         if key.outcome is not None:
-            return Known(read_outcome(key.outcome))
+            return KnownKey(parse_outcome(key.outcome))
         if self._kept.get_time() >= key.deadline:
-            return Known(Unknown("answer_lost", "the first request's end is unknown"))
+            return KnownKey(
+                Unknown("answer_lost", "the first request's end is unknown")
+            )
         return Refused("in_progress", retry_after=IN_PROGRESS_RETRY)
--- a/src/damaskdeck/coordination/jobs/launches.py
+++ b/src/damaskdeck/coordination/jobs/launches.py
@@ -5,16 +5,16 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from damaskdeck.coordination.jobs.kept import KeptLedger
 from damaskdeck.coordination.jobs.news import is_idempotent
+from damaskdeck.coordination.jobs.ownedledger import OwnedLedger
 from damaskdeck.metrics import count_retry
 from damaskdeck.protocol import jobs
 from damaskdeck.protocol.members import Ownership
 from damaskdeck.protocol.messages import Answered, Peers, Unsent
 from damaskdeck.protocol.outcomes import Refused, Unknown
 from damaskdeck.state import records
+from damaskdeck.state.jobmodel import TaskState
 from damaskdeck.state.ledger import Committed
-from damaskdeck.state.work import TaskState
 
 CALL_TIMEOUT = timedelta(seconds=3)
 # Refusals of an owner that is to have the room; no other is asked for it then.
@@ -25,7 +25,7 @@
     """An owner of workers chosen for the next attempt of a task."""
 
     owner: str
-    request: jobs.Request
+    request: jobs.ReservationRequest
 
     @property
     def task(self) -> str:
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        kept: KeptLedger,
+        kept: OwnedLedger,
         ownership: Ownership,
         peers: Peers,
         doubt: Callable[[Iterable[str]], None],
@@ -106,7 +106,7 @@
         answer = await self._peers.call(owner, message, jobs.ReserveTasks, CALL_TIMEOUT)
         if not isinstance(answer, Answered) or answer.message is None:
             return {}, {pick.task: "owner_unreachable" for pick in picks}
-        reply: jobs.TasksReserved = answer.message
+        reply: jobs.ReserveTasksReply = answer.message
         granted = {item["task"]: item for item in reply["granted"]}
         return granted, {item["task"]: item["code"] for item in reply["refused"]}
 
@@ -149,7 +149,7 @@
             changes.append((mark, records.StartMarked))
         return await self._kept.commit(*changes)
 
-    def _is_waiting(self, item: jobs.Request | jobs.TaskAttempt) -> bool:
+    def _is_waiting(self, item: jobs.ReservationRequest | jobs.TaskAttempt) -> bool:
         """Tell whether a task still waits for the start of this attempt."""
         task = self._kept.table.tasks.get(item["task"])
         return (
@@ -182,13 +182,13 @@
             return
         await self._take_back(refused)
 
-    def _make_start(self, item: jobs.TaskAttempt) -> jobs.Start | None:
+    def _make_start(self, item: jobs.TaskAttempt) -> jobs.TaskToStart | None:
         table = self._kept.table
         task = table.find_attempt(item["task"], item["attempt"])
         if task is None:
             return None
         job = table.jobs[task.job]
-        return jobs.Start(
+        return jobs.TaskToStart(
             **item,
             payload=job.payload,
             resume=task.checkpoint,
@@ -200,7 +200,7 @@
         if not refused:
             return
         returns = [
-            records.Return(
+            records.RequeuedAttempt(
                 task=item["task"],
                 attempt=item["attempt"],
                 reason=f"it was not started there ({item['code']})",
--- a/src/damaskdeck/coordination/jobs/keeper.py
+++ b/src/damaskdeck/coordination/jobs/ledgerowner.py
@@ -7,32 +7,32 @@
 
 from damaskdeck import defaults
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.jobs.desks import Desk
+from damaskdeck.coordination.jobs.controllers import LedgerController
 from damaskdeck.coordination.jobs.inbox import RETRY_AFTER, Inbox, refuse_no_keeper
-from damaskdeck.coordination.jobs.kept import KeptLedger
+from damaskdeck.coordination.jobs.ownedledger import OwnedLedger
 from damaskdeck.coordination.workers.supervisor import Supervisor
 from damaskdeck.metrics import count_refusal, count_retry
 from damaskdeck.protocol import jobs
+from damaskdeck.protocol.conversions import (
+    build_outcome_data,
+    parse_job,
+    parse_job_reply,
+    parse_outcome,
+    parse_refusal,
+)
 from damaskdeck.protocol.handlers import (
-    Claimed,
+    ClaimedKey,
     ConfigurationReader,
     JobView,
-    Known,
+    KnownKey,
     Submission,
 )
 from damaskdeck.protocol.members import Members, Ownership
 from damaskdeck.protocol.messages import Answered, Peers, Unsent
 from damaskdeck.protocol.outcomes import Outcome, Refused, Unknown
 from damaskdeck.protocol.ports import Instance, InstanceRole, Store
-from damaskdeck.protocol.replies import (
-    read_job,
-    read_outcome,
-    read_refusal,
-    read_reply,
-    show_outcome,
-)
 from damaskdeck.protocol.resources import Kind, Resource
-from damaskdeck.state.names import name_ledger, pick_ledger, read_ledger
+from damaskdeck.state.names import format_ledger_name, parse_ledger_name, select_ledger
 
 CALL_TIMEOUT = timedelta(seconds=6)
 RETRY_INTERVAL = timedelta(milliseconds=200)
@@ -51,10 +51,10 @@
         """Call ``handler(changes)`` when the list changes."""
 
 
-class Keeper:
+class LedgerOwner:
     """Keeps ledgers, and forwards calls for others to their keepers.
 
-    Implements ``JobHandler`` and ``KeyMemory`` on any daemon, with at most one
+    Implements ``JobHandler`` and ``IdempotencyKeys`` on any daemon, with at most one
     hop to the ledger's keeper.
 
     :param ledger_count: how many ledgers the deployment has; the same on all.
@@ -71,7 +71,7 @@
         clock: Clock,
         ledger_count: int = defaults.LEDGER_COUNT,
     ) -> None:
-        self.desks: dict[str, Desk] = {}
+        self.controllers: dict[str, LedgerController] = {}
         self._members = members
         self._ownership = ownership
         self._peers = peers
@@ -93,19 +93,19 @@
 
     # Gains and losses ------------------------------------------------------------
 
-    async def _gain(self, thing: str, epoch: int) -> None:
-        name = thing.partition("/")[2]
+    async def _gain(self, shard: str, epoch: int) -> None:
+        name = shard.partition("/")[2]
         await self._close(name)
-        kept = KeptLedger(
+        ledger = OwnedLedger(
             name,
             epoch,
             self._store,
             self._clock,
-            lambda: self._ownership.get_epoch(thing) == epoch,
+            lambda: self._ownership.get_epoch(shard) == epoch,
             self._count,
         )
-        desk = Desk(
-            kept,
+        controller = LedgerController(
+            ledger,
             self._members,
             self._ownership,
             self._peers,
@@ -114,45 +114,49 @@
             self._supervisor.watch,
             self._count,
         )
-        self.desks[name] = desk
-        await desk.open(self._fleet.list(InstanceRole.WORKER))
+        self.controllers[name] = controller
+        await controller.open(self._fleet.list(InstanceRole.WORKER))
 
-    async def _lose(self, thing: str, epoch: int) -> None:
-        name = thing.partition("/")[2]
-        desk = self.desks.get(name)
-        if desk is not None and desk.kept.epoch == epoch:
+    async def _lose(self, shard: str, epoch: int) -> None:
+        name = shard.partition("/")[2]
+        controller = self.controllers.get(name)
+        if controller is not None and controller.ledger.epoch == epoch:
             await self._close(name)
 
     async def _close(self, name: str) -> None:
-        desk = self.desks.pop(name, None)
-        if desk is not None:
-            await desk.close()
+        controller = self.controllers.pop(name, None)
+        if controller is not None:
+            await controller.close()
 
     async def close(self) -> None:
         """Let the commits in progress of all ledgers end."""
-        await asyncio.gather(*(self._close(name) for name in list(self.desks)))
+        await asyncio.gather(*(self._close(name) for name in list(self.controllers)))
 
     def _take_fleet(self, changes: object) -> None:
         workers = self._fleet.list(InstanceRole.WORKER)
-        for desk in self.desks.values():
-            desk.set_workers(workers)
+        for controller in self.controllers.values():
+            controller.set_workers(workers)
 
     def _take_resource(self, kind: Kind, name: str, resource: Resource | None) -> None:
-        for desk in self.desks.values():
+        for controller in self.controllers.values():
             if kind is Kind.TEAM:
-                desk.set_team(name, resource)
+                controller.set_team(name, resource)
             elif kind is Kind.WORKLOAD:
-                desk.services.wake()
-
-    def _find_desk(self, ledger: str | None) -> Desk | None:
-        desk = self.desks.get(ledger or "")
-        return desk if desk is not None and desk.kept.may_act() else None
+                controller.services.wake()
+
+    def _find_desk(self, ledger: str | None) -> LedgerController | None:
+        controller = self.controllers.get(ledger or "")
+        return (
+            controller
+            if controller is not None and controller.ledger.may_act()
+            else None
+        )
 
     # Calls of this daemon's callers ----------------------------------------------
 
     async def submit_job(self, submission: Submission) -> JobView | Refused | Unknown:
         """Take a job; it is durable once a view is returned."""
-        ledger = pick_ledger(submission.team, self._count)
+        ledger = select_ledger(submission.team, self._count)
         message = jobs.SubmitJob(
             workload=submission.workload,
             team=submission.team,
@@ -175,11 +179,11 @@
         """List jobs in order of their names, a page at a time."""
         if team:
             return await self._list_one(
-                pick_ledger(team, self._count), team, after, limit
+                select_ledger(team, self._count), team, after, limit
             )
         pages = await asyncio.gather(
             *(
-                self._list_one(name_ledger(number), team, after, limit)
+                self._list_one(format_ledger_name(number), team, after, limit)
                 for number in range(self._count)
             )
         )
@@ -191,7 +195,7 @@
 
     async def claim_key(
         self, team: str, service: str, key: str, digest: bytes, timeout: timedelta
-    ) -> Claimed | Known | Refused | Unknown:
+    ) -> ClaimedKey | KnownKey | Refused | Unknown:
         """Claim a key before its request is sent anywhere."""
         message = jobs.ClaimKey(
             team=team,
@@ -200,24 +204,24 @@
             digest=digest,
             timeout=timeout.total_seconds(),
         )
-        ledger = pick_ledger(team, self._count)
+        ledger = select_ledger(team, self._count)
         reply = await self._ask(ledger, message, jobs.ClaimKey)
         if isinstance(reply, Refused | Unknown):
             return reply
         if reply["state"] == "claimed":
-            return Claimed()
+            return ClaimedKey()
         if reply["state"] == "known" and "outcome" in reply:
-            return Known(read_outcome(reply["outcome"]))
-        return read_refusal(reply)
+            return KnownKey(parse_outcome(reply["outcome"]))
+        return parse_refusal(reply)
 
     async def settle_key(
         self, team: str, service: str, key: str, outcome: Outcome
     ) -> bool:
         """Remember the outcome; returns whether it is durable."""
         message = jobs.SettleKey(
-            team=team, service=service, key=key, outcome=show_outcome(outcome)
+            team=team, service=service, key=key, outcome=build_outcome_data(outcome)
         )
-        ledger = pick_ledger(team, self._count)
+        ledger = select_ledger(team, self._count)
         reply = await self._ask(ledger, message, jobs.SettleKey)
         return not isinstance(reply, Refused | Unknown) and reply["state"] == "settled"
 
@@ -229,13 +233,13 @@
         if isinstance(reply, Refused | Unknown):
             return reply
         if "jobs" not in reply:
-            return read_refusal(reply)
-        return tuple(read_job(job) for job in reply["jobs"])
+            return parse_refusal(reply)
+        return tuple(parse_job(job) for job in reply["jobs"])
 
     async def _ask_named(
         self, job: str, message: Any, kind: type
     ) -> JobView | Refused | Unknown:
-        ledger = read_ledger(job)
+        ledger = parse_ledger_name(job)
         if ledger is None or int(ledger) >= self._count:
             return Refused("no_such_job")
         return await self._ask_job(ledger, message, kind)
@@ -244,7 +248,7 @@
         self, ledger: str, message: Any, kind: type
     ) -> JobView | Refused | Unknown:
         reply = await self._ask(ledger, message, kind)
-        return reply if isinstance(reply, Refused | Unknown) else read_reply(reply)
+        return reply if isinstance(reply, Refused | Unknown) else parse_job_reply(reply)
 
     async def _ask(self, ledger: str, message: Any, kind: type) -> Any:
         """Ask a ledger's keeper; asks again only if that changes nothing more.
@@ -294,13 +298,13 @@
     if isinstance(reply, Refused):
         return reply
     if isinstance(reply, dict) and "outcome" in reply and "state" not in reply:
-        outcome = read_outcome(reply["outcome"])
+        outcome = parse_outcome(reply["outcome"])
         return outcome if isinstance(outcome, Refused) else None
     if (
         isinstance(reply, dict)
         and reply.get("state") == "failed"
         and "outcome" in reply
     ):
-        outcome = read_outcome(reply["outcome"])
+        outcome = parse_outcome(reply["outcome"])
         return outcome if isinstance(outcome, Refused) else None
     return None
--- a/src/damaskdeck/coordination/jobs/needs.py
+++ b/src/damaskdeck/coordination/jobs/needs.py
@@ -1,11 +1,16 @@
 """What tasks of a workload need, as queues, owners and messages ask for it."""
 
 from damaskdeck.coordination.jobs.news import is_idempotent
-from damaskdeck.protocol.jobs import GangRequest, Request, SizeData, TaskAttempt
-from damaskdeck.protocol.resources import Urgency, WorkloadSpec, read_size
+from damaskdeck.protocol.jobs import (
+    GangRequest,
+    ReservationRequest,
+    SizeData,
+    TaskAttempt,
+)
+from damaskdeck.protocol.resources import Urgency, WorkloadSpec, parse_size
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.state.accounts import TaskNeed
-from damaskdeck.state.work import Job, Task, TaskState
+from damaskdeck.state.jobmodel import Job, Task, TaskState
+from damaskdeck.state.workeraccounts import TaskNeed
 
 
 def get_urgency(spec: WorkloadSpec) -> Urgency:
@@ -15,7 +20,7 @@
 
 def get_size(spec: WorkloadSpec) -> Size:
     """Return the declared size of one task."""
-    return read_size(spec["size"])
+    return parse_size(spec["size"])
 
 
 def make_need(job: Job, task: Task) -> TaskNeed:
@@ -33,10 +38,10 @@
     )
 
 
-def make_request(job: Job, task: Task, is_pressed: bool) -> Request:
+def make_request(job: Job, task: Task, is_pressed: bool) -> ReservationRequest:
     """Return the message that asks for room for a task's next attempt."""
     spec = job.spec
-    request = Request(
+    request = ReservationRequest(
         task=task.name,
         attempt=task.attempt + 1,
         size=SizeData(**get_size(spec)._asdict()),
--- a/src/damaskdeck/coordination/jobs/news.py
+++ b/src/damaskdeck/coordination/jobs/news.py
@@ -5,11 +5,11 @@
 
 from damaskdeck import defaults
 from damaskdeck.errors import InvariantError
-from damaskdeck.protocol.jobs import TaskAttempt, TaskNews
+from damaskdeck.protocol.jobs import TaskAttempt, TaskUpdate
 from damaskdeck.protocol.resources import WorkloadSpec
 from damaskdeck.state import records
-from damaskdeck.state.jobs import JobTable
-from damaskdeck.state.work import Job, Task, TaskState
+from damaskdeck.state.jobmodel import Job, Task, TaskState
+from damaskdeck.state.jobtable import JobTable
 
 DEFAULT_ATTEMPTS = 3
 # A task under which so many workers have restarted would take more of them down.
@@ -28,8 +28,8 @@
     """
 
     started: list[records.Attempt]
-    returns: list[records.Return]
-    ends: list[records.End]
+    returns: list[records.RequeuedAttempt]
+    ends: list[records.TaskEnd]
     noted: list[TaskAttempt]
     stop: list[TaskAttempt]
     sizes: ResultSizes
@@ -48,7 +48,7 @@
         return found
 
 
-Judge = Callable[[Verdict, Job, Task, TaskNews], None]
+Judge = Callable[[Verdict, Job, Task, TaskUpdate], None]
 
 _judges: dict[str, Judge] = {}
 
@@ -63,7 +63,7 @@
     return register
 
 
-def judge_news(table: JobTable, news: list[TaskNews], sizes: ResultSizes) -> Verdict:
+def judge_news(table: JobTable, news: list[TaskUpdate], sizes: ResultSizes) -> Verdict:
     """Return what follows from news; those of other attempts change nothing.
 
     :param sizes: of results on their way to the ledger; those of ``news`` are
@@ -100,14 +100,14 @@
 
 
 @judges("running")
-def _judge_running(verdict: Verdict, job: Job, task: Task, news: TaskNews) -> None:
+def _judge_running(verdict: Verdict, job: Job, task: Task, news: TaskUpdate) -> None:
     if task.state is TaskState.PLACED:
         attempt = records.Attempt(task=task.name, attempt=task.attempt)
         verdict.started.append(attempt)
 
 
 @judges("succeeded")
-def _judge_success(verdict: Verdict, job: Job, task: Task, news: TaskNews) -> None:
+def _judge_success(verdict: Verdict, job: Job, task: Task, news: TaskUpdate) -> None:
     result = news.get("result", b"")
     if job.spec["type"] == "service" and not job.stopping:
         _return(verdict, job, task, news, "its task ended", failed=True)
@@ -124,7 +124,7 @@
 
 
 @judges("failed")
-def _judge_failure(verdict: Verdict, job: Job, task: Task, news: TaskNews) -> None:
+def _judge_failure(verdict: Verdict, job: Job, task: Task, news: TaskUpdate) -> None:
     code = news.get("code") or "task_failed"
     if _may_retry(job, task):
         _return(verdict, job, task, news, "the task failed", failed=True)
@@ -134,7 +134,7 @@
 
 @judges("stopped")
 @judges("checkpointed")
-def _judge_stop(verdict: Verdict, job: Job, task: Task, news: TaskNews) -> None:
+def _judge_stop(verdict: Verdict, job: Job, task: Task, news: TaskUpdate) -> None:
     if job.stopping:
         _end(verdict, task, TaskState.STOPPED)
     elif is_idempotent(job.spec) or news["state"] == "checkpointed":
@@ -145,7 +145,7 @@
 
 
 @judges("lapsed")
-def _judge_lapse(verdict: Verdict, job: Job, task: Task, news: TaskNews) -> None:
+def _judge_lapse(verdict: Verdict, job: Job, task: Task, news: TaskUpdate) -> None:
     """The worker says that it stopped the task when its lease lapsed."""
     if job.stopping:
         _end(verdict, task, TaskState.STOPPED)
@@ -156,7 +156,7 @@
 
 
 @judges("lost")
-def _judge_loss(verdict: Verdict, job: Job, task: Task, news: TaskNews) -> None:
+def _judge_loss(verdict: Verdict, job: Job, task: Task, news: TaskUpdate) -> None:
     """It isn't running any more, and how it ended can't be learned."""
     code = news.get("code") or "worker_lost"
     has_crashed = code == _RESTARTED
@@ -171,7 +171,7 @@
 
 
 @judges("unstarted")
-def _judge_refusal(verdict: Verdict, job: Job, task: Task, news: TaskNews) -> None:
+def _judge_refusal(verdict: Verdict, job: Job, task: Task, news: TaskUpdate) -> None:
     """It is proved that the attempt never started."""
     code = news.get("code") or "not started"
     _return(verdict, job, task, news, f"it was not started there ({code})", ran=False)
@@ -200,7 +200,7 @@
     code: str = "",
     result: bytes = b"",
 ) -> None:
-    end = records.End(task=task.name, attempt=task.attempt, state=state.value)
+    end = records.TaskEnd(task=task.name, attempt=task.attempt, state=state.value)
     if code:
         end["code"] = code
     if result:
@@ -212,7 +212,7 @@
     verdict: Verdict,
     job: Job,
     task: Task,
-    news: TaskNews,
+    news: TaskUpdate,
     reason: str,
     ran: bool = True,
     failed: bool = False,
@@ -221,7 +221,7 @@
     checkpoint = news.get("checkpoint", "")
     if ran and task.marked and not (is_idempotent(job.spec) or checkpoint):
         raise InvariantError(f"{task.name} was about to start a second time")
-    back = records.Return(
+    back = records.RequeuedAttempt(
         task=task.name, attempt=task.attempt, reason=reason, ran=ran, failed=failed
     )
     if checkpoint:
--- a/src/damaskdeck/coordination/jobs/kept.py
+++ b/src/damaskdeck/coordination/jobs/ownedledger.py
@@ -10,10 +10,10 @@
 from damaskdeck.metrics import count_refusal, count_retry
 from damaskdeck.protocol.outcomes import Refused, Unknown
 from damaskdeck.protocol.ports import Lost, Rejected, Store
-from damaskdeck.state.changes import apply_record
-from damaskdeck.state.jobs import JobTable
+from damaskdeck.state.jobtable import JobTable
 from damaskdeck.state.ledger import Committed, Deposed, Ledger, Opened
 from damaskdeck.state.records import encode_record
+from damaskdeck.state.replay import apply_record
 
 RETRY_AFTER = timedelta(seconds=1)
 REOPEN_INTERVAL = timedelta(milliseconds=250)
@@ -25,7 +25,7 @@
 Record = tuple[object, type]
 
 
-class KeptLedger:
+class OwnedLedger:
     """One ledger, from gaining it to losing it.
 
     Promise: "Every caller learns truthfully": the table changes only by what
@@ -131,7 +131,7 @@
     def _apply(self, records: tuple[bytes, ...]) -> None:
         for record in records:
             apply_record(self.table, record)
-        touched = self.table.take_touched()
+        touched = self.table.take_changed_tasks()
         for handler in self._handlers:
             handler(touched)
 
--- a/src/damaskdeck/coordination/jobs/reasons.py
+++ b/src/damaskdeck/coordination/jobs/reasons.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from damaskdeck.state.work import Job, Task, TaskState
+from damaskdeck.state.jobmodel import Job, Task, TaskState
 
 _NAMED_WORKERS = 3
 
--- a/src/damaskdeck/coordination/jobs/retention.py
+++ b/src/damaskdeck/coordination/jobs/retention.py
@@ -5,7 +5,7 @@
 
 from damaskdeck import defaults
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.jobs.kept import KeptLedger
+from damaskdeck.coordination.jobs.ownedledger import OwnedLedger
 from damaskdeck.protocol.handlers import FINAL_JOB_STATES
 from damaskdeck.state import records
 
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        kept: KeptLedger,
+        kept: OwnedLedger,
         clock: Clock,
         retention: timedelta = defaults.RESULT_RETENTION,
     ) -> None:
@@ -48,9 +48,9 @@
             for index, key in table.keys.items()
             if key.deadline <= limit
         )
-        record = records.Forgotten(
+        record = records.RemovedJobs(
             jobs=list(islice(jobs, BATCH_LIMIT)),
             keys=list(islice(keys, BATCH_LIMIT)),
         )
         if record["jobs"] or record["keys"]:
-            await self._kept.commit((record, records.Forgotten))
+            await self._kept.commit((record, records.RemovedJobs))
--- a/src/damaskdeck/coordination/jobs/services.py
+++ b/src/damaskdeck/coordination/jobs/services.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from damaskdeck.clock import Clock, wait_for_event
-from damaskdeck.coordination.jobs.kept import KeptLedger
+from damaskdeck.coordination.jobs.ownedledger import OwnedLedger
 from damaskdeck.protocol.handlers import (
     FINAL_JOB_STATES,
     ConfigurationReader,
@@ -15,8 +15,8 @@
 )
 from damaskdeck.protocol.resources import Kind, Resource, WorkloadSpec
 from damaskdeck.state import records
-from damaskdeck.state.names import digest, name_job, pick_ledger
-from damaskdeck.state.work import Job
+from damaskdeck.state.jobmodel import Job
+from damaskdeck.state.names import build_job_name, compute_digest, select_ledger
 
 SYNC_INTERVAL = timedelta(seconds=5)
 # How long a former version runs on while the new one finds no room beside it.
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        kept: KeptLedger,
+        kept: OwnedLedger,
         configuration: ConfigurationReader,
         clock: Clock,
         ledger_count: int,
@@ -77,10 +77,10 @@
         ledger = self._kept.name
         if spec["type"] != "service":
             return None
-        if pick_ledger(spec["team"], self._count) != ledger:
+        if select_ledger(spec["team"], self._count) != ledger:
             return None
         workload = resource["metadata"]["name"]
-        version = digest(_encoder.encode(spec))
+        version = compute_digest(_encoder.encode(spec))
         name, key = self._pick_name(workload, spec["team"], version.hex())
         return records.Submitted(
             job=name,
@@ -101,9 +101,9 @@
         table = self._kept.table
         for number in itertools.count():
             key = KEY_PREFIX + version + (f"/{number}" if number else "")
-            name = name_job(workload, team, self._kept.name, key)
+            name = build_job_name(workload, team, self._kept.name, key)
             job = table.jobs.get(name)
-            is_past = job.cancelled if job else name in table.forgotten
+            is_past = job.cancelled if job else name in table.removed_jobs
             if not is_past:
                 break
         return name, key
--- a/src/damaskdeck/coordination/jobs/shapes.py
+++ b/src/damaskdeck/coordination/jobs/shapes.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from damaskdeck.protocol.ports import Instance
-from damaskdeck.protocol.resources import WorkloadSpec, read_size
+from damaskdeck.protocol.resources import WorkloadSpec, parse_size
 from damaskdeck.protocol.sizes import ZERO_SIZE, Size, add_sizes, fits
 
 
@@ -32,7 +32,7 @@
         counts = {k: n for k, n in self._counts.items() if not zones or k[0] in zones}
         if not counts:
             return "workers in its availability zones" if self._counts else None
-        need = read_size(spec["size"])
+        need = parse_size(spec["size"])
         sizes = {size for _, size in counts}
         if not any(fits(need, size) for size in sizes):
             return name_lack(need, sizes)
--- a/src/damaskdeck/coordination/jobs/submissions.py
+++ b/src/damaskdeck/coordination/jobs/submissions.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from damaskdeck import defaults
-from damaskdeck.coordination.jobs.kept import KeptLedger
+from damaskdeck.coordination.jobs.ownedledger import OwnedLedger
 from damaskdeck.coordination.jobs.reasons import explain_tasks
 from damaskdeck.metrics import count_refusal
 from damaskdeck.protocol.handlers import (
@@ -16,7 +16,7 @@
 from damaskdeck.protocol.outcomes import Refused, Unknown
 from damaskdeck.protocol.resources import Kind, WorkloadSpec
 from damaskdeck.state import names, records
-from damaskdeck.state.work import Job
+from damaskdeck.state.jobmodel import Job
 
 FindImpossible = Callable[[WorkloadSpec], str | None]
 Explain = Callable[[Job], tuple[str, ...]]
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        kept: KeptLedger,
+        kept: OwnedLedger,
         configuration: ConfigurationReader,
         find_impossible: FindImpossible,
         explain: Explain,
@@ -45,10 +45,10 @@
 
     async def submit(self, submission: Submission) -> JobView | Refused | Unknown:
         """Take a job; it is durable once a view is returned."""
-        name = names.name_job(
+        name = names.build_job_name(
             submission.workload, submission.team, self._kept.name, submission.key
         )
-        digest = names.digest(submission.payload)
+        digest = names.compute_digest(submission.payload)
         known = self._find_known(name, digest)
         if known is not None:
             return known
@@ -79,7 +79,7 @@
             if job.state in FINAL_JOB_STATES:
                 return view
             return view._replace(reasons=(*view.reasons, *self._explain(job)))
-        if name in self._kept.table.forgotten:
+        if name in self._kept.table.removed_jobs:
             return Refused("forgotten", "its result was kept for as long as stated")
         return Refused("no_such_job")
 
--- a/src/damaskdeck/coordination/jobs/followups.py
+++ b/src/damaskdeck/coordination/jobs/tracker.py
@@ -6,16 +6,16 @@
 from datetime import timedelta
 
 from damaskdeck.clock import Clock, wait_for_event
-from damaskdeck.coordination.jobs.kept import KeptLedger
 from damaskdeck.coordination.jobs.needs import name_attempt
 from damaskdeck.coordination.jobs.news import ResultSizes, judge_news
+from damaskdeck.coordination.jobs.ownedledger import OwnedLedger
 from damaskdeck.coordination.workers.leases import compute_takeover_bound
 from damaskdeck.protocol import jobs
 from damaskdeck.protocol.members import Ownership
 from damaskdeck.protocol.messages import Answered, Peers
+from damaskdeck.state.jobmodel import Job, Task, TaskState
 from damaskdeck.state.ledger import Committed
-from damaskdeck.state.names import read_job
-from damaskdeck.state.work import Job, Task, TaskState
+from damaskdeck.state.names import parse_job_name
 
 CHECK_INTERVAL = timedelta(seconds=1)
 BATCH_LIMIT = 500
@@ -26,7 +26,7 @@
 ON_WORKER = (TaskState.PLACED, TaskState.RUNNING)
 
 
-class Followups:
+class TaskTracker:
     """Follows the tasks of one kept ledger that are on workers.
 
     A task in doubt may or may not have started; its worker's owner is asked
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        kept: KeptLedger,
+        kept: OwnedLedger,
         ownership: Ownership,
         peers: Peers,
         clock: Clock,
@@ -120,8 +120,8 @@
         await asyncio.gather(*(self._check(o, g) for o, g in groups.items()))
 
     async def take_news(
-        self, news: list[jobs.TaskNews], is_answer: bool = False
-    ) -> jobs.TasksNoted | None:
+        self, news: list[jobs.TaskUpdate], is_answer: bool = False
+    ) -> jobs.TaskUpdatesReply | None:
         """Note news of tasks; ``None`` while they can't be made durable.
 
         :param is_answer: whether the owner was asked for them just now; only
@@ -140,9 +140,9 @@
         for item in news:
             if is_answer or item["state"] != "running":
                 self._settle_doubt(item)
-        return jobs.TasksNoted(noted=verdict.noted, stop=verdict.stop)
+        return jobs.TaskUpdatesReply(noted=verdict.noted, stop=verdict.stop)
 
-    def _settle_doubt(self, news: jobs.TaskNews) -> None:
+    def _settle_doubt(self, news: jobs.TaskUpdate) -> None:
         """End the doubt about an attempt, unless the news leave it in doubt."""
         task = self._kept.table.tasks.get(news["task"])
         is_current = task is None or task.attempt == news["attempt"]
@@ -151,10 +151,10 @@
 
     def _drop_size(self, task: str) -> None:
         """Forget a result that is durable by now, or didn't become so."""
-        sizes = self._sizes.get(read_job(task), {})
+        sizes = self._sizes.get(parse_job_name(task), {})
         sizes.pop(task, None)
         if not sizes:
-            self._sizes.pop(read_job(task), None)
+            self._sizes.pop(parse_job_name(task), None)
 
     def _set_place(self, name: str, worker: str) -> None:
         former = self._places.get(name, "")
@@ -203,8 +203,8 @@
         self._epochs.pop(worker, None)
         self._gone.pop(worker, None)
 
-    def _lose(self, task: Task) -> jobs.TaskNews:
-        return jobs.TaskNews(
+    def _lose(self, task: Task) -> jobs.TaskUpdate:
+        return jobs.TaskUpdate(
             task=task.name,
             attempt=task.attempt,
             worker=task.worker,
--- a/src/damaskdeck/coordination/members/digests.py
+++ b/src/damaskdeck/coordination/members/digests.py
@@ -15,8 +15,8 @@
 def write_ages(relayed: Sequence[Contact], now: timedelta) -> dict[str, int]:
     """Return how long ago members were heard, by name, in milliseconds."""
     return {
-        contact.member.name: to_milliseconds(now - contact.first_hand)
-        for contact in relayed[:AGE_LIMIT]
+        peer_state.member.name: to_milliseconds(now - peer_state.first_hand)
+        for peer_state in relayed[:AGE_LIMIT]
     }
 
 
@@ -31,8 +31,8 @@
         start = self._start % (len(relayed) or 1)
         room = DIGEST_LIMIT
         digests: list[Digest] = []
-        for contact in (*relayed[start:], *relayed[:start]):
-            digest, size = _write_digest(contact, now, room)
+        for peer_state in (*relayed[start:], *relayed[:start]):
+            digest, size = _write_digest(peer_state, now, room)
             room -= size
             if room < 0:
                 break
@@ -41,14 +41,14 @@
         return digests
 
 
-def _write_digest(contact: Contact, now: timedelta, room: int) -> tuple[Digest, int]:
-    fields = to_fields(contact.member)
-    size = _FIXED_BYTES + sum(len(value) for value in contact.member)
+def _write_digest(peer_state: Contact, now: timedelta, room: int) -> tuple[Digest, int]:
+    fields = to_fields(peer_state.member)
+    size = _FIXED_BYTES + sum(len(value) for value in peer_state.member)
     reports = {}
-    for topic, report in contact.reports.items():
+    for topic, report in peer_state.reports.items():
         cost = len(topic) + len(report.value) + _REPORT_BYTES
         if size + cost <= room:
             reports[topic] = report.value
             size += cost
-    age = to_milliseconds(now - contact.first_hand)
+    age = to_milliseconds(now - peer_state.first_hand)
     return {"member": fields, "age": age, "reports": reports}, size
--- a/src/damaskdeck/coordination/members/membership.py
+++ b/src/damaskdeck/coordination/members/membership.py
@@ -13,7 +13,7 @@
 from damaskdeck.coordination.members.digests import Relay, write_ages
 from damaskdeck.coordination.members.registration import Registered, Registry
 from damaskdeck.coordination.members.rendezvous import choose_links
-from damaskdeck.coordination.members.tenures import NEVER, Tenure
+from damaskdeck.coordination.members.tenures import NEVER, OwnerLease
 from damaskdeck.defaults import (
     CLOCK_DRIFT,
     HEARTBEAT_INTERVAL,
@@ -36,7 +36,7 @@
 
 SEED_PREFIX = "seed/"
 REPORT_LIMIT = 4096
-FAR_ROUNDS = 2
+CROSS_ZONE_ROUNDS = 2
 DIGEST_ROUNDS = 4
 FULL_ROUNDS = 10
 SENT_LIMIT = 64
@@ -81,7 +81,7 @@
         self._zone_links = zone_links
         self._newcomer_wait = newcomer_wait
         self._has_left = False
-        self._contacts: dict[str, Contact] = {}
+        self._peer_states: dict[str, Contact] = {}
         self._targets: set[str] | None = None
         self._number = 0
         self._sent: dict[int, timedelta] = {}
@@ -90,7 +90,7 @@
         self._own = Contact(member, heard=clock.monotonic())
         self._promises: dict[str, timedelta] = {}
         self._familiar: dict[str, str] = {}
-        peers.register(Heartbeat, self._take_heartbeat)
+        peers.register(Heartbeat, self._handle_heartbeat)
         peers.register(Goodbye, self._take_goodbye)
 
     # Members ------------------------------------------------------------------
@@ -110,16 +110,16 @@
         """Tell whether heartbeats of ``name`` still come, and ours reach it."""
         if name == self._member.name:
             return True
-        contact = self._contacts.get(name)
-        if contact is None:
+        peer_state = self._peer_states.get(name)
+        if peer_state is None:
             return False
         now = self._clock.monotonic()
-        limit = SILENCE_LIMIT if self._is_near(contact) else FAR_SILENCE
-        if now - contact.heard >= limit:
+        limit = SILENCE_LIMIT if self._is_near(peer_state) else FAR_SILENCE
+        if now - peer_state.heard >= limit:
             return False
-        if now - contact.direct >= limit or name not in self._list_targets():
+        if now - peer_state.direct >= limit or name not in self._list_targets():
             return True
-        return now - contact.echoed < 2 * SILENCE_LIMIT
+        return now - peer_state.echoed < 2 * SILENCE_LIMIT
 
     def publish(self, topic: str, value: bytes) -> None:
         """Attach a report to this daemon's next heartbeats, at most 4 KiB."""
@@ -148,8 +148,8 @@
         """Return the address of a member's streams."""
         if name.startswith(SEED_PREFIX):
             return name.removeprefix(SEED_PREFIX)
-        contact = self._contacts.get(name)
-        return contact.member.peer_address if contact else None
+        peer_state = self._peer_states.get(name)
+        return peer_state.member.peer_address if peer_state else None
 
     def get_registered(self, name: str) -> Registered | None:
         """Return a member as the store showed it last."""
@@ -174,9 +174,9 @@
         return self._registry.revision
 
     @property
-    def tenure(self) -> Tenure | None:
+    def owner_lease(self) -> OwnerLease | None:
         """The time in which this daemon may decide; ``None`` before it registers."""
-        return self._registry.tenure
+        return self._registry.owner_lease
 
     def may_take_from(self, name: str) -> bool:
         """Tell whether things of a member of this zone may be taken over.
@@ -186,14 +186,14 @@
         doesn't go on without this daemon's promise.
         """
         now = self._clock.monotonic()
-        if self.is_registered(name) or self.tenure is None:
+        if self.is_registered(name) or self.owner_lease is None:
             return False
         if now < self._promises.get(name, NEVER):
             return False
-        contact = self._contacts.get(name)
-        if contact is not None and now - contact.heard < SILENCE_LIMIT:
+        peer_state = self._peer_states.get(name)
+        if peer_state is not None and now - peer_state.heard < SILENCE_LIMIT:
             return False
-        if self._familiar.get(name) == self.tenure.session:
+        if self._familiar.get(name) == self.owner_lease.session:
             return True
         return now - self._registry.since >= self._newcomer_wait
 
@@ -202,8 +202,10 @@
         if not await self._registry.refresh():
             return False
         for found in self._registry.registered.values():
-            contact = self._contacts.get(found.member.name) or self._meet(found.member)
-            contact.seen_session = found.session
+            peer_state = self._peer_states.get(found.member.name) or self._meet(
+                found.member
+            )
+            peer_state.seen_session = found.session
         self._forget_contacts()
         return True
 
@@ -223,7 +225,7 @@
         for name in self._list_targets() if session else ():
             self._peers.send(name, {"session": session}, Goodbye)
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send a heartbeat to each peer that gets them from this daemon."""
         now = self._clock.monotonic()
         self._check_pause(now)
@@ -232,16 +234,18 @@
         self._sent.pop(self._number - SENT_LIMIT, None)
         self._own.heard = now
         for name in self._list_targets():
-            contact = self._contacts[name]
-            if self._is_near(contact) or self._number % FAR_ROUNDS == 0:
-                self._peers.send(name, self._write_heartbeat(contact, now), Heartbeat)
+            peer_state = self._peer_states[name]
+            if self._is_near(peer_state) or self._number % CROSS_ZONE_ROUNDS == 0:
+                self._peers.send(
+                    name, self._write_heartbeat(peer_state, now), Heartbeat
+                )
         if self._number % DIGEST_ROUNDS == 1:
             self._greet_seeds(now)
         self._prolong(now)
 
     async def _keep_beating(self) -> None:
         while not self._has_left:
-            self.beat()
+            self.send_heartbeats()
             await self._clock.sleep(self._interval)
 
     async def _keep_refreshed(self) -> None:
@@ -260,36 +264,36 @@
 
     def _choose_targets(self) -> set[str]:
         zones: dict[str, list[str]] = {self._member.zone: [self._member.name]}
-        for name, contact in self._contacts.items():
-            zones.setdefault(contact.member.zone, []).append(name)
+        for name, peer_state in self._peer_states.items():
+            zones.setdefault(peer_state.member.zone, []).append(name)
         links = choose_links(
             self._member.name, self._member.zone, zones, self._zone_links
         )
         return links.union(zones[self._member.zone]) - {self._member.name}
 
-    def _write_heartbeat(self, contact: Contact, now: timedelta) -> Heartbeat:
-        is_near = self._is_near(contact)
+    def _write_heartbeat(self, peer_state: Contact, now: timedelta) -> Heartbeat:
+        is_near = self._is_near(peer_state)
         heartbeat: Heartbeat = {
             "member": to_fields(self._member),
             "number": self._number,
             "session": self._registry.session,
-            "reports": self._write_reports(contact),
+            "reports": self._write_reports(peer_state),
         }
         if self.is_leaving:
             heartbeat["leaving"] = True
-        if contact.number:
-            heartbeat["echo"] = self._write_echo(contact, is_near, now)
+        if peer_state.number:
+            heartbeat["echo"] = self._write_echo(peer_state, is_near, now)
         if self._number % DIGEST_ROUNDS == 0:
             relayed = self._list_relayed(is_near, now)
             heartbeat["ages"] = write_ages(relayed, now)
             heartbeat["digests"] = self._relays[is_near].write_digests(relayed, now)
         return heartbeat
 
-    def _write_echo(self, contact: Contact, is_near: bool, now: timedelta) -> Echo:
-        echo: Echo = {"number": contact.number, "session": contact.session}
-        name = contact.member.name
-        if is_near and contact.number > contact.promised:
-            contact.promised = contact.number
+    def _write_echo(self, peer_state: Contact, is_near: bool, now: timedelta) -> Echo:
+        echo: Echo = {"number": peer_state.number, "session": peer_state.session}
+        name = peer_state.member.name
+        if is_near and peer_state.number > peer_state.promised:
+            peer_state.promised = peer_state.number
             duration = self._choose_promise(now)
             self._promise(name, duration, now)
             echo["promise"] = to_milliseconds(duration)
@@ -305,55 +309,56 @@
         """
         return PROMISE_TIME if self._registry.can_write(now) else OUTAGE_PROMISE
 
-    def _write_reports(self, contact: Contact) -> dict[str, ReportFields]:
+    def _write_reports(self, peer_state: Contact) -> dict[str, ReportFields]:
         is_full = self._number % FULL_ROUNDS == 0
         reports: dict[str, ReportFields] = {}
         for topic, report in self._own.reports.items():
             version = self._own.versions[topic]
             reports[topic] = {"version": version}
-            if is_full or contact.sent_versions.get(topic) != version:
+            if is_full or peer_state.sent_versions.get(topic) != version:
                 reports[topic]["value"] = report.value
-                contact.sent_versions[topic] = version
+                peer_state.sent_versions[topic] = version
         return reports
 
     def _list_relayed(self, is_near: bool, now: timedelta) -> list[Contact]:
         """List whom a peer hears of through this daemon; one relay on each side."""
         return [
-            contact
-            for _, contact in sorted(self._contacts.items())
-            if self._is_near(contact) != is_near
-            and now - (contact.first_hand if is_near else contact.direct) < FAR_SILENCE
+            peer_state
+            for _, peer_state in sorted(self._peer_states.items())
+            if self._is_near(peer_state) != is_near
+            and now - (peer_state.first_hand if is_near else peer_state.direct)
+            < FAR_SILENCE
         ]
 
-    async def _take_heartbeat(self, instance: str, heartbeat: Heartbeat) -> None:
+    async def _handle_heartbeat(self, instance: str, heartbeat: Heartbeat) -> None:
         member = Member(**heartbeat["member"])
         if member.name == self._member.name:
             return
         now = self._clock.monotonic()
-        contact = self._meet(member)
-        if heartbeat["number"] <= contact.number and member == contact.member:
+        peer_state = self._meet(member)
+        if heartbeat["number"] <= peer_state.number and member == peer_state.member:
             return
-        contact.member = member
-        contact.heard = contact.first_hand = contact.direct = now
-        contact.number = heartbeat["number"]
-        contact.session = heartbeat["session"]
-        contact.is_leaving = heartbeat.get("leaving", False)
-        self._take_reports(contact, heartbeat.get("reports", {}), now)
-        is_far = not self._is_near(contact)
+        peer_state.member = member
+        peer_state.heard = peer_state.first_hand = peer_state.direct = now
+        peer_state.number = heartbeat["number"]
+        peer_state.session = heartbeat["session"]
+        peer_state.is_leaving = heartbeat.get("leaving", False)
+        self._take_reports(peer_state, heartbeat.get("reports", {}), now)
+        is_far = not self._is_near(peer_state)
         self._take_digests(heartbeat.get("digests", []), now)
         self._take_ages(heartbeat.get("ages", {}), now, is_far)
         if "echo" in heartbeat:
-            self._take_echo(contact, heartbeat["echo"], now)
+            self._take_echo(peer_state, heartbeat["echo"], now)
         self._prolong(now)
 
-    def _take_echo(self, contact: Contact, echo: Echo, now: timedelta) -> None:
+    def _take_echo(self, peer_state: Contact, echo: Echo, now: timedelta) -> None:
         sent = self._sent.get(echo["number"], NEVER)
-        contact.echoed = max(contact.echoed, sent)
-        self._get_known(contact.member.name, echo, now)
+        peer_state.echoed = max(peer_state.echoed, sent)
+        self._get_known(peer_state.member.name, echo, now)
         if "promise" in echo and sent != NEVER:
             promise = timedelta(milliseconds=echo["promise"])
             until = sent + promise * (1 - CLOCK_DRIFT)
-            contact.vouched_until = max(contact.vouched_until, until)
+            peer_state.vouched_until = max(peer_state.vouched_until, until)
 
     def _get_known(self, name: str, echo: Echo, now: timedelta) -> None:
         """Note that a member knows this session, and so needs our promise.
@@ -372,82 +377,86 @@
         self._promises[name] = max(self._promises.get(name, NEVER), until)
 
     def _take_reports(
-        self, contact: Contact, reports: dict[str, ReportFields], now: timedelta
+        self, peer_state: Contact, reports: dict[str, ReportFields], now: timedelta
     ) -> None:
         for topic, fields in reports.items():
-            known = contact.reports.get(topic)
+            known = peer_state.reports.get(topic)
             if "value" in fields:
                 value = fields["value"]
-            elif known and contact.versions.get(topic) == fields["version"]:
+            elif known and peer_state.versions.get(topic) == fields["version"]:
                 value = known.value
             else:
                 continue
-            contact.versions[topic] = fields["version"]
-            contact.reports[topic] = Report(contact.member.name, value, now)
+            peer_state.versions[topic] = fields["version"]
+            peer_state.reports[topic] = Report(peer_state.member.name, value, now)
 
     def _take_digests(self, digests: list[Digest], now: timedelta) -> None:
         for digest in digests:
             member = Member(**digest["member"])
             if member.zone == self._member.zone:
                 continue
-            contact = self._meet(member)
+            peer_state = self._meet(member)
             heard = now - timedelta(milliseconds=digest["age"])
             for topic, value in digest["reports"].items():
-                known = contact.reports.get(topic)
+                known = peer_state.reports.get(topic)
                 if known is None or known.received < heard:
-                    contact.reports[topic] = Report(member.name, value, heard)
+                    peer_state.reports[topic] = Report(member.name, value, heard)
 
     def _take_ages(self, ages: dict[str, int], now: timedelta, is_far: bool) -> None:
         for name, age in ages.items():
-            contact = self._contacts.get(name)
-            if contact is None or self._is_near(contact):
+            peer_state = self._peer_states.get(name)
+            if peer_state is None or self._is_near(peer_state):
                 continue
             heard = now - timedelta(milliseconds=age)
-            contact.heard = max(contact.heard, heard)
+            peer_state.heard = max(peer_state.heard, heard)
             if is_far:
-                contact.first_hand = max(contact.first_hand, heard)
+                peer_state.first_hand = max(peer_state.first_hand, heard)
 
     async def _take_goodbye(self, instance: str, goodbye: Goodbye) -> None:
-        contact = self._contacts.get(instance)
-        if contact is not None and contact.session == goodbye["session"]:
-            del self._contacts[instance]
+        peer_state = self._peer_states.get(instance)
+        if peer_state is not None and peer_state.session == goodbye["session"]:
+            del self._peer_states[instance]
             self._targets = None
             self._registry.registered.pop(instance, None)
 
     def _greet_seeds(self, now: timedelta) -> None:
-        known = {contact.member.peer_address for contact in self._contacts.values()}
+        known = {
+            peer_state.member.peer_address for peer_state in self._peer_states.values()
+        }
         known.add(self._member.peer_address)
         for address in self._seeds:
             if address not in known:
-                contact = Contact(self._member)
+                peer_state = Contact(self._member)
                 name = SEED_PREFIX + address
-                self._peers.send(name, self._write_heartbeat(contact, now), Heartbeat)
+                self._peers.send(
+                    name, self._write_heartbeat(peer_state, now), Heartbeat
+                )
 
     # Contacts -------------------------------------------------------------------
 
     def _list_names(self) -> list[str]:
-        return [self._member.name, *self._contacts]
+        return [self._member.name, *self._peer_states]
 
     def _get(self, name: str) -> Contact:
-        return self._own if name == self._member.name else self._contacts[name]
+        return self._own if name == self._member.name else self._peer_states[name]
 
     def _get_leaving(self, name: str) -> bool:
         if name == self._member.name:
             return self.is_leaving
-        contact = self._contacts.get(name)
-        return contact is not None and contact.is_leaving
+        peer_state = self._peer_states.get(name)
+        return peer_state is not None and peer_state.is_leaving
 
     def _meet(self, member: Member) -> Contact:
-        contact = self._contacts.get(member.name)
-        if contact is None or contact.member.incarnation != member.incarnation:
-            contact = Contact(member)
+        peer_state = self._peer_states.get(member.name)
+        if peer_state is None or peer_state.member.incarnation != member.incarnation:
+            peer_state = Contact(member)
             if member.name != self._member.name:
-                self._contacts[member.name] = contact
+                self._peer_states[member.name] = peer_state
                 self._targets = None
-        return contact
+        return peer_state
 
-    def _is_near(self, contact: Contact) -> bool:
-        return contact.member.zone == self._member.zone
+    def _is_near(self, peer_state: Contact) -> bool:
+        return peer_state.member.zone == self._member.zone
 
     def _forget_contacts(self) -> None:
         """Forget silent members that the store shows no more.
@@ -456,19 +465,19 @@
         it has met them again under a new one.
         """
         now = self._clock.monotonic()
-        for name, contact in list(self._contacts.items()):
+        for name, peer_state in list(self._peer_states.items()):
             # A read that lags may not show yet what a heartbeat has named.
-            was_shown = contact.seen_session == contact.session
+            was_shown = peer_state.seen_session == peer_state.session
             limit = SILENCE_LIMIT if was_shown else FORGET_TIME
-            if not self.is_registered(name) and now - contact.heard >= limit:
-                del self._contacts[name]
+            if not self.is_registered(name) and now - peer_state.heard >= limit:
+                del self._peer_states[name]
                 self._targets = None
 
     def _prolong(self, now: timedelta) -> None:
         vouched = [
-            contact.vouched_until
-            for contact in self._contacts.values()
-            if self._is_near(contact)
+            peer_state.vouched_until
+            for peer_state in self._peer_states.values()
+            if self._is_near(peer_state)
         ]
         self._registry.prolong(min(vouched, default=now + PROMISE_TIME), now)
 
@@ -479,8 +488,8 @@
             return
         count_drop("members", "paused")
         _log.warn("This daemon was paused.", seconds=gap.total_seconds())
-        for contact in self._contacts.values():
-            if contact.heard != NEVER:
-                contact.heard = min(now, contact.heard + gap)
-                contact.direct = min(now, contact.direct + gap)
-                contact.echoed = min(now, contact.echoed + gap)
+        for peer_state in self._peer_states.values():
+            if peer_state.heard != NEVER:
+                peer_state.heard = min(now, peer_state.heard + gap)
+                peer_state.direct = min(now, peer_state.direct + gap)
+                peer_state.echoed = min(now, peer_state.echoed + gap)
--- a/src/damaskdeck/coordination/members/mirrors.py
+++ b/src/damaskdeck/coordination/members/mirrors.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from damaskdeck.metrics import count_drop
-from damaskdeck.protocol.ports import Entry, Events, Listing, Store, TooOld
+from damaskdeck.protocol.ports import Entry, Events, Listing, RevisionTooOld, Store
 
 _NO_WAIT = timedelta()
 
@@ -26,7 +26,7 @@
         if self.revision < 0:
             return await self._list()
         found = await self._store.watch(self._prefix, self.revision, _NO_WAIT)
-        if isinstance(found, TooOld):
+        if isinstance(found, RevisionTooOld):
             return await self._list()
         if not isinstance(found, Events):
             return False
--- a/src/damaskdeck/coordination/members/ownership.py
+++ b/src/damaskdeck/coordination/members/ownership.py
@@ -14,11 +14,11 @@
 from damaskdeck.coordination.members.rendezvous import assign_things, rank_members
 from damaskdeck.coordination.members.tables import (
     Change,
-    Holder,
+    OwnerEntry,
     Table,
     decode_document,
 )
-from damaskdeck.coordination.members.tenures import Tenure
+from damaskdeck.coordination.members.tenures import OwnerLease
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_drop
 from damaskdeck.protocol.heartbeats import TableChange
@@ -45,11 +45,11 @@
     :ivar gain: the task that runs the handlers.
     """
 
-    __slots__ = ("epoch", "gain", "is_ready", "tenure")
+    __slots__ = ("epoch", "gain", "is_ready", "owner_lease")
 
-    def __init__(self, epoch: int, tenure: Tenure) -> None:
+    def __init__(self, epoch: int, owner_lease: OwnerLease) -> None:
         self.epoch = epoch
-        self.tenure = tenure
+        self.owner_lease = owner_lease
         self.is_ready = False
         self.gain: asyncio.Task[None] | None = None
 
@@ -93,32 +93,32 @@
 
     # Ownership ------------------------------------------------------------------
 
-    def get_epoch(self, thing: str) -> int | None:
-        """Return the epoch when this daemon may decide about ``thing`` now."""
-        holding = self._held.get(thing)
+    def get_epoch(self, shard: str) -> int | None:
+        """Return the epoch when this daemon may decide about ``shard`` now."""
+        holding = self._held.get(shard)
         if holding is None or not holding.is_ready:
             return None
-        return holding.epoch if self._is_valid(thing, holding) else None
+        return holding.epoch if self._is_valid(shard, holding) else None
 
-    def find_owner(self, thing: str) -> Owner | None:
-        """Return the last known owner of ``thing``, in whatever zone."""
-        scope, _, name = thing.partition("/")
+    def find_owner(self, shard: str) -> Owner | None:
+        """Return the last known owner of ``shard``, in whatever zone."""
+        scope, _, name = shard.partition("/")
         for table in self._list_tables(scope):
             holder = table.things.get(name)
             if holder is not None and holder.instance:
                 return Owner(holder.instance, holder.epoch)
         return None
 
-    def list_held(self, scope: str) -> tuple[str, ...]:
+    def list_owned(self, scope: str) -> tuple[str, ...]:
         """List the things of ``scope`` that this daemon may decide about."""
         prefix = scope + "/"
         return tuple(
-            thing
-            for thing in sorted(self._held)
-            if thing.startswith(prefix) and self.get_epoch(thing) is not None
+            shard
+            for shard in sorted(self._held)
+            if shard.startswith(prefix) and self.get_epoch(shard) is not None
         )
 
-    def set_things(self, scope: str, names: tuple[str, ...]) -> None:
+    def set_shards(self, scope: str, names: tuple[str, ...]) -> None:
         """Say which things of ``scope`` exist and need an owner."""
         things = frozenset(names)
         if self._things.get(scope) != things:
@@ -126,11 +126,11 @@
             self._wake.set()
 
     def on_gain(self, scope: str, handler: OwnershipHandler) -> None:
-        """Call ``handler(thing, epoch)`` once a thing of ``scope`` was gained."""
+        """Call ``handler(shard, epoch)`` once a shard of ``scope`` was gained."""
         self._gain_handlers.setdefault(scope, []).append(handler)
 
     def on_loss(self, scope: str, handler: OwnershipHandler) -> None:
-        """Call ``handler(thing, epoch)`` when a thing is lost or handed over."""
+        """Call ``handler(shard, epoch)`` when a thing is lost or handed over."""
         self._loss_handlers.setdefault(scope, []).append(handler)
 
     # Running --------------------------------------------------------------------
@@ -148,7 +148,7 @@
         """Hand everything over; returns when nothing can be handed over any more."""
         self._is_draining = True
         self._members.is_leaving = True
-        self._members.beat()
+        self._members.send_heartbeats()
         async with self._lock:
             for _ in range(DRAIN_ATTEMPTS):
                 for scope in list(self._things):
@@ -171,8 +171,8 @@
     async def _settle_scope(self, scope: str) -> bool:
         table = self._get_table(scope)
         await self._follow(scope, table)
-        tenure = self._members.tenure
-        if tenure is None or not tenure.is_leased(self._clock.monotonic()):
+        owner_lease = self._members.owner_lease
+        if owner_lease is None or not owner_lease.is_leased(self._clock.monotonic()):
             return True
         if not table.is_readable:
             return False
@@ -180,7 +180,7 @@
             await self._hand_over_all(scope)
             return False
         wanted = assign_things(self._things[scope], self._list_names(scope))
-        changes, is_waiting = self._list_claims(scope, table, wanted, tenure)
+        changes, is_waiting = self._list_claims(scope, table, wanted, owner_lease)
         changes.update(self._list_removals(scope, table))
         if changes:
             await self._commit(scope, table, changes)
@@ -193,7 +193,11 @@
     # Claims ---------------------------------------------------------------------
 
     def _list_claims(
-        self, scope: str, table: Table, wanted: Mapping[str, str], tenure: Tenure
+        self,
+        scope: str,
+        table: Table,
+        wanted: Mapping[str, str],
+        owner_lease: OwnerLease,
     ) -> tuple[dict[str, Change], bool]:
         own = self._members.self.name
         changes: dict[str, Change] = {}
@@ -205,7 +209,7 @@
             if holder is None:
                 epoch = table.document.floor + 1 if is_wanted else None
             elif holder.instance == own:
-                epoch = self._choose_epoch(f"{scope}/{name}", holder, tenure)
+                epoch = self._choose_epoch(f"{scope}/{name}", holder, owner_lease)
             elif not self._is_gone(holder, table):
                 self._since.pop((scope, name), None)
                 is_waiting = is_waiting or not self._members.is_live(holder.instance)
@@ -214,7 +218,9 @@
             else:
                 is_waiting = True
             if epoch is not None:
-                changes[name] = Change(holder, Holder(own, tenure.session, epoch))
+                changes[name] = Change(
+                    holder, OwnerEntry(own, owner_lease.session, epoch)
+                )
         return changes, is_waiting
 
     def _list_removals(self, scope: str, table: Table) -> dict[str, Change]:
@@ -229,20 +235,24 @@
                 removals[name] = Change(holder, None)
         return removals
 
-    def _choose_epoch(self, thing: str, holder: Holder, tenure: Tenure) -> int | None:
+    def _choose_epoch(
+        self, shard: str, holder: OwnerEntry, owner_lease: OwnerLease
+    ) -> int | None:
         """Return the epoch to bind an own thing to a new session with, if need be."""
-        if holder.session == tenure.session:
+        if holder.session == owner_lease.session:
             return None
-        holding = self._held.get(thing)
-        if holding is not None and self._is_valid(thing, holding):
+        holding = self._held.get(shard)
+        if holding is not None and self._is_valid(shard, holding):
             return holder.epoch
         return holder.epoch + 1
 
-    def _is_gone(self, holder: Holder, table: Table) -> bool:
+    def _is_gone(self, holder: OwnerEntry, table: Table) -> bool:
         is_known = self._members.revision >= table.revision
         return is_known and not self._members.is_registered(holder.instance)
 
-    def _may_take(self, scope: str, name: str, holder: Holder, is_wanted: bool) -> bool:
+    def _may_take(
+        self, scope: str, name: str, holder: OwnerEntry, is_wanted: bool
+    ) -> bool:
         if scope not in GLOBAL_SCOPES and not self._members.may_take_from(
             holder.instance
         ):
@@ -297,7 +307,7 @@
         return moves
 
     def _choose_move(
-        self, scope: str, name: str, holder: Holder, wanted: Mapping[str, str]
+        self, scope: str, name: str, holder: OwnerEntry, wanted: Mapping[str, str]
     ) -> Change | None:
         """Return what should become of an own thing, if anything."""
         if name not in self._things[scope]:
@@ -336,7 +346,7 @@
         for name in moves:
             self._since.pop((scope, name), None)
         self._moving.update(things)
-        await asyncio.gather(*(self._lose(thing) for thing in things))
+        await asyncio.gather(*(self._lose(shard) for shard in things))
         await self._commit(scope, table, moves)
         self._moving.difference_update(things)
         await self._follow(scope, table)
@@ -347,73 +357,73 @@
         """Let what is held follow the table."""
         own = self._members.self.name
         prefix = scope + "/"
-        for thing, holding in list(self._held.items()):
-            if not thing.startswith(prefix):
+        for shard, holding in list(self._held.items()):
+            if not shard.startswith(prefix):
                 continue
-            holder = table.things.get(thing.removeprefix(prefix))
+            holder = table.things.get(shard.removeprefix(prefix))
             is_own = holder is not None and holder.instance == own
             if not is_own or holder.epoch != holding.epoch:
-                await self._lose(thing)
+                await self._lose(shard)
         self._adopt(scope, table)
 
     def _adopt(self, scope: str, table: Table) -> None:
-        tenure = self._members.tenure
-        if tenure is None:
+        owner_lease = self._members.owner_lease
+        if owner_lease is None:
             return
         for name, holder in table.things.items():
             is_own = holder.instance == self._members.self.name
-            if not is_own or holder.session != tenure.session:
+            if not is_own or holder.session != owner_lease.session:
                 continue
-            thing = f"{scope}/{name}"
-            if thing in self._moving:
+            shard = f"{scope}/{name}"
+            if shard in self._moving:
                 continue
-            holding = self._held.get(thing)
+            holding = self._held.get(shard)
             if holding is None:
-                holding = self._held[thing] = Holding(holder.epoch, tenure)
-                holding.gain = asyncio.ensure_future(self._gain(thing, holding))
+                holding = self._held[shard] = Holding(holder.epoch, owner_lease)
+                holding.gain = asyncio.ensure_future(self._gain(shard, holding))
             elif holding.epoch == holder.epoch:
-                holding.tenure = tenure
+                holding.owner_lease = owner_lease
 
-    async def _gain(self, thing: str, holding: Holding) -> None:
-        scope = thing.partition("/")[0]
+    async def _gain(self, shard: str, holding: Holding) -> None:
+        scope = shard.partition("/")[0]
         try:
             for handler in self._gain_handlers.get(scope, ()):
-                await handler(thing, holding.epoch)
+                await handler(shard, holding.epoch)
         except Exception as error:
             code = getattr(error, "code", "internal")
             count_drop("ownership", code)
             _log.error(
-                "A gain handler failed.", thing=thing, code=code, error=repr(error)
+                "A gain handler failed.", thing=shard, code=code, error=repr(error)
             )
-            if self._held.get(thing) is holding:
-                del self._held[thing]
+            if self._held.get(shard) is holding:
+                del self._held[shard]
             return
         holding.is_ready = True
 
-    async def _lose(self, thing: str) -> None:
-        holding = self._held.pop(thing, None)
+    async def _lose(self, shard: str) -> None:
+        holding = self._held.pop(shard, None)
         if holding is None:
             return
         if holding.gain is not None and not holding.gain.done():
             holding.gain.cancel()
             await asyncio.wait({holding.gain})
-        scope = thing.partition("/")[0]
+        scope = shard.partition("/")[0]
         for handler in self._loss_handlers.get(scope, ()):
             try:
-                await handler(thing, holding.epoch)
+                await handler(shard, holding.epoch)
             except Exception as error:
-                _log.error("A loss handler failed.", thing=thing, error=repr(error))
+                _log.error("A loss handler failed.", thing=shard, error=repr(error))
 
     async def _drop_invalid(self) -> None:
-        for thing, holding in list(self._held.items()):
-            if holding.tenure.has_lapsed and not self._is_valid(thing, holding):
-                await self._lose(thing)
+        for shard, holding in list(self._held.items()):
+            if holding.owner_lease.has_lapsed and not self._is_valid(shard, holding):
+                await self._lose(shard)
 
-    def _is_valid(self, thing: str, holding: Holding) -> bool:
+    def _is_valid(self, shard: str, holding: Holding) -> bool:
         now = self._clock.monotonic()
-        if thing.partition("/")[0] in GLOBAL_SCOPES:
-            return holding.tenure.is_leased(now)
-        return holding.tenure.is_valid(now)
+        if shard.partition("/")[0] in GLOBAL_SCOPES:
+            return holding.owner_lease.is_leased(now)
+        return holding.owner_lease.is_valid(now)
 
     # Tables ---------------------------------------------------------------------
 
@@ -441,6 +451,6 @@
         return [found.member.name for found in self._members.list_candidates(zone)]
 
 
-def _succeed(holder: Holder, successor: Registered) -> Change:
-    after = Holder(successor.member.name, successor.session, holder.epoch + 1)
+def _succeed(holder: OwnerEntry, successor: Registered) -> Change:
+    after = OwnerEntry(successor.member.name, successor.session, holder.epoch + 1)
     return Change(holder, after)
--- a/src/damaskdeck/coordination/members/registration.py
+++ b/src/damaskdeck/coordination/members/registration.py
@@ -8,7 +8,7 @@
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.members.contacts import to_fields
 from damaskdeck.coordination.members.mirrors import Mirror
-from damaskdeck.coordination.members.tenures import NEVER, Tenure
+from damaskdeck.coordination.members.tenures import NEVER, OwnerLease
 from damaskdeck.errors import DECODE_ERRORS
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_drop, count_retry
@@ -41,7 +41,7 @@
 
     A key of the same name is never overwritten: its lease must lapse first.
 
-    :ivar tenure: the time in which this daemon may decide; ``None`` at first.
+    :ivar owner_lease: the time in which this daemon may decide; ``None`` at first.
     :ivar since: when the present session began.
     :ivar registered: the members as the store showed them last, by name.
     :ivar unreadable: names of members whose values can't be read; they have a
@@ -52,7 +52,7 @@
     def __init__(
         self, member: Member, store: Store, clock: Clock, lease: timedelta
     ) -> None:
-        self.tenure: Tenure | None = None
+        self.owner_lease: OwnerLease | None = None
         self.since: timedelta = NEVER
         self.registered: dict[str, Registered] = {}
         self.unreadable: frozenset[str] = frozenset()
@@ -62,7 +62,7 @@
         self._clock = clock
         self._lease = lease
         self._mirror = Mirror(store, PREFIX)
-        self._tenures: list[Tenure] = []
+        self._tenures: list[OwnerLease] = []
         self._session_count = 0
         self._has_left = False
         self._is_out = False
@@ -75,11 +75,11 @@
     @property
     def session(self) -> str:
         """The present session, empty when there is none."""
-        return self.tenure.session if self.tenure else ""
+        return self.owner_lease.session if self.owner_lease else ""
 
     def can_write(self, now: timedelta) -> bool:
         """Tell whether this daemon may write to the store, as far as it knows."""
-        is_leased = self.tenure is not None and self.tenure.is_leased(now)
+        is_leased = self.owner_lease is not None and self.owner_lease.is_leased(now)
         return is_leased or not self._is_out
 
     async def refresh(self) -> bool:
@@ -102,50 +102,50 @@
 
     def prolong(self, until: timedelta, now: timedelta) -> None:
         """Prolong the tenures, as all others of the zone promised until ``until``."""
-        for tenure in self._tenures:
-            if self._mirror.revision >= tenure.revision:
-                tenure.prolong(until, now)
+        for owner_lease in self._tenures:
+            if self._mirror.revision >= owner_lease.revision:
+                owner_lease.prolong(until, now)
         self._tenures = [
-            tenure
-            for tenure in self._tenures
-            if tenure is self.tenure or tenure.is_valid(now)
+            owner_lease
+            for owner_lease in self._tenures
+            if owner_lease is self.owner_lease or owner_lease.is_valid(now)
         ]
 
     def get_promised(self, now: timedelta) -> timedelta:
         """Return for how long promises let this daemon decide from now on."""
-        promised = (tenure.get_promised(now) for tenure in self._tenures)
+        promised = (owner_lease.get_promised(now) for owner_lease in self._tenures)
         return max(promised, default=timedelta())
 
     async def leave(self) -> str:
         """End all tenures and revoke the lease; return the last session."""
         self._has_left = True
-        tenure, self.tenure = self.tenure, None
+        owner_lease, self.owner_lease = self.owner_lease, None
         for each in self._tenures:
             each.end()
         self._tenures.clear()
-        if tenure is None:
+        if owner_lease is None:
             return ""
-        await self._store.revoke_lease(tenure.lease)
-        return tenure.session
+        await self._store.revoke_lease(owner_lease.lease)
+        return owner_lease.session
 
     async def keep(self) -> None:
         """Register and renew the lease until :meth:`leave`."""
         while not self._has_left:
             await self._renew()
-            is_in = self.tenure is not None and not self.tenure.has_lapsed
+            is_in = self.owner_lease is not None and not self.owner_lease.has_lapsed
             await self._clock.sleep(self._lease / 3 if is_in else RETRY_INTERVAL)
 
     async def _renew(self) -> None:
-        tenure = self.tenure
-        if tenure is not None and not tenure.has_lapsed:
+        owner_lease = self.owner_lease
+        if owner_lease is not None and not owner_lease.has_lapsed:
             before = self._clock.monotonic()
-            answer = await self._store.renew_lease(tenure.lease)
+            answer = await self._store.renew_lease(owner_lease.lease)
             if isinstance(answer, Granted):
-                tenure.renew(before, answer.ttl)
+                owner_lease.renew(before, answer.ttl)
             if not isinstance(answer, Lapsed):
                 return
-            _log.warn("The lease lapsed.", session=tenure.session)
-            tenure.lapse()
+            _log.warn("The lease lapsed.", session=owner_lease.session)
+            owner_lease.lapse()
         await self._register()
 
     async def _register(self) -> None:
@@ -162,10 +162,10 @@
             count_retry("members", "registration")
             await self._store.revoke_lease(granted.lease)
             return
-        tenure = Tenure(session, granted.lease, written.revision)
-        tenure.renew(before, granted.ttl)
-        self.tenure = tenure
-        self._tenures.append(tenure)
+        owner_lease = OwnerLease(session, granted.lease, written.revision)
+        owner_lease.renew(before, granted.ttl)
+        self.owner_lease = owner_lease
+        self._tenures.append(owner_lease)
         self.since = self._clock.monotonic()
 
 
--- a/src/damaskdeck/coordination/members/rendezvous.py
+++ b/src/damaskdeck/coordination/members/rendezvous.py
@@ -13,13 +13,13 @@
     return sorted(members, key=lambda member: (_score(key, member), member))
 
 
-def assign_things(things: Iterable[str], members: Sequence[str]) -> dict[str, str]:
+def assign_things(shards: Iterable[str], members: Sequence[str]) -> dict[str, str]:
     """Give each thing to the member that it prefers and that has room.
 
     :returns: member by thing; no member gets more than ``LOAD_BOUND`` times
         the even share, rounded up.
     """
-    names = sorted(things)
+    names = sorted(shards)
     if not members:
         return {}
     limit = math.ceil(LOAD_BOUND * len(names) / len(members))
--- a/src/damaskdeck/coordination/members/tables.py
+++ b/src/damaskdeck/coordination/members/tables.py
@@ -19,7 +19,7 @@
 _log = get_logger("ownership")
 
 
-class Holder(msgspec.Struct, array_like=True, frozen=True):
+class OwnerEntry(msgspec.Struct, array_like=True, frozen=True):
     """Who owns a thing.
 
     :param instance: the owner's name; empty when nobody owns it.
@@ -38,11 +38,11 @@
     :param before: what it must replace, or nothing is written.
     """
 
-    before: Holder | None
-    after: Holder | None
+    before: OwnerEntry | None
+    after: OwnerEntry | None
 
 
-class Document(msgspec.Struct, kw_only=True):
+class TableDocument(msgspec.Struct, kw_only=True):
     """The value of a table's key.
 
     :param write: identifies the write, to know it again after a lost answer.
@@ -51,7 +51,7 @@
 
     write: str = ""
     floor: int = 0
-    things: dict[str, Holder]
+    things: dict[str, OwnerEntry]
 
 
 class Table:
@@ -66,7 +66,7 @@
         self._mirror = mirror
         self._store = store
         self._clock = clock
-        self._document = Document(things={})
+        self._document = TableDocument(things={})
         self._decoded = 0
 
     @property
@@ -76,11 +76,11 @@
         return entry.revision if entry else 0
 
     @property
-    def document(self) -> Document:
+    def document(self) -> TableDocument:
         """The table as last seen; the last readable one if it was damaged."""
         if self._decoded != self.revision:
             entry = self._mirror.entries.get(self.key)
-            found = decode_document(entry.value) if entry else Document(things={})
+            found = decode_document(entry.value) if entry else TableDocument(things={})
             self.is_readable = found is not None
             if found is None:
                 _log.error("A table of owners can't be read.", key=self.key)
@@ -89,7 +89,7 @@
         return self._document
 
     @property
-    def things(self) -> Mapping[str, Holder]:
+    def things(self) -> Mapping[str, OwnerEntry]:
         """The owners by name of thing."""
         return self.document.things
 
@@ -103,7 +103,9 @@
             elif change.before is not None:
                 floor = max(floor, things.pop(name).epoch)
         write = secrets.token_hex(8)
-        return msgspec.msgpack.encode(Document(write=write, floor=floor, things=things))
+        return msgspec.msgpack.encode(
+            TableDocument(write=write, floor=floor, things=things)
+        )
 
     async def commit(self, changes: Mapping[str, Change]) -> bool:
         """Write ``changes`` and return once it is certain what became of them.
@@ -132,21 +134,23 @@
             count_retry("ownership", "lost_answer")
             await self._clock.sleep(RETRY_INTERVAL)
 
-    def _settle(self, conflict: Conflict, changes: Mapping[str, Holder | None]) -> bool:
+    def _settle(
+        self, conflict: Conflict, changes: Mapping[str, OwnerEntry | None]
+    ) -> bool:
         if conflict.current is None:
             return False
         current = conflict.current
         self._mirror.note(self.key, current.value, current.revision)
         return self._matches({name: change.after for name, change in changes.items()})
 
-    def _matches(self, holders: Mapping[str, Holder | None]) -> bool:
+    def _matches(self, holders: Mapping[str, OwnerEntry | None]) -> bool:
         return all(self.things.get(name) == holder for name, holder in holders.items())
 
 
-def decode_document(value: bytes) -> Document | None:
+def decode_document(value: bytes) -> TableDocument | None:
     """Decode a table; ``None`` when it can't be read."""
     try:
-        return msgspec.msgpack.decode(value, type=Document)
+        return msgspec.msgpack.decode(value, type=TableDocument)
     except DECODE_ERRORS:
         count_drop("ownership", "invalid_table")
         return None
--- a/src/damaskdeck/coordination/members/tenures.py
+++ b/src/damaskdeck/coordination/members/tenures.py
@@ -7,7 +7,7 @@
 NEVER = timedelta(days=-36500)
 
 
-class Tenure:
+class OwnerLease:
     """The time during which what is bound to one session may be decided.
 
     While the lease is valid, the store shows the session to everybody. Past
--- a/src/damaskdeck/coordination/places/rooms.py
+++ b/src/damaskdeck/coordination/places/allocator.py
@@ -6,7 +6,7 @@
 
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.places.estimates import Estimates
-from damaskdeck.coordination.places.failures import Failures
+from damaskdeck.coordination.places.failures import FailureHistory
 from damaskdeck.coordination.places.filters import Predicate
 from damaskdeck.coordination.places.gangrooms import GangRooms
 from damaskdeck.coordination.places.placement import Impossible, Placed, Placer
@@ -20,12 +20,17 @@
 from damaskdeck.coordination.places.relief import Relief
 from damaskdeck.coordination.queues.pressure import PressureAction
 from damaskdeck.metrics import count_refusal
-from damaskdeck.protocol.jobs import Request, SizeData, TaskAttempt
+from damaskdeck.protocol.jobs import ReservationRequest, SizeData, TaskAttempt
 from damaskdeck.protocol.ports import Usage
 from damaskdeck.protocol.resources import Urgency
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.state.accounts import Accounts, Reserved, TaskNeed, WorkerAccount
-from damaskdeck.state.names import read_job, read_workload
+from damaskdeck.state.names import parse_job_name, parse_workload_name
+from damaskdeck.state.workeraccounts import (
+    Reserved,
+    TaskNeed,
+    WorkerAccount,
+    WorkerAccounts,
+)
 
 HOLD_LIMIT = timedelta(seconds=10)
 CLAIM_LIMIT = timedelta(seconds=5)
@@ -37,13 +42,13 @@
 Stop = Callable[[str, str, bool], None]
 
 
-class Held(NamedTuple):
+class Hold(NamedTuple):
     """Room was set aside on ``worker``."""
 
     worker: str
 
 
-class Rooms:
+class CapacityAllocator:
     """Decides who gets room on the workers that this daemon owns.
 
     Promise: "No instance is given more work than its processors, memory, or
@@ -52,7 +57,7 @@
     :param stop: ``stop(worker, task, checkpoint)`` stops a task to make room.
     """
 
-    def __init__(self, accounts: Accounts, clock: Clock, stop: Stop) -> None:
+    def __init__(self, accounts: WorkerAccounts, clock: Clock, stop: Stop) -> None:
         self._accounts = accounts
         self._clock = clock
         self._stop = stop
@@ -63,7 +68,7 @@
         )
         self._estimates = Estimates()
         self._relief = Relief(accounts)
-        self._quarantine = Quarantine(clock, Failures())
+        self._quarantine = Quarantine(clock, FailureHistory())
         self._claims: dict[str, timedelta] = {}
         self._begun: dict[str, timedelta] = {}
         self._gangs = GangRooms(
@@ -77,7 +82,7 @@
         """Place by other weights of the scores from now on."""
         self._placer.set_weights(weights)
 
-    def hold(self, request: Request) -> Held | str:
+    def hold(self, request: ReservationRequest) -> Hold | str:
         """Set room aside for an attempt, or return why not.
 
         A hold that was asked for before is given up: its answer was lost.
@@ -102,14 +107,14 @@
         if not isinstance(outcome, Reserved):
             return "already_reserved"
         self._drop_claim(need.task)
-        self._quarantine.note_start(found.worker, need.task)
-        self._gangs.note_start(need, found.worker)
-        return Held(found.worker)
+        self._quarantine.record_start(found.worker, need.task)
+        self._gangs.record_start(need, found.worker)
+        return Hold(found.worker)
 
     def confirm(self, task: str, worker: str) -> bool:
         """Turn a hold into a lasting reservation; false once it has ended."""
-        held = self._accounts.find(task)
-        if held is None or held.worker != worker:
+        isolated = self._accounts.find(task)
+        if isolated is None or isolated.worker != worker:
             return False
         now = self._clock.monotonic()
         if not self._accounts.confirm(task, now):
@@ -128,21 +133,23 @@
         self._give_up(task)
 
     def _give_up(self, task: str) -> None:
-        held = self._accounts.find(task)
-        if held is not None and held.deadline is not None:
+        isolated = self._accounts.find(task)
+        if isolated is not None and isolated.deadline is not None:
             self._accounts.release(task)
-            self._quarantine.note_end(held.worker, "", "", task, None)
+            self._quarantine.record_end(isolated.worker, "", "", task, None)
 
     def expire(self) -> None:
         """End holds, claims and kept room whose time has come."""
         now = self._clock.monotonic()
         self._gangs.expire()
-        for held in self._accounts.expire(now):
-            self._quarantine.note_end(held.worker, "", "", held.need.task, None)
+        for isolated in self._accounts.expire(now):
+            self._quarantine.record_end(
+                isolated.worker, "", "", isolated.need.task, None
+            )
         for task in [task for task, until in self._claims.items() if until <= now]:
             self._drop_claim(task)
 
-    def find_kept(self) -> str:
+    def find_reserved_gang(self) -> str:
         """Return the job of the gang that room is kept for, else nothing."""
         return self._gangs.job
 
@@ -153,7 +160,7 @@
     def observe(self, worker: str, usage: Collection[Usage]) -> list[PressureAction]:
         """Learn from what tasks were seen to use, and choose what to relieve."""
         for item in usage:
-            workload = read_workload(item.task)
+            workload = parse_workload_name(item.task)
             self._estimates.observe_use(workload, item.task, item.size)
         return self._relief.choose(worker, usage)
 
@@ -165,44 +172,44 @@
         account = self._accounts.workers.get(worker)
         if account is None:
             return []
-        needs = [held.need for held in account.reservations.values()]
+        needs = [isolated.need for isolated in account.reservations.values()]
         return [
             (need.task, need.checkpoint)
             for need in needs
             if need.checkpoint or (need.group and need.idempotent)
         ]
 
-    def note_end(self, worker: str, task: str, state: str) -> None:
+    def record_end(self, worker: str, task: str, state: str) -> None:
         """Note that an attempt has ended, and learn from it."""
-        self._preemptor.note_end(task)
+        self._preemptor.record_end(task)
         self._relief.forget(task)
-        workload = read_workload(task)
+        workload = parse_workload_name(task)
         begun = self._begun.pop(task, None)
         is_whole = begun is not None and state == "succeeded"
         run_time = self._clock.monotonic() - begun if is_whole else None
         self._estimates.observe_end(workload, task, run_time)
         succeeded = {"succeeded": True, "failed": False}.get(state)
-        job = read_job(task)
-        self._quarantine.note_end(worker, workload, job, task, succeeded)
+        job = parse_job_name(task)
+        self._quarantine.record_end(worker, workload, job, task, succeeded)
 
-    def describe(self, item: TaskAttempt) -> None:
+    def update_adopted(self, item: TaskAttempt) -> None:
         """Take over what a keeper says of a task that was adopted."""
-        held = self._accounts.find(item["task"])
-        if held is None or held.deadline is not None or "urgency" not in item:
+        isolated = self._accounts.find(item["task"])
+        if isolated is None or isolated.deadline is not None or "urgency" not in item:
             return
-        need = held.need._replace(
+        need = isolated.need._replace(
             group=item.get("group", ""),
             urgency=Urgency(item["urgency"]),
             idempotent=item.get("idempotent", False),
             checkpoint=item.get("checkpoint", False),
         )
-        if need != held.need:
+        if need != isolated.need:
             self._accounts.release(need.task)
-            self._accounts.adopt(need, held.worker)
+            self._accounts.adopt(need, isolated.worker)
 
-    def _make_need(self, request: Request) -> TaskNeed:
+    def _make_need(self, request: ReservationRequest) -> TaskNeed:
         declared = read_size(request["size"])
-        workload = read_workload(request["task"])
+        workload = parse_workload_name(request["task"])
         return TaskNeed(
             task=request["task"],
             size=self._estimates.estimate_size(workload, declared),
@@ -219,7 +226,7 @@
     def _estimate_run_time(self, need: TaskNeed) -> timedelta:
         if need.group:
             return ENDLESS
-        workload = read_workload(need.task)
+        workload = parse_workload_name(need.task)
         declared = need.run_time or UNKNOWN_RUN_TIME
         return self._estimates.estimate_run_time(workload, declared)
 
@@ -243,7 +250,7 @@
             self._preemptor.drop_claim(task)
 
     def _prepare_quarantine(self, need: TaskNeed) -> Predicate | None:
-        if not self._quarantine.held:
+        if not self._quarantine.isolated:
             return None
 
         def may_start(account: WorkerAccount) -> bool:
--- a/src/damaskdeck/coordination/places/backfill.py
+++ b/src/damaskdeck/coordination/places/backfill.py
@@ -14,7 +14,7 @@
 from damaskdeck.coordination.places.filters import Predicate, find_refusal
 from damaskdeck.coordination.places.preemption import RANKS, FindRefusal
 from damaskdeck.protocol.sizes import Size, add_sizes, fits, subtract_sizes
-from damaskdeck.state.accounts import Accounts, TaskNeed, WorkerAccount
+from damaskdeck.state.workeraccounts import TaskNeed, WorkerAccount, WorkerAccounts
 
 # A task that outran its estimate is reckoned to run on for this share of the
 # time that it has run.
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        accounts: Accounts,
+        accounts: WorkerAccounts,
         clock: Clock,
         estimate: Estimate,
         find_refusal: FindRefusal = find_refusal,
@@ -122,7 +122,7 @@
         if self._plan is not None and self._plan.job == job:
             self._plan = None
 
-    def note_start(self, need: TaskNeed, worker: str) -> None:
+    def record_start(self, need: TaskNeed, worker: str) -> None:
         """Note that a task was let in on a planned worker."""
         plan = self._plan
         if plan is None or worker not in plan.spare:
--- a/src/damaskdeck/coordination/places/failures.py
+++ b/src/damaskdeck/coordination/places/failures.py
@@ -62,7 +62,7 @@
             del self.counts[workload]
 
 
-class Failures:
+class FailureHistory:
     """Remembers which jobs failed on which workers, in bounded memory.
 
     A success anywhere clears its workload; a success on a worker takes away
--- a/src/damaskdeck/coordination/places/filters.py
+++ b/src/damaskdeck/coordination/places/filters.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from damaskdeck.protocol.sizes import fits
-from damaskdeck.state.accounts import TaskNeed, WorkerAccount
+from damaskdeck.state.workeraccounts import TaskNeed, WorkerAccount
 
 Predicate = Callable[[WorkerAccount], bool]
 Prepare = Callable[[TaskNeed], Predicate | None]
--- a/src/damaskdeck/coordination/places/gangrooms.py
+++ b/src/damaskdeck/coordination/places/gangrooms.py
@@ -9,8 +9,8 @@
 from damaskdeck.coordination.places.preemption import RANKS, FindRefusal
 from damaskdeck.metrics import count_refusal
 from damaskdeck.protocol.jobs import GangRequest
-from damaskdeck.state.accounts import Accounts, TaskNeed
-from damaskdeck.state.names import read_job
+from damaskdeck.state.names import parse_job_name
+from damaskdeck.state.workeraccounts import TaskNeed, WorkerAccounts
 
 # Room is kept so long after a keeper last asked for it.
 ASK_LIFE = timedelta(seconds=5)
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        accounts: Accounts,
+        accounts: WorkerAccounts,
         clock: Clock,
         estimate: Estimate,
         find_refusal: FindRefusal,
@@ -70,7 +70,7 @@
         """Keep room for a gang, or go on keeping it, unless another goes first."""
         now = self._clock.monotonic()
         self.expire()
-        job = read_job(need.task)
+        job = parse_job_name(need.task)
         order = (RANKS[need.urgency], gang["submitted"], job)
         kept = self._kept
         if job in self._rests or (kept is not None and kept.order < order):
@@ -85,7 +85,7 @@
     def covers(self, task: str, gang: GangRequest) -> bool:
         """Tell whether room is kept for this task of a gang."""
         plan = self._backfill.plan
-        if plan is None or plan.job != read_job(task):
+        if plan is None or plan.job != parse_job_name(task):
             return False
         return gang["index"] < len(plan.needs)
 
@@ -95,10 +95,10 @@
             return None
         return self._backfill.prepare(need)
 
-    def note_start(self, need: TaskNeed, worker: str) -> None:
+    def record_start(self, need: TaskNeed, worker: str) -> None:
         """Note that a task got room on a worker."""
         if not self._is_kept_for(need.task):
-            self._backfill.note_start(need, worker)
+            self._backfill.record_start(need, worker)
 
     def drop(self, task: str) -> None:
         """Keep no more room for the gang of a task: it starts, or can't yet."""
@@ -123,7 +123,7 @@
             self._backfill.refresh()
 
     def _is_kept_for(self, task: str) -> bool:
-        return self._kept is not None and self._kept.job == read_job(task)
+        return self._kept is not None and self._kept.job == parse_job_name(task)
 
     def _make_plan(self, job: str, need: TaskNeed, count: int) -> None:
         count = min(count, self._backfill.count_within_horizon(need))
--- a/src/damaskdeck/coordination/places/index.py
+++ b/src/damaskdeck/coordination/places/index.py
@@ -11,8 +11,8 @@
 from typing import NamedTuple
 
 from damaskdeck.coordination.places.filters import Predicate
-from damaskdeck.protocol.sizes import Size, name_shortfall
-from damaskdeck.state.accounts import Accounts, TaskNeed, WorkerAccount
+from damaskdeck.protocol.sizes import Size, find_exceeded_dimension
+from damaskdeck.state.workeraccounts import TaskNeed, WorkerAccount, WorkerAccounts
 
 ANY_ZONE = ""
 _CELL_SAMPLE = 4
@@ -102,7 +102,7 @@
     :param accounts: followed from now on.
     """
 
-    def __init__(self, accounts: Accounts) -> None:
+    def __init__(self, accounts: WorkerAccounts) -> None:
         self._grids: dict[str, tuple[dict[int, _Grid], dict[int, _Grid]]] = {}
         self._places: dict[str, _Place] = {}
         self._shapes: dict[tuple[str, Size], int] = {}
@@ -155,7 +155,7 @@
                         lack = "millicores"
         return lack
 
-    def name_impossible(self, need: TaskNeed) -> str | None:
+    def find_impossible_dimension(self, need: TaskNeed) -> str | None:
         """Name the dimension for which no worker, even if empty, holds ``need``.
 
         :returns: ``None`` when some worker could, or when none is known.
@@ -164,7 +164,7 @@
         for zone, size in self._shapes:
             if need.zones and zone not in need.zones:
                 continue
-            shortfall = name_shortfall(need.size, size)
+            shortfall = find_exceeded_dimension(need.size, size)
             if shortfall is None:
                 return None
             shortfalls.append((size, shortfall))
@@ -199,7 +199,9 @@
         return list(islice(_limit_racks(found), limit))
 
     def _update(self, account: WorkerAccount, is_present: bool) -> None:
-        place = self._find_place(account) if is_present and not account.closed else None
+        place = (
+            self._choose_route(account) if is_present and not account.closed else None
+        )
         former = self._places.get(account.name)
         if place != former:
             self._move(account, former, place)
@@ -207,7 +209,7 @@
         if not is_present or shape != (account.instance.zone, account.size):
             self._change_shape(account, is_present)
 
-    def _find_place(self, account: WorkerAccount) -> _Place:
+    def _choose_route(self, account: WorkerAccount) -> _Place:
         millicores, memory, accelerators = account.free
         return _Place(
             account.instance.zone,
--- a/src/damaskdeck/coordination/places/placement.py
+++ b/src/damaskdeck/coordination/places/placement.py
@@ -8,7 +8,12 @@
 from damaskdeck.coordination.places.scores import prepare_measure, select_scores
 from damaskdeck.defaults import WEIGHTS
 from damaskdeck.metrics import count_refusal
-from damaskdeck.state.accounts import Accounts, NoRoom, TaskNeed, WorkerAccount
+from damaskdeck.state.workeraccounts import (
+    InsufficientCapacity,
+    TaskNeed,
+    WorkerAccount,
+    WorkerAccounts,
+)
 
 _CANDIDATES = 8
 _SPREAD_CANDIDATES = 12
@@ -35,7 +40,7 @@
     """
 
     def __init__(
-        self, accounts: Accounts, weights: Mapping[str, float] = WEIGHTS
+        self, accounts: WorkerAccounts, weights: Mapping[str, float] = WEIGHTS
     ) -> None:
         self._accounts = accounts
         self._index = WorkerIndex(accounts)
@@ -63,20 +68,20 @@
                 return name
         return refusal
 
-    def place(self, need: TaskNeed) -> Placed | NoRoom | Impossible:
+    def place(self, need: TaskNeed) -> Placed | InsufficientCapacity | Impossible:
         """Choose a worker for ``need``; the caller then reserves it.
 
-        :returns: ``NoRoom`` when some worker could hold it later; it names a
-            dimension, a filter, or ``workers`` when there is none.
+        :returns: ``InsufficientCapacity`` when some worker could hold it later; it
+            names a dimension, a filter, or ``workers`` when there is none.
         """
         best = self._choose(need)
         if best is not None:
             return best
-        dimension = self._index.name_impossible(need)
+        dimension = self._index.find_impossible_dimension(need)
         if dimension is not None:
             count_refusal("placement", f"impossible_{dimension}")
             return Impossible(dimension)
-        return NoRoom(self._name_lack(need))
+        return InsufficientCapacity(self._name_lack(need))
 
     def _name_lack(self, need: TaskNeed) -> str:
         """Name what lacks, or the filter that refuses a worker with room."""
--- a/src/damaskdeck/coordination/places/preemption.py
+++ b/src/damaskdeck/coordination/places/preemption.py
@@ -11,7 +11,12 @@
 from damaskdeck.metrics import count_refusal
 from damaskdeck.protocol.resources import Urgency
 from damaskdeck.protocol.sizes import ZERO_SIZE, Size, add_sizes, fits, subtract_sizes
-from damaskdeck.state.accounts import Accounts, Reservation, TaskNeed, WorkerAccount
+from damaskdeck.state.workeraccounts import (
+    Reservation,
+    TaskNeed,
+    WorkerAccount,
+    WorkerAccounts,
+)
 
 RANKS = {urgency: rank for rank, urgency in enumerate(Urgency)}
 
@@ -125,7 +130,7 @@
 
     def __init__(
         self,
-        accounts: Accounts,
+        accounts: WorkerAccounts,
         clock: Clock,
         budget: PreemptionBudget,
         may_stop: MayStop | None = None,
@@ -145,7 +150,7 @@
     def choose(self, need: TaskNeed) -> Victims | NoVictims:
         """Choose victims that make room for ``need`` and claim it for it.
 
-        They count as leaving until :meth:`note_end`; nothing is stopped here.
+        They count as leaving until :meth:`record_end`; nothing is stopped here.
         """
         outcome = self.choose_all((need,))
         return outcome if isinstance(outcome, NoVictims) else outcome[0]
@@ -188,7 +193,7 @@
             tasks = victims.checkpointed + victims.stopped
             self._budget.refund(tasks)
             for task in tasks:
-                self.note_end(task)
+                self.record_end(task)
 
     def _holds(self, claim: Claim) -> bool:
         account = self._accounts.workers.get(claim.worker)
@@ -214,7 +219,7 @@
         if claim is not None:
             self._change(claim, -1)
 
-    def note_end(self, task: str) -> None:
+    def record_end(self, task: str) -> None:
         """Note that a task no longer runs; a victim's room is free by now."""
         claim = self._leaving.pop(task, None)
         if claim is not None:
@@ -226,7 +231,7 @@
             return
         left = [t for t, c in self._leaving.items() if c.worker == account.name]
         for task in left:
-            self.note_end(task)
+            self.record_end(task)
 
     def prepare_claims(self, need: TaskNeed) -> Predicate | None:
         """Keep others off claimed room; a filter for a :class:`Placer`."""
--- a/src/damaskdeck/coordination/places/quarantine.py
+++ b/src/damaskdeck/coordination/places/quarantine.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.places.failures import Failures
+from damaskdeck.coordination.places.failures import FailureHistory
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_refusal
 
@@ -55,7 +55,7 @@
     def __init__(
         self,
         clock: Clock,
-        failures: Failures,
+        failures: FailureHistory,
         cap_share: float = CAP_SHARE,
         pause: timedelta = PAUSE,
         probes: int = PROBES,
@@ -77,7 +77,7 @@
         return max(int(count * self._cap_share), min(1, count - 1), 0)
 
     @property
-    def held(self) -> frozenset[str]:
+    def isolated(self) -> frozenset[str]:
         """The workers in quarantine or on their way back."""
         return frozenset(self._held)
 
@@ -93,10 +93,10 @@
 
     def find_state(self, worker: str) -> WorkerState:
         """Return how far a worker is trusted now."""
-        held = self._held.get(worker)
-        if held is None:
+        isolated = self._held.get(worker)
+        if isolated is None:
             return WorkerState.OPEN
-        if self._clock.monotonic() < held.until:
+        if self._clock.monotonic() < isolated.until:
             return WorkerState.QUARANTINED
         return WorkerState.PROBING
 
@@ -105,25 +105,25 @@
         state = self.find_state(worker)
         if state is not WorkerState.PROBING:
             return state is WorkerState.OPEN
-        held = self._held[worker]
-        return is_idempotent and len(held.probes) < 2**held.passed
+        isolated = self._held[worker]
+        return is_idempotent and len(isolated.probes) < 2**isolated.passed
 
-    def note_start(self, worker: str, task: str) -> None:
+    def record_start(self, worker: str, task: str) -> None:
         """Note a start; on a worker on its way back it is a probe."""
         if self.find_state(worker) is WorkerState.PROBING:
             self._held[worker].probes.add(task)
 
-    def note_end(
+    def record_end(
         self, worker: str, workload: str, job: str, task: str, succeeded: bool | None
     ) -> None:
         """Note the end of a task.
 
         :param succeeded: ``None`` when the end says nothing, as a preemption.
         """
-        held = self._held.get(worker)
-        is_probe = held is not None and task in held.probes
-        if held is not None:
-            held.probes.discard(task)
+        isolated = self._held.get(worker)
+        is_probe = isolated is not None and task in isolated.probes
+        if isolated is not None:
+            isolated.probes.discard(task)
         if succeeded is None:
             return
         now = self._clock.monotonic()
@@ -132,16 +132,18 @@
         else:
             self._failures.note_failure(worker, workload, job)
         if is_probe:
-            self._judge_probe(worker, workload, held, succeeded)
-        elif held is None and not succeeded:
+            self._judge_probe(worker, workload, isolated, succeeded)
+        elif isolated is None and not succeeded:
             self._judge(worker, now)
-        if not succeeded and self._failures.is_workload_failing(workload, self.held):
+        if not succeeded and self._failures.is_workload_failing(
+            workload, self.isolated
+        ):
             self._acquit(now)
 
     def _judge(self, worker: str, now: timedelta) -> None:
         if worker not in self._fleet:
             return
-        if not self._failures.is_worker_failing(worker, now, self.held):
+        if not self._failures.is_worker_failing(worker, now, self.isolated):
             return
         if len(self._held) >= self.cap:
             count_refusal("quarantine", "cap_reached")
@@ -149,15 +151,15 @@
         self._hold(worker, self._pauses.get(worker, self._pause))
 
     def _judge_probe(
-        self, worker: str, workload: str, held: _Held, succeeded: bool
+        self, worker: str, workload: str, isolated: _Held, succeeded: bool
     ) -> None:
         if not succeeded:
-            others = self.held - {worker}
+            others = self.isolated - {worker}
             if not self._failures.is_workload_failing(workload, others):
-                self._hold(worker, min(held.pause * 2, PAUSE_LIMIT))
+                self._hold(worker, min(isolated.pause * 2, PAUSE_LIMIT))
             return
-        held.passed += 1
-        if held.passed >= self._probes:
+        isolated.passed += 1
+        if isolated.passed >= self._probes:
             self._release(worker, "probes")
 
     def _acquit(self, now: timedelta) -> None:
@@ -166,7 +168,7 @@
             return
         self._acquitted = now
         for worker in tuple(self._held):
-            others = self.held - {worker}
+            others = self.isolated - {worker}
             if not self._failures.is_worker_failing(worker, now, others):
                 self._release(worker, "workload_failing")
 
--- a/src/damaskdeck/coordination/places/relief.py
+++ b/src/damaskdeck/coordination/places/relief.py
@@ -12,7 +12,7 @@
 from damaskdeck.metrics import count_refusal
 from damaskdeck.protocol.ports import Usage
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.state.accounts import Accounts
+from damaskdeck.state.workeraccounts import WorkerAccounts
 
 ACTION_LIMIT = 8
 
@@ -29,7 +29,7 @@
     accelerators can hold", also when declared sizes are far off.
     """
 
-    def __init__(self, accounts: Accounts) -> None:
+    def __init__(self, accounts: WorkerAccounts) -> None:
         self._accounts = accounts
         self._seen: dict[str, _Seen] = {}
         self._limits: dict[str, int] = {}
--- a/src/damaskdeck/coordination/places/scores.py
+++ b/src/damaskdeck/coordination/places/scores.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import NamedTuple
 
-from damaskdeck.state.accounts import Accounts, TaskNeed, WorkerAccount
+from damaskdeck.state.workeraccounts import TaskNeed, WorkerAccount, WorkerAccounts
 
 Measure = Callable[[WorkerAccount], float]
-Prepare = Callable[[TaskNeed, Accounts], Measure | None]
+Prepare = Callable[[TaskNeed, WorkerAccounts], Measure | None]
 
 
 class WeightedScore(NamedTuple):
@@ -44,7 +44,7 @@
 
 
 def prepare_measure(
-    need: TaskNeed, accounts: Accounts, scores: Iterable[WeightedScore]
+    need: TaskNeed, accounts: WorkerAccounts, scores: Iterable[WeightedScore]
 ) -> Measure:
     """Prepare the weighted sum of the scores that speak about a need."""
     measures = []
@@ -66,7 +66,7 @@
 
 
 @score("best_fit")
-def prepare_best_fit(need: TaskNeed, accounts: Accounts) -> Measure:
+def prepare_best_fit(need: TaskNeed, accounts: WorkerAccounts) -> Measure:
     """Prefer the worker that has least left over, as a share of its size."""
     millicores, memory, accelerators = need.size
 
@@ -82,7 +82,7 @@
 
 
 @score("balance")
-def prepare_balance(need: TaskNeed, accounts: Accounts) -> Measure:
+def prepare_balance(need: TaskNeed, accounts: WorkerAccounts) -> Measure:
     """Prefer the worker whose processors and memory then run out together."""
     millicores, memory, _ = need.size
 
@@ -95,7 +95,9 @@
 
 
 @score("keep_accelerators")
-def prepare_keep_accelerators(need: TaskNeed, accounts: Accounts) -> Measure | None:
+def prepare_keep_accelerators(
+    need: TaskNeed, accounts: WorkerAccounts
+) -> Measure | None:
     """Leave workers with accelerators to those who need them."""
     if need.size[2]:
         return None
@@ -108,7 +110,7 @@
 
 
 @score("spread")
-def prepare_spread(need: TaskNeed, accounts: Accounts) -> Measure | None:
+def prepare_spread(need: TaskNeed, accounts: WorkerAccounts) -> Measure | None:
     """Spread a group over zones, then racks, then workers."""
     counts = accounts.count_group(need.group) if need.group else None
     if not counts:
@@ -127,7 +129,7 @@
 
 
 @score("affinity")
-def prepare_affinity(need: TaskNeed, accounts: Accounts) -> Measure | None:
+def prepare_affinity(need: TaskNeed, accounts: WorkerAccounts) -> Measure | None:
     """Prefer the zones named as near, as those of the task's data."""
     near = need.near
     if not near:
--- a/src/damaskdeck/coordination/pools/allowances.py
+++ b/src/damaskdeck/coordination/pools/accountlimits.py
@@ -10,10 +10,10 @@
 from typing import Protocol
 
 from damaskdeck.coordination.pools.ceilings import Ceilings
-from damaskdeck.coordination.pools.placing import count_fitting
+from damaskdeck.coordination.pools.planning import count_fitting
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_refusal
-from damaskdeck.protocol.accounts import UNLIMITED_SIZE
+from damaskdeck.protocol.clientaccounts import UNLIMITED_SIZE
 from damaskdeck.protocol.queues import QueueTable
 from damaskdeck.protocol.sizes import (
     ZERO_SIZE,
@@ -21,7 +21,7 @@
     add_sizes,
     subtract_sizes,
 )
-from damaskdeck.state.board import Job, Run, Step
+from damaskdeck.state.pooljobs import Job, Run, Step
 from damaskdeck.state.quotas import Quotas, scale_size, sum_sizes
 
 # What is unknown of workers that have not answered is counted anew after so long; in
@@ -42,17 +42,17 @@
     def get_table(self) -> QueueTable | None:
         """Return the declared queues and accounts in force."""
 
-    def are_quotas_sure(self) -> bool:
+    def are_quotas_fresh(self) -> bool:
         """Whether the document in force is fresh enough to start work by it."""
 
-    def list_unaccounted(self) -> list[Size]:
+    def list_unreconciled(self) -> list[Size]:
         """List the sizes of the workers that may run what isn't known."""
 
-    def list_unsure(self) -> Iterable[Job]:
+    def list_unconfirmed_jobs(self) -> Iterable[Job]:
         """List the jobs that may run on such workers without our knowing."""
 
 
-class Allowances:
+class AccountLimits:
     """Counts what accounts use, by change, and judges what they may start.
 
     :param owner: of the jobs.
@@ -83,14 +83,14 @@
         step = run.task.step
         self._quotas.release(step.job.record.account, step.spec.size)
 
-    def note_found(self, run: Run) -> None:
+    def record_inherited_run(self, run: Run) -> None:
         """Take note of a run that the owner before had ordered and counted."""
         step = run.task.step
         account = step.job.record.account
         found = self._found.get(account, ZERO_SIZE)
         self._found[account] = add_sizes(found, step.spec.size)
 
-    def read_use(self, account: str) -> Size:
+    def get_usage(self, account: str) -> Size:
         """Return what is counted as running of an account, the unknown aside."""
         return self._quotas.read(account).use
 
@@ -106,7 +106,7 @@
         state = self._quotas.read(account)
         if state.quota == UNLIMITED_SIZE:
             return wanted
-        if not self._owner.are_quotas_sure():
+        if not self._owner.are_quotas_fresh():
             self._hold(step, "quotas_not_sure")
             return 0
         used = add_sizes(state.use, self._measure_unknown(account))
@@ -137,7 +137,7 @@
     def sweep(self) -> None:
         """Lower the ceilings of accounts that are seen to use less."""
         self._take_quotas()
-        if not self._declared or self._owner.list_unaccounted():
+        if not self._declared or self._owner.list_unreconciled():
             return
         now = self._owner.now()
         for account in self._declared:
@@ -156,12 +156,12 @@
         return self._unknown.get(account, ZERO_SIZE)
 
     def _count_unknown(self) -> dict[str, Size]:
-        sizes = self._owner.list_unaccounted()
+        sizes = self._owner.list_unreconciled()
         if not sizes:
             return {}
         room = sum_sizes(sizes)
         unknown: dict[str, Size] = {}
-        for job in self._owner.list_unsure():
+        for job in self._owner.list_unconfirmed_jobs():
             account = job.record.account
             more = add_sizes(unknown.get(account, ZERO_SIZE), _measure_unseen(job))
             unknown[account] = more
@@ -201,7 +201,7 @@
             code=code,
             step=step.number,
             steps=len(steps),
-            use=list(self.read_use(account)),
+            use=list(self.get_usage(account)),
             unknown=list(self._unknown.get(account, ZERO_SIZE)),
             quota=list(self._quotas.read(account).quota),
             version=self._version,
--- a/src/damaskdeck/coordination/pools/accountmetrics.py
+++ b/src/damaskdeck/coordination/pools/accountmetrics.py
@@ -3,10 +3,10 @@
 from collections import Counter
 from collections.abc import Callable
 
-from damaskdeck.coordination.pools.ordering import find_objective
+from damaskdeck.coordination.pools.urgency import find_objective
 from damaskdeck.metrics import count_account_job, set_account
-from damaskdeck.protocol.queues import QueuedState
-from damaskdeck.state.board import Board, Job
+from damaskdeck.protocol.queues import QueueJobState
+from damaskdeck.state.pooljobs import Job, JobIndex
 
 # The state of accounts is told so often: what reads metrics comes every few seconds.
 TELL_SECONDS = 1.0
@@ -19,34 +19,34 @@
 class AccountMetrics:
     """Tells the waiting, running and ended jobs of accounts.
 
-    :param board: the jobs of the owner.
+    :param job_index: the jobs of the owner.
     :param read_running: returns the millicores that run of an account.
     """
 
-    def __init__(self, board: Board, read_running: Callable[[str], int]) -> None:
-        self._board = board
+    def __init__(self, job_index: JobIndex, read_running: Callable[[str], int]) -> None:
+        self._job_index = job_index
         self._read_running = read_running
         self._names: set[str] = set()
         self._told_at = float("-inf")
 
-    def note_end(self, job: Job) -> None:
+    def record_end(self, job: Job) -> None:
         """Count a job that has ended, late or not by its estimates."""
         if not job.record.account:
             return
         outcome = str(job.final)
-        if job.final is QueuedState.COMPLETED:
+        if job.final is QueueJobState.COMPLETED:
             took = job.final_at - job.arrived_at
             if took > find_objective(job.queue, job.record.spec):
                 outcome = "late"
         count_account_job(self._name(job.record.account), outcome)
 
-    def tell(self, now: float) -> None:
+    def publish(self, now: float) -> None:
         """Tell how much of each account waits and runs, once in a while."""
         if now - self._told_at < TELL_SECONDS:
             return
         self._told_at = now
         waiting: Counter[str] = Counter()
-        for job in self._board.open.values():
+        for job in self._job_index.open_jobs.values():
             if job.record.account:
                 waiting[job.record.account] += not job.has_started
         sums: dict[str, tuple[int, int]] = dict.fromkeys(self._names, (0, 0))
--- a/src/damaskdeck/coordination/pools/advising.py
+++ b/src/damaskdeck/coordination/pools/advice.py
@@ -17,9 +17,9 @@
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_retry, observe_latency
 from damaskdeck.protocol.messages import Answered, Peers
-from damaskdeck.protocol.poolcalls import AdviceReply, AskAdvice
-from damaskdeck.protocol.queues import AdviceTerms
-from damaskdeck.state.board import Step
+from damaskdeck.protocol.poolmessages import GetAdvice, GetAdviceReply
+from damaskdeck.protocol.queues import AdvisorTiming
+from damaskdeck.state.pooljobs import Step
 
 # Workers that a question may name.
 QUESTION_LIMIT = 100
@@ -37,7 +37,7 @@
 _log = get_logger("advising")
 
 
-class Verdicts:
+class StepAdvice:
     """What is known of one step.
 
     :ivar tickets: by worker: ticket and until when it is good, monotonic seconds.
@@ -66,7 +66,7 @@
         none = ("", 0.0)
         return [worker for worker in among if tickets.get(worker, none)[1] > limit]
 
-    def drop(self, worker: str) -> None:
+    def discard_ticket(self, worker: str) -> None:
         """Forget a ticket that was turned down; the verdict stays."""
         ticket, _ = self.tickets.get(worker, ("", 0.0))
         if ticket:
@@ -92,15 +92,15 @@
 class _Question(NamedTuple):
     step: Step
     workers: tuple[str, ...]
-    terms: AdviceTerms
+    terms: AdvisorTiming
 
     @property
     def duration(self) -> timedelta:
         """What the advisor needs for it."""
-        return self.terms.base + self.terms.each * len(self.workers)
+        return self.terms.base + self.terms.per_worker * len(self.workers)
 
 
-class AdviceDesk:
+class AdviceScheduler:
     """Asks for verdicts through all daemons; lives as long as an owner's mandate.
 
     :param list_askers: names of the daemons that are up.
@@ -118,7 +118,7 @@
         self._clock = clock
         self._list_askers = list_askers
         self._wake = wake
-        self._verdicts: dict[str, Verdicts] = {}
+        self._verdicts: dict[str, StepAdvice] = {}
         self._consents: dict[str, Consents] = {}
         self._queue: list[tuple[float, int, _Question]] = []
         self._numbers = itertools.count()
@@ -126,14 +126,14 @@
         self._paused: dict[str, float] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def get(self, step: Step) -> Verdicts:
+    def get(self, step: Step) -> StepAdvice:
         """Return what is known of a step."""
         found = self._verdicts.get(step.name)
         if found is None:
-            found = self._verdicts[step.name] = Verdicts()
+            found = self._verdicts[step.name] = StepAdvice()
         return found
 
-    def forget(self, step: Step) -> None:
+    def discard(self, step: Step) -> None:
         """Drop what is known of a step that needs no start any more."""
         self._verdicts.pop(step.name, None)
 
@@ -202,13 +202,13 @@
 
     async def _send(self, asker: str, question: _Question) -> None:
         step, timeout = question.step, question.duration + ANSWER_SLACK
-        message: AskAdvice = {
+        message: GetAdvice = {
             "step": step.name,
             "workers": list(question.workers),
             "timeout": round(timeout / timedelta(milliseconds=1)),
         }
         sent = self._clock.monotonic().total_seconds()
-        reply = await self._peers.call(asker, message, AskAdvice, timeout)
+        reply = await self._peers.call(asker, message, GetAdvice, timeout)
         del self._busy[asker]
         self.get(step).asked.difference_update(question.workers)
         now = self._clock.monotonic().total_seconds()
@@ -225,9 +225,9 @@
         self.dispatch()
         self._wake(step)
 
-    def _take(self, question: _Question, reply: AdviceReply, now: float) -> None:
-        verdicts = self.get(question.step)
-        until = now + question.terms.validity.total_seconds()
+    def _take(self, question: _Question, reply: GetAdviceReply, now: float) -> None:
+        step_advice = self.get(question.step)
+        until = now + question.terms.ticket_validity.total_seconds()
         consents = dict(reply["consents"])
         queue = question.step.job.queue.name
         known = self._consents.get(queue, Consents())
@@ -236,9 +236,9 @@
         )
         for worker in question.workers:
             if worker in consents:
-                verdicts.tickets[worker] = (consents[worker], until)
+                step_advice.tickets[worker] = (consents[worker], until)
             else:
-                verdicts.refused.add(worker)
+                step_advice.refused.add(worker)
 
     def close(self) -> None:
         """Stop asking."""
--- a/src/damaskdeck/coordination/pools/asking.py
+++ b/src/damaskdeck/coordination/pools/adviceplanner.py
@@ -4,18 +4,18 @@
 from collections.abc import Callable, Iterator
 from random import Random
 
-from damaskdeck.coordination.pools.advising import (
+from damaskdeck.coordination.pools.advice import (
     QUESTION_LIMIT,
-    AdviceDesk,
-    Verdicts,
+    AdviceScheduler,
+    StepAdvice,
 )
 from damaskdeck.coordination.pools.contacts import WorkerContact
-from damaskdeck.coordination.pools.ordering import Outlook, Urgency
-from damaskdeck.coordination.pools.placing import count_fitting
+from damaskdeck.coordination.pools.planning import count_fitting
+from damaskdeck.coordination.pools.urgency import DeadlineStatus, Urgency
 from damaskdeck.protocol.pools import PoolWorker
-from damaskdeck.protocol.queues import AdviceTerms
+from damaskdeck.protocol.queues import AdvisorTiming
 from damaskdeck.protocol.sizes import fits
-from damaskdeck.state.board import Step
+from damaskdeck.state.pooljobs import Step
 
 # Tickets are asked for anew so long before they end, beyond the call's duration.
 REFRESH_SLACK_SECONDS = 0.3
@@ -39,14 +39,16 @@
     """
 
     def __init__(
-        self, desk: AdviceDesk, get_contacts: Callable[[], dict[str, WorkerContact]]
+        self,
+        advice_scheduler: AdviceScheduler,
+        get_contacts: Callable[[], dict[str, WorkerContact]],
     ) -> None:
-        self._desk = desk
+        self._advice_scheduler = advice_scheduler
         self._get_contacts = get_contacts
 
     def list_possible(self, step: Step, pool: str) -> Iterator[PoolWorker]:
         """Yield the workers that may get tasks of a step, as far as is known."""
-        refused = self._desk.get(step).refused
+        refused = self._advice_scheduler.get(step).refused
         for contact in self._get_contacts().values():
             info = contact.info
             is_staying = contact.is_listed and not info.is_leaving
@@ -72,31 +74,33 @@
         terms = step.job.queue.advice
         if terms is None:
             return
-        verdicts = self._desk.get(step)
-        if verdicts.asked or now < verdicts.complete_until:
+        step_advice = self._advice_scheduler.get(step)
+        if step_advice.asked or now < step_advice.complete_until:
             return
         is_far_down = place >= REFRESH_STEPS and not kept
-        if is_far_down and (verdicts.tickets or urgency.outlook is Outlook.LOST):
+        if is_far_down and (
+            step_advice.tickets or urgency.deadline_status is DeadlineStatus.LOST
+        ):
             return
-        wanted = self._list_ending(step, pool, verdicts, terms, now)
+        wanted = self._list_ending(step, pool, step_advice, terms, now)
         if kept:
             wanted = [key for key in wanted if key in kept]
-        elif lacks_room or not verdicts.tickets:
-            wanted += self._choose_new(step, pool, verdicts)
+        elif lacks_room or not step_advice.tickets:
+            wanted += self._choose_new(step, pool, step_advice)
         if not wanted:
             if lacks_room:
-                verdicts.complete_until = now + ASK_INTERVAL_SECONDS
+                step_advice.complete_until = now + ASK_INTERVAL_SECONDS
             return
         weight = terms.base.total_seconds() + max(urgency.slack, 0.0) / 10
         for part in self._split(wanted):
-            self._desk.ask(step, part, weight)
+            self._advice_scheduler.ask(step, part, weight)
 
     def _list_ending(
         self,
         step: Step,
         pool: str,
-        verdicts: Verdicts,
-        terms: AdviceTerms,
+        step_advice: StepAdvice,
+        terms: AdvisorTiming,
         now: float,
     ) -> list[str]:
         """List the workers whose tickets are about to end.
@@ -104,14 +108,14 @@
         None as long as all last; else also those that end a little later.
         """
         limit = now + REFRESH_SLACK_SECONDS + terms.base.total_seconds()
-        ends = {key: until for key, (_, until) in verdicts.tickets.items()}
+        ends = {key: until for key, (_, until) in step_advice.tickets.items()}
         if not any(until < limit for until in ends.values()):
             return []
         limit += REFRESH_SLACK_SECONDS
         possible = (info.identifier for info in self.list_possible(step, pool))
         return [key for key in possible if ends.get(key, math.inf) < limit]
 
-    def _choose_new(self, step: Step, pool: str, verdicts: Verdicts) -> list[str]:
+    def _choose_new(self, step: Step, pool: str, step_advice: StepAdvice) -> list[str]:
         """Choose workers without a verdict: as many as should hold the step.
 
         All where a question can name them. Else first those in the zones that the job
@@ -125,7 +129,7 @@
                 tasks, count_fitting(spec, contacts[info.identifier].free)
             )
             for info in self.list_possible(step, pool)
-            if info.identifier not in verdicts.tickets and fits(spec.size, info.size)
+            if info.identifier not in step_advice.tickets and fits(spec.size, info.size)
         }
 
         if len(rooms) <= QUESTION_SIZE:
@@ -136,7 +140,7 @@
 
         shuffled = list(rooms)
         Random(step.name).shuffle(shuffled)
-        needed = NEW_MARGIN * tasks / self._desk.find_consents(step).share
+        needed = NEW_MARGIN * tasks / self._advice_scheduler.find_consents(step).share
         chosen: list[str] = []
         for key in sorted(shuffled, key=rank):
             if needed <= 0 and len(chosen) >= QUESTION_SIZE:
@@ -153,7 +157,7 @@
         """
         least = math.ceil(len(wanted) / QUESTION_LIMIT)
         most = math.ceil(len(wanted) / QUESTION_SIZE)
-        askers = int(ASKERS_SHARE * self._desk.count_free())
+        askers = int(ASKERS_SHARE * self._advice_scheduler.count_free())
         parts = max(least, min(most, askers))
         size = math.ceil(len(wanted) / parts)
         return [wanted[at : at + size] for at in range(0, len(wanted), size)]
--- a/src/damaskdeck/coordination/pools/candidates.py
+++ b/src/damaskdeck/coordination/pools/candidates.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable, Iterator
 
 from damaskdeck.coordination.pools.contacts import WorkerContact
-from damaskdeck.coordination.pools.paces import Paces
-from damaskdeck.coordination.pools.speeds import Speeds
+from damaskdeck.coordination.pools.slowness import SlowWorkerDetector
+from damaskdeck.coordination.pools.speedranks import SpeedRanks
 from damaskdeck.protocol.sizes import Size
 
 
@@ -42,13 +42,13 @@
     def __init__(
         self,
         contacts: dict[str, WorkerContact],
-        speeds: Speeds,
-        paces: Paces,
+        slow_workers: SlowWorkerDetector,
+        speed_ranks: SpeedRanks,
         now: float,
     ) -> None:
         self._contacts = contacts
-        self._speeds = speeds
-        self._paces = paces
+        self._slow_workers = slow_workers
+        self._speed_ranks = speed_ranks
         self._now = now
         self._found: dict[str, Candidate | None] = {}
 
@@ -70,5 +70,7 @@
         if contact is None or not contact.is_usable(self._now):
             return None
         return Candidate(
-            contact, self._speeds.is_slow(worker, self._now), self._paces.rank(worker)
+            contact,
+            self._slow_workers.is_slow(worker, self._now),
+            self._speed_ranks.rank(worker),
         )
--- a/src/damaskdeck/coordination/pools/changes.py
+++ b/src/damaskdeck/coordination/pools/changeset.py
@@ -7,8 +7,13 @@
 from damaskdeck.coordination.pools.journal import Batch, Journal
 from damaskdeck.logs import get_logger
 from damaskdeck.protocol.transactions import Write
-from damaskdeck.state.board import Board, Job
-from damaskdeck.state.jobrecords import CANCELS, JOBS, PROGRESS, encode_record
+from damaskdeck.state.jobrecords import (
+    CANCELS_PREFIX,
+    JOBS_PREFIX,
+    PROGRESS_PREFIX,
+    encode_record,
+)
+from damaskdeck.state.pooljobs import Job, JobIndex
 
 _log = get_logger("owner")
 
@@ -21,60 +26,64 @@
     CEILINGS = auto()
 
 
-class Changes:
+class ChangeSet:
     """Gathers changes, and tells whom they concern once they are durable.
 
     :param get_journal: returns the journal that commits them.
     :param write: returns what to write of a kind, and what to call once that is
         durable; the call tells whether orders may go to more workers.
-    :param look_again: called when steps may have room that they had not.
+    :param request_full_pass: called when steps may have room that they had not.
     """
 
     def __init__(
         self,
-        board: Board,
+        job_index: JobIndex,
         get_journal: Callable[[], Journal],
         write: Callable[[ChangeKind], tuple[Write, Callable[[], bool]]],
-        look_again: Callable[[], None],
+        request_full_pass: Callable[[], None],
     ) -> None:
-        self._board = board
+        self._job_index = job_index
         self._get_journal = get_journal
         self._write = write
-        self._look_again = look_again
+        self._look_again = request_full_pass
         self._jobs: dict[str, Job] = {}
         self._removed: list[str] = []
         self._contacts: set[WorkerContact] = set()
         self._kinds: set[ChangeKind] = set()
 
-    def note_job(self, job: Job) -> None:
+    def record_job_change(self, job: Job) -> None:
         """Let a job's progress be written."""
         self._jobs[job.identifier] = job
         self._get_journal().wake()
 
-    def note_forgotten(self, job: Job) -> None:
+    def record_job_removal(self, job: Job) -> None:
         """Let all that is stored of a job be removed."""
         key = job.identifier
-        self._removed += [JOBS + key, CANCELS + key, PROGRESS + key]
+        self._removed += [
+            JOBS_PREFIX + key,
+            CANCELS_PREFIX + key,
+            PROGRESS_PREFIX + key,
+        ]
         self._get_journal().wake()
 
-    def note_ends(self, contact: WorkerContact) -> None:
+    def record_worker_ends(self, contact: WorkerContact) -> None:
         """Take note that ends were taken from a worker; wake the journal for them."""
         self._contacts.add(contact)
 
-    def note_roster(self) -> None:
+    def record_roster_change(self) -> None:
         """Let the roster be written."""
         self._kinds.add(ChangeKind.ROSTER)
         self._get_journal().wake()
 
-    def note_cordons(self) -> None:
+    def record_cordon_change(self) -> None:
         """Let the cordons be written; a worker that answers needs its lease."""
         self._kinds.add(ChangeKind.CORDONS)
-        self._get_journal().hasten()
+        self._get_journal().expedite()
 
-    def note_ceilings(self) -> None:
+    def record_ceiling_change(self) -> None:
         """Let the ceilings be written; tasks wait for them."""
         self._kinds.add(ChangeKind.CEILINGS)
-        self._get_journal().hasten()
+        self._get_journal().expedite()
 
     def gather(self) -> Batch | None:
         """Return what has changed since the last call, ``None`` if nothing has."""
@@ -90,17 +99,17 @@
         self._kinds.clear()
         written = [self._write(kind) for kind in kinds]
         writes = [
-            Write(PROGRESS + job.identifier, encode_record(job.summarize()))
+            Write(PROGRESS_PREFIX + job.identifier, encode_record(job.summarize()))
             for job in jobs
-            if job.identifier in self._board.jobs
+            if job.identifier in self._job_index.jobs
         ]
         finals = [(job, job.final) for job in jobs]
         widened = [(j, j.wider_zones) for j in jobs if j.wider_zones is not None]
 
         def finish() -> None:
             for job, final in finals:
-                if final is not None and job.shown != final:
-                    job.shown = final
+                if final is not None and job.visible_state != final:
+                    job.visible_state = final
                     _log.info("A final state is durable.", id=job.identifier)
             for job, zones in widened:
                 job.zones, job.wider_zones = zones, None
