--- a/src/damaskdeck/coordination/pools/contacts.py
+++ b/src/damaskdeck/coordination/pools/contacts.py
@@ -11,15 +11,14 @@
     tell_lost,
 )
 from damaskdeck.coordination.pools.leadership import Leadership
-from damaskdeck.coordination.pools.leases import WorkerLease
-from damaskdeck.coordination.pools.separation import LastOrder
+from damaskdeck.coordination.pools.orderspacing import LastOrder
 from damaskdeck.coordination.pools.times import PoolTimes
-from damaskdeck.coordination.pools.transfers import Mandate
+from damaskdeck.coordination.pools.transfers import OwnerTerm
+from damaskdeck.coordination.pools.workerlease import WorkerLease
 from damaskdeck.delays import LoopDelay
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_retry, observe_latency
 from damaskdeck.protocol.pools import (
-    Contents,
     Declined,
     Done,
     PoolWorker,
@@ -28,6 +27,7 @@
     Replaced,
     StartResult,
     TaskStart,
+    WorkerTasks,
 )
 from damaskdeck.protocol.ports import Lost, Rejected
 from damaskdeck.protocol.queues import TaskName
@@ -35,10 +35,10 @@
     ZERO_SIZE,
     Size,
     add_sizes,
-    join_sizes,
+    compute_max_size,
     subtract_sizes,
 )
-from damaskdeck.state.board import Run, RunPhase
+from damaskdeck.state.pooljobs import Run, RunPhase
 
 # Between two looks at a worker that doesn't answer or whose ends can't be stored.
 SILENT_DELAY = timedelta(milliseconds=150)
@@ -59,7 +59,7 @@
 _log = get_logger("contacts")
 
 RunKey = tuple[TaskName, int]
-HoldResult = Contents | Declined | Replaced | Rejected | Lost | None
+HoldResult = WorkerTasks | Declined | Replaced | Rejected | Lost | None
 
 
 class WorkerContact:
@@ -67,18 +67,18 @@
 
     :ivar info: what the registry says last.
     :ivar is_listed: whether the registry lists it.
-    :ivar is_known: whether its inventory was read under this epoch and it has
+    :ivar is_synchronized: whether its inventory was read under this epoch and it has
         not fallen silent since.
     :ivar is_gone: whether this life is over for certain.
     :ivar is_cordoned: gets no order; see :mod:`.cordons`.
-    :ivar room_told_at: when its room, as known, was told at the earliest.
-    :ivar most: room that it has had at most; what it runs may have begun by it.
+    :ivar capacity_reported_at: when its room, as known, was told at the earliest.
+    :ivar peak_size: room that it has had at most; what it runs may have begun by it.
     :ivar used: room that its runs take.
     :ivar free: room that no run takes.
     :ivar processed: number of the last end taken from it.
     :ivar observed: number of the last end that is durable.
     :ivar paused_until: no orders before this time.
-    :ivar looked_at: when its last inventory came.
+    :ivar polled_at: when its last inventory came.
     :ivar last_order: what it was last told to start.
     :ivar leaves_at: until when it stays at least, ``None`` unless it said so.
 
@@ -89,7 +89,7 @@
     def __init__(
         self,
         info: PoolWorker,
-        mandate: Mandate,
+        term: OwnerTerm,
         owner: ContactOwner,
         port: PoolWorkers,
         leadership: Leadership,
@@ -99,10 +99,10 @@
         delay: LoopDelay,
     ) -> None:
         self.info = info
-        self.most = info.size
-        self.room_told_at = float("-inf")
+        self.peak_size = info.size
+        self.capacity_reported_at = float("-inf")
         self.is_listed = True
-        self.is_known = False
+        self.is_synchronized = False
         self.is_gone = False
         self.is_cordoned = False
         self._may_extend = True
@@ -121,8 +121,8 @@
         self._known_at = clock.monotonic().total_seconds()
         self.unknown_runs: set[RunKey] = set()
         self.paused_until = 0.0
-        self.looked_at = 0.0
-        self._epoch = mandate.epoch
+        self.polled_at = 0.0
+        self._epoch = term.epoch
         self._owner = owner
         self._port = port
         self._leadership = leadership
@@ -142,7 +142,7 @@
 
         :param told_at: when the worker wrote it at the earliest, monotonic seconds.
         """
-        self.room_told_at = max(self.room_told_at, told_at)
+        self.capacity_reported_at = max(self.capacity_reported_at, told_at)
         if info.is_leaving and not self.info.is_leaving:
             _log.info(
                 "A worker is leaving.",
@@ -161,9 +161,9 @@
             self.leaves_at = None
 
     def _take_size(self, size: Size) -> None:
-        most = join_sizes(self.most, size)
-        if most != self.most:
-            self.most = most
+        peak_size = compute_max_size(self.peak_size, size)
+        if peak_size != self.peak_size:
+            self.peak_size = peak_size
             # A successor must know what a larger room may hold before it is used.
             self.is_rostered = False
 
@@ -171,32 +171,35 @@
         return self._clock.monotonic().total_seconds()
 
     @property
-    def is_read(self) -> bool:
+    def is_reconciled(self) -> bool:
         """Whether its inventory was taken in under this epoch."""
         return self._is_read
 
     @property
     def lease_until(self) -> float:
         """When all that it runs has ended if it never answers again."""
-        return self._lease.over_at
+        return self._lease.expires_at
 
     def _set_used(self, used: Size) -> None:
         self.used = used
         self.free = subtract_sizes(self.info.size, used)
 
-    def is_room_sure(self, now: float) -> bool:
+    def is_capacity_fresh(self, now: float) -> bool:
         """Whether its room can't have shrunk for longer than orders may go by it.
 
         A room may shrink at any moment, and what is read of it is as old as what the
         worker wrote, not as the reading.
         """
-        return now - self.room_told_at < self._times.rooms_sure.total_seconds()
+        return (
+            now - self.capacity_reported_at
+            < self._times.capacity_max_age.total_seconds()
+        )
 
     def is_usable(self, now: float) -> bool:
         """Whether orders may go to it."""
         return (
-            self.is_known
-            and self.is_room_sure(now)
+            self.is_synchronized
+            and self.is_capacity_fresh(now)
             and self.is_listed
             and self.is_rostered
             and not self.is_gone
@@ -210,16 +213,16 @@
 
     def is_silent(self, now: float) -> bool:
         """Whether it has not answered for so long that it isn't one lost answer."""
-        if self.is_known or self.is_gone:
+        if self.is_synchronized or self.is_gone:
             return False
         return (
-            now - self.looked_at > SILENCE_SECONDS or self._failed_looks >= SILENT_LOOKS
+            now - self.polled_at > SILENCE_SECONDS or self._failed_looks >= SILENT_LOOKS
         )
 
     @property
     def age(self) -> float:
         """For how many seconds this life had been known when it was last heard."""
-        return self.looked_at - self._known_at
+        return self.polled_at - self._known_at
 
     @property
     def is_leaving(self) -> bool:
@@ -246,7 +249,7 @@
         self.is_cordoned = False
         self._may_extend = True
         self._look_soon.set()
-        self._owner.note_contact(self)
+        self._owner.handle_contact_change(self)
 
     def _is_slow_to_start(self, now: float) -> bool:
         """Whether an order has been without an answer for longer than is usual."""
@@ -282,18 +285,18 @@
         now = self._now()
         observe_latency("contacts", "start", now - run.ordered_at)
         if isinstance(answer, Done):
-            self._lease.note_clock(answer.clock, now)
-            self.note_running(run, now)
+            self._lease.record_clock(answer.clock, now)
+            self.record_running(run, now)
             return True
         self._take_refusal(run, answer, now)
         return False
 
-    def note_running(self, run: Run, now: float) -> None:
+    def record_running(self, run: Run, now: float) -> None:
         """Take note that the worker has confirmed a run, or lists it."""
         if run.phase is not RunPhase.RUNNING:
             run.phase = RunPhase.RUNNING
             run.settled_at = now
-            self._owner.note_running(run)
+            self._owner.record_running(run)
 
     def _heed_epoch(self, code: object) -> None:
         """Stop deciding when a worker's refusal says that another owner has."""
@@ -325,11 +328,11 @@
             else:
                 self.paused_until = now + DECLINE_PAUSE_SECONDS
             self.remove_run(run)
-            self._owner.note_vanished(self, run)
+            self._owner.handle_lost_run(self, run)
 
     def _take_decline(self, run: Run, answer: Declined, now: float) -> None:
         if answer.clock is not None:
-            self._lease.note_clock(answer.clock, now)
+            self._lease.record_clock(answer.clock, now)
         self._heed_epoch(answer.code)
         # Without its ticket another step may still start there; else what it knows
         # differs from what we know, and asking at once would only repeat that.
@@ -357,7 +360,7 @@
         answer = await self._port.stop(self.info, self._epoch, task, attempt)
         now = self._now()
         if isinstance(answer, Done):
-            self._lease.note_clock(answer.clock, now)
+            self._lease.record_clock(answer.clock, now)
             if run is not None and run.stopped_at is None:
                 run.stopped_at = now
                 if run.phase is RunPhase.DOUBTFUL:
@@ -393,8 +396,8 @@
     async def _look(self) -> None:
         sent = self._now()
         deadline = self._find_deadline(sent)
-        is_idle = deadline is None and not (self.is_known and self.is_cordoned)
-        wait = timedelta() if is_idle else self._times.hold_wait
+        is_idle = deadline is None and not (self.is_synchronized and self.is_cordoned)
+        wait = timedelta() if is_idle else self._times.poll_wait
         if self._look_soon.is_set():
             self._look_soon.clear()
             wait = timedelta()
@@ -403,7 +406,7 @@
         if answer is None:
             return
         now = self._now()
-        if isinstance(answer, Contents):
+        if isinstance(answer, WorkerTasks):
             self._answer_due = float("inf")
             await self._take_contents(answer, sent, now)
         elif isinstance(answer, Replaced):
@@ -417,7 +420,7 @@
         A silent worker's lease is left alone: who may have been extended can't
         be given up.
         """
-        if not self.is_known or not self._may_extend:
+        if not self.is_synchronized or not self._may_extend:
             return None
         if not self._leadership.may_decide():
             return None
@@ -426,7 +429,7 @@
     async def _hold(self, deadline: timedelta | None, wait: timedelta) -> HoldResult:
         """Hold the lease; ``None`` when there is reason to look again at once."""
         call = asyncio.ensure_future(
-            self._port.hold(self.info, self._epoch, self.observed, deadline, wait)
+            self._port.poll(self.info, self._epoch, self.observed, deadline, wait)
         )
         if not wait:
             return await call
@@ -438,19 +441,21 @@
             soon.cancel()
             call.cancel()
 
-    async def _take_contents(self, answer: Contents, sent: float, now: float) -> None:
-        if not self._lease.is_known:
+    async def _take_contents(
+        self, answer: WorkerTasks, sent: float, now: float
+    ) -> None:
+        if not self._lease.is_synchronized:
             # From now on it refuses the predecessor; what that granted ends first.
-            self._lease.over_at = now + self._times.lease_over.total_seconds()
-        self._lease.note_clock(answer.clock, now)
-        if not self.is_known:
+            self._lease.expires_at = now + self._times.lease_expiry.total_seconds()
+        self._lease.record_clock(answer.clock, now)
+        if not self.is_synchronized:
             _log.info("A worker answers.", worker=self.info.identifier)
         before = self.processed
-        self.looked_at = now
+        self.polled_at = now
         self._failed_looks = 0
         take_inventory(self, self._owner, answer, sent, now)
-        self.is_known = self._is_read = True
-        self._owner.note_contact(self)
+        self.is_synchronized = self._is_read = True
+        self._owner.handle_contact_change(self)
         if self.processed == before and self.observed == self.processed:
             return
         if await self._owner.wait_until_durable(self):
@@ -460,8 +465,8 @@
         code = getattr(answer, "code", "")
         self._heed_epoch(code)
         self._failed_looks += 1
-        if self.is_known:
-            self.is_known = False
+        if self.is_synchronized:
+            self.is_synchronized = False
             _log.warn(
                 "A worker does not answer.",
                 worker=self.info.identifier,
@@ -484,23 +489,23 @@
         if self.runs:
             _log.warn("A worker's lease is over.", worker=self.info.identifier)
             self._drop_runs("lease_over")
-        self._owner.note_contact(self)
+        self._owner.handle_contact_change(self)
 
     def _end_life(self) -> None:
         if self.is_gone:
             return
         _log.info("A worker's life is over.", worker=self.info.identifier)
         self.is_gone = True
-        self.is_known = False
+        self.is_synchronized = False
         self._gone_at = self._now()
         self._look_soon.set()
-        self._owner.note_contact(self)
+        self._owner.handle_contact_change(self)
 
     async def _settle_end(self) -> None:
         """Give up what ran in a life that is over, as after a lapse."""
         if await self._leadership.is_confirmed_since(self._gone_at):
             self._drop_runs("life_over")
-            self._owner.note_contact(self)
+            self._owner.handle_contact_change(self)
         else:
             await self._clock.sleep(SILENT_DELAY)
 
@@ -510,8 +515,8 @@
         for run in lost:
             tell_lost(self, run, reason)
             self.remove_run(run)
-            self._owner.note_vanished(self, run)
+            self._owner.handle_lost_run(self, run)
         if self.is_gone or not self.is_listed:
             # No end will ever tell of them: a task must not take one worker after
             # the other down for want of a failure that counts.
-            self._owner.note_crash(self, lost)
+            self._owner.record_crash(self, lost)
--- a/src/damaskdeck/coordination/pools/cordons.py
+++ b/src/damaskdeck/coordination/pools/cordons.py
@@ -83,7 +83,7 @@
         if contact is None or contact.is_gone:
             return True
         if cordon.is_silent:
-            return contact.is_known
+            return contact.is_synchronized
         # What is no longer listed has left, whatever it said last.
         return contact.is_listed and not contact.is_leaving
 
--- a/src/damaskdeck/coordination/pools/crashes.py
+++ b/src/damaskdeck/coordination/pools/crashes.py
@@ -12,9 +12,9 @@
 from damaskdeck.coordination.pools.contacts import WorkerContact
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_drop
-from damaskdeck.protocol.queues import QueuedState
-from damaskdeck.state.board import Board, Job, Run, RunPhase, Step, Task
+from damaskdeck.protocol.queues import QueueJobState
 from damaskdeck.state.jobrecords import CordonedRun
+from damaskdeck.state.pooljobs import Job, JobIndex, Run, RunPhase, Step, Task
 
 # A worker that was heard for longer after a start didn't crash because of it.
 EARLY_SECONDS = 1.0
@@ -37,9 +37,9 @@
 class CrashOwner(Protocol):
     """What is asked of the owner whose tasks crash workers."""
 
-    board: Board
+    job_index: JobIndex
 
-    def end_job(self, job: Job, state: QueuedState, reason: str) -> None:
+    def end_job(self, job: Job, state: QueueJobState, reason: str) -> None:
         """Give a job its final state."""
 
     def mark_dirty(self, job: Job) -> None:
@@ -68,7 +68,7 @@
     def __init__(self, owner: CrashOwner) -> None:
         self._owner = owner
 
-    def note_crash(self, contact: WorkerContact, lost: Iterable[Run]) -> None:
+    def record_crash(self, contact: WorkerContact, lost: Iterable[Run]) -> None:
         """Take note of what went with a worker that is gone.
 
         :param lost: runs that it had taken, or may have.
@@ -85,32 +85,35 @@
         )
         for run in taken:
             step = run.task.step
-            if step.spec.is_lasting and _measure_life(contact, run) >= WELL_SECONDS:
-                step.forget_crashes(run.task)
+            if (
+                step.spec.is_long_running
+                and _measure_life(contact, run) >= WELL_SECONDS
+            ):
+                step.clear_crashes(run.task)
                 self._owner.mark_dirty(step.job)
             else:
                 self._count(step, run.task, run.attempt, run in suspected)
 
-    def note_inherited(self, runs: Iterable[CordonedRun]) -> None:
+    def record_inherited(self, runs: Iterable[CordonedRun]) -> None:
         """Take note of what the owner before has written of a worker that is gone.
 
         Of a task that lasts it isn't known how long it had been at work.
         """
         for run in runs:
-            task = self._owner.board.find_task(run.task)
-            if task is None or task.is_completed or task.step.spec.is_lasting:
+            task = self._owner.job_index.find_task(run.task)
+            if task is None or task.is_completed or task.step.spec.is_long_running:
                 continue
             self._count(task.step, task, run.attempt, False)
 
     def _count(self, step: Step, task: Task, attempt: int, is_suspected: bool) -> None:
-        step.note_crash(task, attempt, is_suspected)
+        step.record_crash(task, attempt, is_suspected)
         job = step.job
         self._owner.mark_dirty(job)
         count = CrashCount(*step.count_crashes(task))
         if count.is_enough and not job.is_final:
             reason = f"{count.crashes} workers crashed under task {task.name[1:]}"
             count_drop("crashes", "given_up")
-            self._owner.end_job(job, QueuedState.FAILED, reason)
+            self._owner.end_job(job, QueueJobState.FAILED, reason)
 
 
 def _may_have_crashed(run: Run) -> bool:
@@ -130,7 +133,7 @@
     return [
         run
         for run in confirmed
-        if not run.is_found
+        if not run.is_adopted
         and last - run.ordered_at <= AT_ONCE_SECONDS
         and _measure_life(contact, run) <= EARLY_SECONDS
     ]
@@ -138,5 +141,5 @@
 
 def _measure_life(contact: WorkerContact, run: Run) -> float:
     """Return for how many seconds a run's worker was heard after its order."""
-    heard_at = max(contact.looked_at, run.settled_at)
+    heard_at = max(contact.polled_at, run.settled_at)
     return heard_at - run.ordered_at
--- a/src/damaskdeck/coordination/pools/declarations.py
+++ b/src/damaskdeck/coordination/pools/declarations.py
@@ -7,10 +7,10 @@
 from damaskdeck.clock import Clock
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import set_revision
-from damaskdeck.protocol.pools import Declared, QueueSource
-from damaskdeck.protocol.ports import Lost, Rejected, TooOld
+from damaskdeck.protocol.pools import DeclaredQueues, QueueSource
+from damaskdeck.protocol.ports import Lost, Rejected, RevisionTooOld
 from damaskdeck.protocol.queues import QueueTable
-from damaskdeck.protocol.transactions import Mismatch, TooLong
+from damaskdeck.protocol.transactions import Mismatch, ReplyTooLarge
 
 RETRY_DELAY = timedelta(milliseconds=100)
 # With what a silent channel takes to be noticed it stays below the bound in which
@@ -28,7 +28,7 @@
 # beyond this is left out of what commits expect.
 WIDE_DOCUMENT_BYTES = 32_768
 # Longest answer to a commit that expects the document, of which it takes up 4/3.
-COMMIT_ANSWER_BYTES = 65_536
+MAX_COMMIT_REPLY_BYTES = 65_536
 
 _log = get_logger("declarations")
 
@@ -43,7 +43,7 @@
     The document is read by one call at a time, and only when it has changed: copies
     of a wide one would share a narrow link, and come too late together.
 
-    :param keys_sure: how old a confirmation may be for keys to be judged; ``None``
+    :param keys_max_age: how old a confirmation may be for keys to be judged; ``None``
         where nothing depends on it.
     :param in_force: how old it may be for any call to be judged while the store
         answers; ``None`` where nothing depends on it.
@@ -55,17 +55,17 @@
         self,
         source: QueueSource,
         clock: Clock,
-        keys_sure: timedelta | None = None,
+        keys_max_age: timedelta | None = None,
         in_force: timedelta | None = None,
         get_silence: Callable[[], timedelta] = timedelta,
     ) -> None:
         self.table: QueueTable | None = None
         self._source = source
         self._clock = clock
-        self._keys_sure = keys_sure
+        self._keys_sure = keys_max_age
         self._in_force = in_force
         self._get_silence = get_silence
-        limits = [limit for limit in (keys_sure, in_force) if limit is not None]
+        limits = [limit for limit in (keys_max_age, in_force) if limit is not None]
         self._shortest_limit = min(limits, default=None)
         # Revision of the newest document that was seen, and whether it is in force.
         self._document = 0
@@ -77,7 +77,7 @@
         self._confirmed_at = float("-inf")
         self._was_sure = False
 
-    def knows_pool(self, pool: str) -> bool:
+    def is_pool_declared(self, pool: str) -> bool:
         """Tell whether a pool is declared; before any document all may be."""
         return self.table is None or pool in self.table.pools
 
@@ -90,7 +90,7 @@
         """Return the seconds since the document was the newest for certain."""
         return self._now() - self._confirmed_at
 
-    def is_sure(self, limit: timedelta | None) -> bool:
+    def is_fresh(self, limit: timedelta | None) -> bool:
         """Whether the document was the newest within ``limit``; ``None`` is no limit.
 
         The clock counts suspends. Whatever was sent before this is asked was sent
@@ -105,24 +105,24 @@
         A daemon that the store doesn't answer can't learn of a newer one: it goes on
         by what it has.
         """
-        if self._in_force is None or self.is_sure(self._in_force):
+        if self._in_force is None or self.is_fresh(self._in_force):
             return True
         return self._get_silence() > self._in_force * SILENCE_SHARE
 
     @property
-    def may_serve(self) -> bool:
+    def can_verify_keys(self) -> bool:
         """Whether callers' keys may be judged by the document in force."""
-        is_sure = self.is_sure(self._keys_sure) and self.is_current
-        if is_sure is not self._was_sure:
-            self._was_sure = is_sure
+        is_fresh = self.is_fresh(self._keys_sure) and self.is_current
+        if is_fresh is not self._was_sure:
+            self._was_sure = is_fresh
             _log.info(
                 "The document in force is sure."
-                if is_sure
+                if is_fresh
                 else "The document in force may not be the newest.",
                 version=self.table.version if self.table else 0,
                 age=round(min(self.measure_age(), 1e6), 3),
             )
-        return is_sure
+        return is_fresh
 
     @property
     def expected(self) -> tuple[tuple[str, int], ...]:
@@ -144,7 +144,7 @@
         if expected and expected == self.expected:
             self._confirmed_at = max(self._confirmed_at, sent)
 
-    def note_mismatch(self, done: Mismatch, sent: float) -> bool:
+    def handle_mismatch(self, done: Mismatch, sent: float) -> bool:
         """Take the document that a refused commit shows; whether it is another one."""
         entry = done.find(self._source.key)
         if entry is None or entry.revision == self._document:
@@ -152,7 +152,7 @@
         self._apply(self._source.decode(entry), sent)
         return True
 
-    def note_unread(self) -> None:
+    def handle_unread_document(self) -> None:
         """Take note that what refused a commit was too long to be read."""
         self._is_behind = True
 
@@ -172,34 +172,34 @@
                 answer = await self._read()
             else:
                 answer = await self._source.follow_queues(revision, WATCH_WAIT)
-                if isinstance(answer, Declared):
+                if isinstance(answer, DeclaredQueues):
                     self._apply(answer, None)
-            if isinstance(answer, Declared):
+            if isinstance(answer, DeclaredQueues):
                 # Before any document there is nothing to follow from.
                 revision = answer.revision if self.table is not None else 0
-            elif isinstance(answer, TooOld | TooLong):
+            elif isinstance(answer, RevisionTooOld | ReplyTooLarge):
                 revision = 0
-            is_followed = isinstance(answer, Declared) and revision
-            if not is_followed and not isinstance(answer, TooLong):
+            is_followed = isinstance(answer, DeclaredQueues) and revision
+            if not is_followed and not isinstance(answer, ReplyTooLarge):
                 await self._clock.sleep(RETRY_DELAY)
 
     async def _keep_sure(self, limit: timedelta) -> None:
         while True:
             await self._clock.sleep(REFRESH_INTERVAL)
-            is_due = self._is_behind or not self.is_sure(limit * REFRESH_SHARE)
+            is_due = self._is_behind or not self.is_fresh(limit * REFRESH_SHARE)
             if is_due and not self._reading.locked():
                 await self._read()
 
-    async def _read(self) -> Declared | Rejected | Lost:
+    async def _read(self) -> DeclaredQueues | Rejected | Lost:
         async with self._reading:
             sent = self._now()
             answer = await self._source.read_queues(self._document)
-            if isinstance(answer, Declared):
+            if isinstance(answer, DeclaredQueues):
                 self._is_behind = False
                 self._apply(answer, sent)
             return answer
 
-    def _apply(self, declared: Declared, sent: float | None) -> None:
+    def _apply(self, declared: DeclaredQueues, sent: float | None) -> None:
         """Put a newer document in force.
 
         :param sent: when the question was sent that this answers, monotonic
--- a/src/damaskdeck/coordination/pools/relaying.py
+++ b/src/damaskdeck/coordination/pools/delegatedcommits.py
@@ -11,13 +11,13 @@
 import msgspec
 
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.pools.health import HealthyStore
-from damaskdeck.coordination.pools.helpers import Helpers
+from damaskdeck.coordination.pools.delegates import Delegates
+from damaskdeck.coordination.pools.monitoredstore import MonitoredStore
 from damaskdeck.errors import DECODE_ERRORS
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_retry
 from damaskdeck.protocol.messages import Answered, Peers, Unsent
-from damaskdeck.protocol.poolcalls import RelayCommit, RelayedReply
+from damaskdeck.protocol.poolmessages import DelegateCommit, DelegateCommitReply
 from damaskdeck.protocol.ports import Entry, Lapsed, Lost, Rejected, Written
 from damaskdeck.protocol.transactions import CommitResult, Mismatch, Transaction
 
@@ -33,22 +33,22 @@
 _decoder = msgspec.msgpack.Decoder(Transaction)
 
 
-class RelayedStore:
+class DelegatingStore:
     """Commits through the store, and through other daemons while that fails."""
 
     def __init__(
         self,
-        store: HealthyStore,
+        store: MonitoredStore,
         peers: Peers,
         clock: Clock,
-        helpers: Helpers,
+        delegates: Delegates,
     ) -> None:
         self._store = store
         self._peers = peers
         self._clock = clock
-        self._helpers = helpers
+        self._delegates = delegates
         self._helped_at = float("-inf")
-        peers.register(RelayCommit, self._commit_for)
+        peers.register(DelegateCommit, self._commit_for)
 
     @property
     def entry_limit(self) -> int:
@@ -59,30 +59,30 @@
         self, transaction: Transaction, timeout: timedelta | None = None
     ) -> CommitResult:
         """Make changes that take effect together or not at all."""
-        helpers = self._helpers.choose(1) if self._store.is_failing else []
-        if not helpers:
+        delegates = self._delegates.choose(1) if self._store.is_failing else []
+        if not delegates:
             return await self._store.commit(transaction, timeout)
-        helper = helpers[0]
-        done = await self.commit_through(helper, transaction)
+        delegate = delegates[0]
+        done = await self.commit_via_delegate(delegate, transaction)
         if isinstance(done, Rejected | Lost):
-            self._helpers.rest(helper)
+            self._delegates.suspend(delegate)
             count_retry("relay", done.code)
         else:
             self._helped_at = self._now()
         return done
 
     @property
-    def is_helped(self) -> bool:
+    def is_delegating(self) -> bool:
         """Whether the store fails here and answers another daemon."""
         is_recent = self._now() - self._helped_at < HELPED_SECONDS
         return is_recent and self._store.is_failing
 
-    async def commit_through(
-        self, helper: str, transaction: Transaction
+    async def commit_via_delegate(
+        self, delegate: str, transaction: Transaction
     ) -> CommitResult:
         """Let another daemon make a commit."""
-        message: RelayCommit = {"transaction": _encoder.encode(transaction)}
-        reply = await self._peers.call(helper, message, RelayCommit, RELAY_TIMEOUT)
+        message: DelegateCommit = {"transaction": _encoder.encode(transaction)}
+        reply = await self._peers.call(delegate, message, DelegateCommit, RELAY_TIMEOUT)
         done = _read_reply(reply.message) if isinstance(reply, Answered) else None
         if done is None:
             code = "" if isinstance(reply, Answered) else reply.code
@@ -92,7 +92,9 @@
     def _now(self) -> float:
         return self._clock.monotonic().total_seconds()
 
-    async def _commit_for(self, peer: str, message: RelayCommit) -> RelayedReply:
+    async def _commit_for(
+        self, peer: str, message: DelegateCommit
+    ) -> DelegateCommitReply:
         if self._store.is_failing:
             return {"outcome": "rejected", "code": "store_failing"}
         try:
@@ -105,7 +107,7 @@
         return _build_reply(done)
 
 
-def _build_reply(done: CommitResult) -> RelayedReply:
+def _build_reply(done: CommitResult) -> DelegateCommitReply:
     if isinstance(done, Written):
         return {"outcome": "written", "code": "", "revision": done.revision}
     if isinstance(done, Mismatch):
@@ -117,7 +119,7 @@
     return {"outcome": outcome, "code": done.code}
 
 
-def _read_reply(reply: RelayedReply) -> CommitResult:
+def _read_reply(reply: DelegateCommitReply) -> CommitResult:
     outcome, code = reply["outcome"], reply["code"]
     if outcome == "written":
         return Written(reply.get("revision", 0))
--- a/src/damaskdeck/coordination/pools/helpers.py
+++ b/src/damaskdeck/coordination/pools/delegates.py
@@ -7,14 +7,14 @@
 REST_SECONDS = 1.0
 
 
-class Helpers:
+class Delegates:
     """The other daemons, the owner first, without those that could not help lately."""
 
     def __init__(self, instance: str, leadership: Leadership, clock: Clock) -> None:
         self._instance = instance
         self._leadership = leadership
         self._clock = clock
-        self._rests: dict[str, float] = {}
+        self._suspended_until: dict[str, float] = {}
 
     def _now(self) -> float:
         return self._clock.monotonic().total_seconds()
@@ -29,10 +29,10 @@
         rested = [
             name
             for name in names
-            if name != self._instance and self._rests.get(name, 0.0) <= now
+            if name != self._instance and self._suspended_until.get(name, 0.0) <= now
         ]
         return rested[:count]
 
-    def rest(self, name: str) -> None:
+    def suspend(self, name: str) -> None:
         """Leave one alone that could not help."""
-        self._rests[name] = self._now() + REST_SECONDS
+        self._suspended_until[name] = self._now() + REST_SECONDS
--- a/src/damaskdeck/coordination/pools/intake.py
+++ b/src/damaskdeck/coordination/pools/intake.py
@@ -6,24 +6,24 @@
 
 from damaskdeck.background import start_task
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.pools.dispatching import Dispatcher
+from damaskdeck.coordination.pools.dispatcher import Dispatcher
 from damaskdeck.coordination.pools.leadership import RETRY_DELAY, Leadership
-from damaskdeck.coordination.pools.transfers import Mandate
+from damaskdeck.coordination.pools.transfers import OwnerTerm
 from damaskdeck.errors import MessageError
 from damaskdeck.logs import get_logger
-from damaskdeck.protocol.ports import Entry, Events, TooOld
+from damaskdeck.protocol.ports import Entry, Events, RevisionTooOld
 from damaskdeck.protocol.transactions import TransactionalStore, read_all
-from damaskdeck.state.board import Board, Job
 from damaskdeck.state.jobrecords import (
-    CANCELS,
-    INBOX,
-    JOBS,
-    PROGRESS,
+    CANCELS_PREFIX,
+    INBOX_PREFIX,
+    JOBS_PREFIX,
+    PROGRESS_PREFIX,
     JobRecord,
     ProgressRecord,
     decode_job,
     decode_progress,
 )
+from damaskdeck.state.pooljobs import Job, JobIndex
 
 # Jobs come by messages of the daemons that took them; the watch is the safety net.
 INBOX_INTERVAL = timedelta(milliseconds=200)
@@ -37,14 +37,14 @@
 class IntakeOwner(Protocol):
     """What taking jobs in asks of their owner."""
 
-    mandate: Mandate
-    board: Board
+    term: OwnerTerm
+    job_index: JobIndex
     dispatcher: Dispatcher
 
     def now(self) -> float:
         """Return monotonic seconds."""
 
-    def may_be_started(self, job: Job) -> bool:
+    def may_have_started(self, job: Job) -> bool:
         """Whether a predecessor may have started a job without our knowing."""
 
     def cancel(self, job: Job) -> None:
@@ -79,7 +79,7 @@
         """Read all jobs and their progress."""
         # Nobody else writes progress under this mandate, so their order is free.
         progress, (inbox, self._inbox_revision) = await asyncio.gather(
-            self._read_all(PROGRESS), self._read_all(INBOX)
+            self._read_all(PROGRESS_PREFIX), self._read_all(INBOX_PREFIX)
         )
         known: dict[str, ProgressRecord] = {}
         for entry in progress[0]:
@@ -95,7 +95,7 @@
             await self._clock.sleep(RETRY_DELAY)
 
     def _decode_progress(self, entry: Entry, known: dict[str, ProgressRecord]) -> None:
-        identifier = entry.key.removeprefix(PROGRESS)
+        identifier = entry.key.removeprefix(PROGRESS_PREFIX)
         try:
             known[identifier] = decode_progress(entry.value)
         except MessageError as error:
@@ -118,10 +118,10 @@
         self, key: str, value: bytes | None, known: dict[str, ProgressRecord]
     ) -> None:
         try:
-            if key.startswith(JOBS) and value is not None:
+            if key.startswith(JOBS_PREFIX) and value is not None:
                 self.take_job(value, known)
-            elif key.startswith(CANCELS) and value is not None:
-                self._take_cancel(key.removeprefix(CANCELS))
+            elif key.startswith(CANCELS_PREFIX) and value is not None:
+                self._take_cancel(key.removeprefix(CANCELS_PREFIX))
         except MessageError as error:
             _log.error(
                 "A record can't be read.", key=key, code=error.code, error=str(error)
@@ -136,14 +136,14 @@
         """
         record = decode_job(value)
         identifier = record.identifier
-        if identifier in self._owner.board.jobs or identifier in self._unreadable:
+        if identifier in self._owner.job_index.jobs or identifier in self._unreadable:
             return
-        if record.epoch > self._owner.mandate.epoch:
+        if record.epoch > self._owner.term.epoch:
             # Its owner may start it where nobody has heard of that epoch yet.
             start_task(self._doubt_epoch(record), self._doubts)
             return
         now = self._owner.now()
-        age = self._clock.now().timestamp() - record.taken_at
+        age = self._clock.now().timestamp() - record.accepted_at
         job = Job(record, now - min(max(age, 0.0), OLDEST_ARRIVAL_SECONDS))
         progress = (known or {}).get(identifier)
         if progress is not None:
@@ -152,11 +152,11 @@
             except MessageError as error:
                 self._hold_back(identifier, str(error))
                 return
-        job.is_unsure = self._owner.may_be_started(job)
-        self._owner.board.add(job)
+        job.has_unconfirmed_runs = self._owner.may_have_started(job)
+        self._owner.job_index.add(job)
         if identifier in self._cancelled:
             self._owner.cancel(job)
-        self._owner.dispatcher.take(job)
+        self._owner.dispatcher.add_job(job)
 
     async def _doubt_epoch(self, record: JobRecord) -> None:
         """Settle whether a job's newer owner exists: this one is deposed then.
@@ -168,7 +168,7 @@
             "A job is stored for a newer owner.",
             id=record.identifier,
             epoch=record.epoch,
-            own=self._owner.mandate.epoch,
+            own=self._owner.term.epoch,
         )
         while not await self._leadership.is_confirmed_since(met):
             await self._clock.sleep(RETRY_DELAY)
@@ -182,20 +182,22 @@
 
     def _take_cancel(self, identifier: str) -> None:
         self._cancelled.add(identifier)
-        job = self._owner.board.jobs.get(identifier)
+        job = self._owner.job_index.jobs.get(identifier)
         if job is not None:
             self._owner.cancel(job)
 
     async def follow(self) -> None:
         """Take in what daemons store, until cancelled: messages may be lost."""
         while True:
-            answer = await self._store.watch(INBOX, self._inbox_revision, WATCH_WAIT)
+            answer = await self._store.watch(
+                INBOX_PREFIX, self._inbox_revision, WATCH_WAIT
+            )
             if isinstance(answer, Events):
                 self._inbox_revision = answer.revision
                 for event in answer.events:
                     self._apply_inbox(event.key, event.value, {})
-            elif isinstance(answer, TooOld):
-                inbox, self._inbox_revision = await self._read_all(INBOX)
+            elif isinstance(answer, RevisionTooOld):
+                inbox, self._inbox_revision = await self._read_all(INBOX_PREFIX)
                 for entry in inbox:
                     self._apply_inbox(entry.key, entry.value, {})
             await self._clock.sleep(INBOX_INTERVAL)
--- a/src/damaskdeck/coordination/pools/inventories.py
+++ b/src/damaskdeck/coordination/pools/inventories.py
@@ -8,8 +8,8 @@
 
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_retry
-from damaskdeck.protocol.pools import Contents, EndedTask, RunningTask
-from damaskdeck.state.board import Run, RunPhase
+from damaskdeck.protocol.pools import EndedTask, RunningTask, WorkerTasks
+from damaskdeck.state.pooljobs import Run, RunPhase
 
 if TYPE_CHECKING:
     from damaskdeck.coordination.pools.contacts import WorkerContact
@@ -32,19 +32,19 @@
     def release(self, run: Run) -> None:
         """Count a run no longer."""
 
-    def note_running(self, run: Run) -> None:
+    def record_running(self, run: Run) -> None:
         """Take note that a run was seen to run."""
 
-    def take_end(self, contact: "WorkerContact", end: EndedTask, run: Run | None):
+    def handle_end(self, contact: "WorkerContact", end: EndedTask, run: Run | None):
         """Take note of an end; the run takes no room any more."""
 
-    def note_vanished(self, contact: "WorkerContact", run: Run) -> None:
+    def handle_lost_run(self, contact: "WorkerContact", run: Run) -> None:
         """Take note that a run is gone without an end."""
 
-    def note_crash(self, contact: "WorkerContact", lost: list[Run]) -> None:
+    def record_crash(self, contact: "WorkerContact", lost: list[Run]) -> None:
         """Take note of the runs that went with a worker's life."""
 
-    def note_contact(self, contact: "WorkerContact") -> None:
+    def handle_contact_change(self, contact: "WorkerContact") -> None:
         """Take note that the worker has answered, or is known to be gone."""
 
     async def wait_until_durable(self, contact: "WorkerContact") -> bool:
@@ -54,7 +54,7 @@
 def take_inventory(
     contact: "WorkerContact",
     owner: ContactOwner,
-    answer: Contents,
+    answer: WorkerTasks,
     sent: float,
     now: float,
 ) -> None:
@@ -87,8 +87,8 @@
             contact.send_stop(row.task, row.attempt, None)
             return
         contact.add_run(run)
-    contact.note_running(run, now)
-    run.note_percent(row.percent, now)
+    contact.record_running(run, now)
+    run.record_progress(row.percent, now)
     run.checkpoint = row.checkpoint or run.checkpoint
     if run.stopping_since is not None:
         contact.stop(run)
@@ -98,7 +98,7 @@
     run = contact.runs.get((end.task, end.attempt))
     if run is not None:
         contact.remove_run(run)
-    owner.take_end(contact, end, run)
+    owner.handle_end(contact, end, run)
 
 
 def _take_missing(
@@ -113,7 +113,7 @@
         contact.stop(run)
         return
     contact.remove_run(run)
-    owner.note_vanished(contact, run)
+    owner.handle_lost_run(contact, run)
 
 
 def tell_lost(contact: "WorkerContact", run: Run, reason: str) -> None:
@@ -126,6 +126,6 @@
         worker=contact.info.identifier,
         reason=reason,
         phase=run.phase.name.lower(),
-        heard_after=round(contact.looked_at - run.ordered_at, 3),
+        heard_after=round(contact.polled_at - run.ordered_at, 3),
     )
     count_retry("contacts", reason)
--- a/src/damaskdeck/coordination/pools/desk.py
+++ b/src/damaskdeck/coordination/pools/jobfrontend.py
@@ -6,62 +6,62 @@
 from typing import Literal
 
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.pools.confining import ZoneRooms
 from damaskdeck.coordination.pools.declarations import Declarations
-from damaskdeck.coordination.pools.health import HealthyStore
-from damaskdeck.coordination.pools.helpers import Helpers
+from damaskdeck.coordination.pools.delegates import Delegates
 from damaskdeck.coordination.pools.leadership import Leadership
+from damaskdeck.coordination.pools.monitoredstore import MonitoredStore
 from damaskdeck.coordination.pools.owner import PoolOwner
-from damaskdeck.coordination.pools.storing import (
-    HELP_TIMEOUT,
-    HELPERS,
+from damaskdeck.coordination.pools.submitter import (
+    DELEGATE_COUNT,
+    DELEGATE_TIMEOUT,
     RETRY_DELAY,
-    JobStoring,
+    JobSubmitter,
     is_visible,
 )
 from damaskdeck.coordination.pools.times import PoolTimes
+from damaskdeck.coordination.pools.zoneconfinement import ZoneCapacities
 from damaskdeck.errors import MessageError
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import observe_latency
-from damaskdeck.protocol.callers import (
-    ANYONE,
-    Barred,
+from damaskdeck.protocol.callresults import (
+    ANONYMOUS,
     Caller,
-    NoJob,
-    NotTaken,
-    Taken,
-    Told,
-    Unsettled,
-    Untold,
+    CallRejected,
+    JobAccepted,
+    JobNotAccepted,
+    JobNotFound,
+    JobStateFound,
+    JobStateUnavailable,
+    JobUnconfirmed,
 )
 from damaskdeck.protocol.messages import Answered, Peers
-from damaskdeck.protocol.poolcalls import (
-    AdviceReply,
-    AskAdvice,
-    AskCancel,
-    AskFor,
-    AskState,
-    AskWaiting,
-    StateReply,
-    Submitted,
-    TellRoom,
-    ToldReply,
-    WaitingReply,
+from damaskdeck.protocol.poolmessages import (
+    AnnounceJob,
+    CancelPoolJob,
+    CountWaitingJobs,
+    CountWaitingJobsReply,
+    DelegateJobOperation,
+    DelegateJobOperationReply,
+    GetAdvice,
+    GetAdviceReply,
+    JobStateReply,
+    ReadJobState,
+    ReportCapacity,
 )
 from damaskdeck.protocol.pools import Advice, Advisor
 from damaskdeck.protocol.ports import Found, Lost, Missing, Rejected, Written
-from damaskdeck.protocol.queues import FINAL_STATES, JobSpec, Queue, QueuedState
+from damaskdeck.protocol.queues import FINAL_STATES, JobSpec, Queue, QueueJobState
 from damaskdeck.protocol.transactions import (
     Transaction,
     Write,
 )
-from damaskdeck.state.board import Job
 from damaskdeck.state.jobrecords import (
-    CANCELS,
-    JOBS,
-    PROGRESS,
+    CANCELS_PREFIX,
+    JOBS_PREFIX,
+    PROGRESS_PREFIX,
     decode_progress,
 )
+from damaskdeck.state.pooljobs import Job
 
 OWNER_TIMEOUT = timedelta(milliseconds=400)
 CANCEL_TIMEOUT = timedelta(milliseconds=1200)
@@ -71,7 +71,7 @@
 _log = get_logger("desk")
 
 
-class JobDesk:
+class JobFrontend:
     """Answers callers on one daemon; the owner's part is reached over peers.
 
     :param instance: this daemon's name.
@@ -81,7 +81,7 @@
     def __init__(
         self,
         instance: str,
-        store: HealthyStore,
+        store: MonitoredStore,
         peers: Peers,
         leadership: Leadership,
         advisor: Advisor,
@@ -101,26 +101,26 @@
         self._get_owner = get_owner
         self._note_owner = note_owner
         # By identifier and caller's account and queue.
-        self._known: dict[tuple[str, str, str], QueuedState] = {}
-        self._rooms = ZoneRooms(clock, times.lease)
-        self._helpers = Helpers(instance, leadership, clock)
-        self._storing = JobStoring(
+        self._known: dict[tuple[str, str, str], QueueJobState] = {}
+        self._rooms = ZoneCapacities(clock, times.lease)
+        self._delegates = Delegates(instance, leadership, clock)
+        self._storing = JobSubmitter(
             store,
             peers,
             leadership,
             clock,
             times,
             declarations,
-            self._helpers,
+            self._delegates,
             self._rooms,
         )
-        peers.register(Submitted, self._take_submitted)
-        peers.register(AskState, self._tell_state)
-        peers.register(AskCancel, self._cancel)
-        peers.register(AskWaiting, self._tell_waiting)
-        peers.register(AskAdvice, self._ask_advisor)
-        peers.register(AskFor, self._do_for)
-        peers.register(TellRoom, self._take_room)
+        peers.register(AnnounceJob, self._take_submitted)
+        peers.register(ReadJobState, self._tell_state)
+        peers.register(CancelPoolJob, self._cancel)
+        peers.register(CountWaitingJobs, self._tell_waiting)
+        peers.register(GetAdvice, self._ask_advisor)
+        peers.register(DelegateJobOperation, self._do_for)
+        peers.register(ReportCapacity, self._take_room)
 
     def _now(self) -> float:
         return self._clock.monotonic().total_seconds()
@@ -128,16 +128,16 @@
     # Taking ------------------------------------------------------------------
 
     async def submit(
-        self, queue: Queue, identifier: str, spec: JobSpec, caller: Caller = ANYONE
-    ) -> Taken | NotTaken | Unsettled | Barred:
+        self, queue: Queue, identifier: str, spec: JobSpec, caller: Caller = ANONYMOUS
+    ) -> JobAccepted | JobNotAccepted | JobUnconfirmed | CallRejected:
         """Store a job; the same identifier is the same job."""
         return await self._storing.submit(queue, identifier, spec, caller)
 
-    async def _take_room(self, peer: str, message: TellRoom) -> None:
+    async def _take_room(self, peer: str, message: ReportCapacity) -> None:
         self._rooms.take(message)
         self._note_owner(message["epoch"])
 
-    async def _take_submitted(self, peer: str, message: Submitted) -> None:
+    async def _take_submitted(self, peer: str, message: AnnounceJob) -> None:
         owner = self._get_owner()
         if owner is not None and owner.is_loaded:
             try:
@@ -148,14 +148,14 @@
     # States ------------------------------------------------------------------
 
     async def read_state(
-        self, identifier: str, caller: Caller = ANYONE
-    ) -> Told | NoJob | Untold:
+        self, identifier: str, caller: Caller = ANONYMOUS
+    ) -> JobStateFound | JobNotFound | JobStateUnavailable:
         """Tell the state of a job; one of another account isn't there."""
         known = self._known.get((identifier, caller.account, caller.queue))
         if known is not None:
-            return Told(known)
+            return JobStateFound(known)
         began = self._now()
-        told = await self._ask(AskState, OWNER_TIMEOUT, identifier, caller)
+        told = await self._ask(ReadJobState, OWNER_TIMEOUT, identifier, caller)
         observe_latency("desk", "state", self._now() - began)
         if told is not None:
             return told
@@ -165,39 +165,46 @@
 
     async def _ask_for(
         self, identifier: str, wish: Literal["state", "cancel"], caller: Caller
-    ) -> Told | NoJob | Untold:
+    ) -> JobStateFound | JobNotFound | JobStateUnavailable:
         """Let a daemon that the store answers do what the caller wishes."""
-        message: AskFor = {"wish": wish, **_write_asked(identifier, caller)}
-        for name in self._helpers.choose(HELPERS):
-            reply = await self._peers.call(name, message, AskFor, HELP_TIMEOUT)
+        message: DelegateJobOperation = {
+            "wish": wish,
+            **_write_asked(identifier, caller),
+        }
+        for name in self._delegates.choose(DELEGATE_COUNT):
+            reply = await self._peers.call(
+                name, message, DelegateJobOperation, DELEGATE_TIMEOUT
+            )
             if not isinstance(reply, Answered):
-                self._helpers.rest(name)
+                self._delegates.suspend(name)
                 continue
             answer, state = reply.message["answer"], reply.message["state"]
             if answer == "no_job":
-                return NoJob()
+                return JobNotFound()
             if answer == "state":
-                return Told(QueuedState(state))
-        return Untold("store_failing")
+                return JobStateFound(QueueJobState(state))
+        return JobStateUnavailable("store_failing")
 
-    async def _do_for(self, peer: str, message: AskFor) -> ToldReply:
+    async def _do_for(
+        self, peer: str, message: DelegateJobOperation
+    ) -> DelegateJobOperationReply:
         if self._store.is_failing:
             return {"answer": "untold", "state": "store_failing"}
         ask = self.read_state if message["wish"] == "state" else self.cancel
         told = await ask(message["job"], _read_caller(message))
-        if isinstance(told, Told):
+        if isinstance(told, JobStateFound):
             return {"answer": "state", "state": told.state}
-        if isinstance(told, NoJob):
+        if isinstance(told, JobNotFound):
             return {"answer": "no_job", "state": ""}
         return {"answer": "untold", "state": told.code}
 
     async def _ask(
         self,
-        kind: type[AskState | AskCancel],
+        kind: type[ReadJobState | CancelPoolJob],
         timeout: timedelta,
         identifier: str,
         caller: Caller,
-    ) -> Told | NoJob | None:
+    ) -> JobStateFound | JobNotFound | None:
         """Ask the owner about a job; ``None`` when it can't tell."""
         owner = self._leadership.owner
         if owner is None:
@@ -207,14 +214,14 @@
         if not isinstance(reply, Answered):
             return None
         if reply.message.get("is_hidden", False):
-            return NoJob()
+            return JobNotFound()
         if not reply.message["state"]:
             return None
-        state = QueuedState(reply.message["state"])
+        state = QueueJobState(reply.message["state"])
         self._remember(identifier, caller, state)
-        return Told(state)
+        return JobStateFound(state)
 
-    def _remember(self, identifier: str, caller: Caller, state: QueuedState) -> None:
+    def _remember(self, identifier: str, caller: Caller, state: QueueJobState) -> None:
         if state in FINAL_STATES:
             if len(self._known) >= KNOWN_LIMIT:
                 del self._known[next(iter(self._known))]
@@ -222,48 +229,49 @@
 
     async def _read_stored(
         self, identifier: str, caller: Caller
-    ) -> Told | NoJob | Untold:
+    ) -> JobStateFound | JobNotFound | JobStateUnavailable:
         """Read what the store knows of a job; it is behind, but never wrong."""
         progress, job = await asyncio.gather(
-            self._store.read(PROGRESS + identifier), self._store.read(JOBS + identifier)
+            self._store.read(PROGRESS_PREFIX + identifier),
+            self._store.read(JOBS_PREFIX + identifier),
         )
         if isinstance(job, Missing):
-            return NoJob()
+            return JobNotFound()
         if isinstance(job, Found) and not is_visible(job.entry.value, caller):
-            return NoJob()
+            return JobNotFound()
         if not isinstance(job, Found) or isinstance(progress, Rejected | Lost):
             code = getattr(progress, "code", getattr(job, "code", ""))
-            return Untold(code)
+            return JobStateUnavailable(code)
         if not isinstance(progress, Found):
-            return Told(QueuedState.QUEUED)
+            return JobStateFound(QueueJobState.QUEUED)
         try:
             record = decode_progress(progress.entry.value)
         except MessageError as error:
             _log.error("Progress can't be read.", id=identifier, error=str(error))
-            return Untold("unreadable")
+            return JobStateUnavailable("unreadable")
         has_begun = record.has_started or bool(record.steps)
-        state = QueuedState.RUNNING if has_begun else QueuedState.QUEUED
+        state = QueueJobState.RUNNING if has_begun else QueueJobState.QUEUED
         if record.final:
-            state = QueuedState(record.final)
+            state = QueueJobState(record.final)
             self._remember(identifier, caller, state)
-        return Told(state)
+        return JobStateFound(state)
 
-    async def _tell_state(self, peer: str, message: AskState) -> StateReply:
+    async def _tell_state(self, peer: str, message: ReadJobState) -> JobStateReply:
         owner = self._get_owner()
         if owner is None or not owner.is_loaded or not owner.may_decide():
             return {"epoch": 0, "state": ""}
-        job = owner.board.jobs.get(message["job"])
+        job = owner.job_index.jobs.get(message["job"])
         if job is not None and not _may_see(job, _read_caller(message)):
-            return {"epoch": owner.mandate.epoch, "state": "", "is_hidden": True}
-        return {"epoch": owner.mandate.epoch, "state": job.shown if job else ""}
+            return {"epoch": owner.term.epoch, "state": "", "is_hidden": True}
+        return {"epoch": owner.term.epoch, "state": job.visible_state if job else ""}
 
     # Cancelling --------------------------------------------------------------
 
     async def cancel(
-        self, identifier: str, caller: Caller = ANYONE
-    ) -> Told | NoJob | Untold:
+        self, identifier: str, caller: Caller = ANONYMOUS
+    ) -> JobStateFound | JobNotFound | JobStateUnavailable:
         """Cancel a job; answers once that is durable."""
-        told = await self._ask(AskCancel, CANCEL_TIMEOUT, identifier, caller)
+        told = await self._ask(CancelPoolJob, CANCEL_TIMEOUT, identifier, caller)
         if told is not None:
             return told
         if self._store.is_failing:
@@ -272,66 +280,68 @@
 
     async def _store_cancel(
         self, identifier: str, caller: Caller
-    ) -> Told | NoJob | Untold:
+    ) -> JobStateFound | JobNotFound | JobStateUnavailable:
         """Store the wish to cancel, for the owner to find."""
         until = self._now() + self._times.accept_timeout.total_seconds()
-        key = JOBS + identifier
+        key = JOBS_PREFIX + identifier
         while True:
             found = await self._store.read(key)
             if isinstance(found, Missing):
-                return NoJob()
+                return JobNotFound()
             if isinstance(found, Found) and not is_visible(found.entry.value, caller):
-                return NoJob()
+                return JobNotFound()
             done: object = found
             if isinstance(found, Found):
                 done = await self._store.commit(
                     Transaction(
                         ((key, found.entry.revision),),
-                        (Write(CANCELS + identifier, b""),),
+                        (Write(CANCELS_PREFIX + identifier, b""),),
                     )
                 )
                 if isinstance(done, Written):
-                    return Told(QueuedState.CANCELLED)
+                    return JobStateFound(QueueJobState.CANCELLED)
             if self._now() >= until or self._store.is_failing:
-                return Untold(getattr(done, "code", "lost"))
+                return JobStateUnavailable(getattr(done, "code", "lost"))
             await self._clock.sleep(RETRY_DELAY)
 
-    async def _cancel(self, peer: str, message: AskCancel) -> StateReply:
+    async def _cancel(self, peer: str, message: CancelPoolJob) -> JobStateReply:
         owner = self._get_owner()
         if owner is None or not owner.is_loaded:
             return {"epoch": 0, "state": ""}
-        job = owner.board.jobs.get(message["job"])
+        job = owner.job_index.jobs.get(message["job"])
         if job is None:
-            return {"epoch": owner.mandate.epoch, "state": ""}
+            return {"epoch": owner.term.epoch, "state": ""}
         if not _may_see(job, _read_caller(message)):
-            return {"epoch": owner.mandate.epoch, "state": "", "is_hidden": True}
+            return {"epoch": owner.term.epoch, "state": "", "is_hidden": True}
         state = await owner.cancel_durably(job)
-        return {"epoch": owner.mandate.epoch, "state": state}
+        return {"epoch": owner.term.epoch, "state": state}
 
     # Numbers -----------------------------------------------------------------
 
-    async def count_waiting(self, queue: str) -> int | Untold:
+    async def count_waiting(self, queue: str) -> int | JobStateUnavailable:
         """Tell how many jobs of a queue have started nothing."""
         owner = self._leadership.owner
         if owner is None:
-            return Untold("no_owner")
+            return JobStateUnavailable("no_owner")
         reply = await self._peers.call(
-            owner.instance, {"queue": queue}, AskWaiting, OWNER_TIMEOUT
+            owner.instance, {"queue": queue}, CountWaitingJobs, OWNER_TIMEOUT
         )
         if isinstance(reply, Answered) and reply.message["epoch"]:
             return reply.message["count"]
-        return Untold("owner_unreachable")
+        return JobStateUnavailable("owner_unreachable")
 
-    async def _tell_waiting(self, peer: str, message: AskWaiting) -> WaitingReply:
+    async def _tell_waiting(
+        self, peer: str, message: CountWaitingJobs
+    ) -> CountWaitingJobsReply:
         owner = self._get_owner()
         if owner is None or not owner.is_loaded or not owner.may_decide():
             return {"epoch": 0, "count": 0}
-        count = owner.board.count_waiting(message["queue"])
-        return {"epoch": owner.mandate.epoch, "count": count}
+        count = owner.job_index.count_waiting(message["queue"])
+        return {"epoch": owner.term.epoch, "count": count}
 
     # Advice ------------------------------------------------------------------
 
-    async def _ask_advisor(self, peer: str, message: AskAdvice) -> AdviceReply:
+    async def _ask_advisor(self, peer: str, message: GetAdvice) -> GetAdviceReply:
         timeout = timedelta(milliseconds=message["timeout"])
         workers = tuple(message["workers"])
         answer = await self._advisor.ask(message["step"], workers, timeout)
@@ -340,11 +350,13 @@
         return {"code": answer.code, "consents": []}
 
 
-def _write_asked(identifier: str, caller: Caller) -> AskState:
+def _write_asked(identifier: str, caller: Caller) -> ReadJobState:
     return {"job": identifier, "account": caller.account, "queue": caller.queue}
 
 
-def _read_caller(message: AskState | AskCancel | AskFor) -> Caller:
+def _read_caller(
+    message: ReadJobState | CancelPoolJob | DelegateJobOperation,
+) -> Caller:
     return Caller(message.get("account", ""), message.get("queue", ""))
 
 
--- a/src/damaskdeck/coordination/pools/journal.py
+++ b/src/damaskdeck/coordination/pools/journal.py
@@ -9,10 +9,10 @@
 from typing import NamedTuple
 
 from damaskdeck.clock import Clock, wait_for_event
+from damaskdeck.coordination.pools.delegatedcommits import DelegatingStore
 from damaskdeck.coordination.pools.leadership import RETRY_DELAY, Leadership
-from damaskdeck.coordination.pools.relaying import RelayedStore
 from damaskdeck.coordination.pools.times import PoolTimes
-from damaskdeck.coordination.pools.transfers import Mandate
+from damaskdeck.coordination.pools.transfers import OwnerTerm
 from damaskdeck.errors import MessageError
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_retry, observe_latency
@@ -56,15 +56,15 @@
 
     def __init__(
         self,
-        mandate: Mandate,
+        term: OwnerTerm,
         leadership: Leadership,
-        store: RelayedStore,
+        store: DelegatingStore,
         clock: Clock,
         times: PoolTimes,
         gather: Callable[[], Batch | None],
     ) -> None:
-        self._epoch = mandate.epoch
-        self.revision = mandate.fence
+        self._epoch = term.epoch
+        self.revision = term.fence
         self._leadership = leadership
         self._store = store
         self._clock = clock
@@ -79,7 +79,7 @@
         """Say that there is something to gather."""
         self._has_work.set()
 
-    def hasten(self) -> None:
+    def expedite(self) -> None:
         """Commit what has changed without waiting for company."""
         self._has_work.set()
         self._is_urgent.set()
@@ -88,10 +88,10 @@
         """Wait until all that has changed up to now is durable."""
         waiter = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
-        self.hasten()
+        self.expedite()
         await waiter
 
-    async def flush_lazily(self) -> None:
+    async def flush_batched(self) -> None:
         """As :meth:`flush`, but let other changes share the commit."""
         waiter = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
@@ -103,7 +103,9 @@
         while True:
             await self._has_work.wait()
             if not self._is_urgent.is_set():
-                await wait_for_event(self._is_urgent, self._times.linger, self._clock)
+                await wait_for_event(
+                    self._is_urgent, self._times.batch_delay, self._clock
+                )
             self._has_work.clear()
             self._is_urgent.clear()
             waiters, self._waiters = self._waiters, []
--- a/src/damaskdeck/coordination/pools/leadership.py
+++ b/src/damaskdeck/coordination/pools/leadership.py
@@ -12,17 +12,17 @@
 from datetime import timedelta
 
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.pools.health import HealthyStore
-from damaskdeck.coordination.pools.heirs import (
-    Successions,
-    find_stronger,
-    rank_heirs,
-    spread_over_zones,
+from damaskdeck.coordination.pools.memberlease import RETRY_DELAY, Membership
+from damaskdeck.coordination.pools.monitoredstore import MonitoredStore
+from damaskdeck.coordination.pools.succession import (
+    DeposedOwners,
+    find_stronger_member,
+    interleave_zones,
+    rank_successors,
 )
-from damaskdeck.coordination.pools.membership import RETRY_DELAY, Membership
 from damaskdeck.coordination.pools.times import PoolTimes
 from damaskdeck.coordination.pools.transfers import (
-    Mandate,
+    OwnerTerm,
     build_release,
     build_takeover,
 )
@@ -33,7 +33,7 @@
     Events,
     Found,
     Lapsed,
-    TooOld,
+    RevisionTooOld,
     Written,
 )
 from damaskdeck.protocol.transactions import (
@@ -44,10 +44,10 @@
     read_all,
 )
 from damaskdeck.state.jobrecords import (
-    CONTROL,
+    CONTROL_PREFIX,
     FENCE_KEY,
     LEAD_KEY,
-    MEMBERS,
+    MEMBERS_PREFIX,
     OWNER_KEY,
     MemberRecord,
     OwnerRecord,
@@ -72,17 +72,17 @@
     """Membership of this daemon and the election of the owner.
 
     :param member: what this daemon tells of itself.
-    :param take: called with a :class:`Mandate` when this daemon becomes owner.
+    :param take: called with a :class:`OwnerTerm` when this daemon becomes owner.
     :param lose: called when it no longer is.
     """
 
     def __init__(
         self,
         member: MemberRecord,
-        store: HealthyStore,
+        store: MonitoredStore,
         clock: Clock,
         times: PoolTimes,
-        take: Callable[[Mandate], None],
+        take: Callable[[OwnerTerm], None],
         lose: Callable[[], None],
     ) -> None:
         self._member = member
@@ -97,7 +97,7 @@
         self._members: dict[str, MemberRecord] = {}
         self._owner: OwnerRecord | None = None
         self._owner_revision = 0
-        self._successions = Successions()
+        self._successions = DeposedOwners()
         self._has_lead = False
         self._is_synced = False
         self._lost_contact_at = float("-inf")
@@ -107,9 +107,9 @@
         self._absent: frozenset[str] = frozenset()
         self._asking: asyncio.Future[None] | None = None
         self._is_leaving = False
-        self._mandate: Mandate | None = None
+        self._mandate: OwnerTerm | None = None
         # Whether the owner was heard lately; whoever listens to it says so.
-        self.is_heard: Callable[[], bool] = lambda: False
+        self.is_owner_alive: Callable[[], bool] = lambda: False
 
     @property
     def owner(self) -> OwnerRecord | None:
@@ -127,7 +127,7 @@
         return self._is_synced
 
     @property
-    def mandate(self) -> Mandate | None:
+    def term(self) -> OwnerTerm | None:
         """The mandate that this daemon holds."""
         return self._mandate
 
@@ -144,11 +144,11 @@
         if owner is not None and owner.epoch == self._suspected_epoch:
             for name in self._absent - {own}:
                 members.pop(name, None)
-        return rank_heirs(members, owner.epoch if owner is not None else 0)
+        return rank_successors(members, owner.epoch if owner is not None else 0)
 
     def list_spread(self) -> list[str]:
         """List the members by turns of their availability zones."""
-        return spread_over_zones(self._members)
+        return interleave_zones(self._members)
 
     def find_address(self, instance: str) -> str | None:
         """Return the peers' address of a daemon, ``None`` when it isn't known."""
@@ -237,21 +237,21 @@
                 revision = await self._list(sent)
                 continue
             events = await self._store.watch(
-                CONTROL, revision, self._times.control_wait
+                CONTROL_PREFIX, revision, self._times.control_wait
             )
             if isinstance(events, Events):
                 for event in events.events:
                     self._apply(event.key, event.value, event.revision)
                 revision = events.revision
                 self._note_contact(sent)
-            elif isinstance(events, TooOld):
+            elif isinstance(events, RevisionTooOld):
                 revision = 0
             else:
                 self._lost_contact_at = self._clock.monotonic().total_seconds()
                 await self._clock.sleep(RETRY_DELAY)
 
     async def _list(self, sent: float) -> int:
-        found = await read_all(self._store, CONTROL)
+        found = await read_all(self._store, CONTROL_PREFIX)
         if not isinstance(found, tuple) or not isinstance(found[0], tuple):
             self._lost_contact_at = self._clock.monotonic().total_seconds()
             await self._clock.sleep(RETRY_DELAY)
@@ -259,7 +259,7 @@
         entries, revision = found
         present = {entry.key for entry in entries}
         for name in list(self._members):
-            if MEMBERS + name not in present:
+            if MEMBERS_PREFIX + name not in present:
                 del self._members[name]
         for entry in entries:
             self._apply(entry.key, entry.value, entry.revision)
@@ -279,8 +279,8 @@
                 self._apply_owner(value, revision)
             elif key == LEAD_KEY:
                 self._has_lead = value is not None
-            elif key.startswith(MEMBERS):
-                self._apply_member(key.removeprefix(MEMBERS), value)
+            elif key.startswith(MEMBERS_PREFIX):
+                self._apply_member(key.removeprefix(MEMBERS_PREFIX), value)
         except MessageError as error:
             _log.error("A control key can't be read.", key=key, error=str(error))
 
@@ -298,7 +298,9 @@
             # A takeover writes its hint with it; the watch tells when that goes. Who
             # learns of the owner by a refused commit may not have seen the hint yet.
             self._has_lead = not owner.is_released
-        self._successions.note(self._owner, owner, self._clock.monotonic())
+        self._successions.record_owner_change(
+            self._owner, owner, self._clock.monotonic()
+        )
         self._owner = owner
         self._owner_revision = revision
         if self._mandate is not None and not self._is_own(self._owner):
@@ -307,7 +309,7 @@
     def count_deposed(self, lately: timedelta) -> int:
         """Count the owners that were deposed lately though they are alive."""
         since = self._clock.monotonic() - lately
-        return self._successions.count_alive(self._members, since)
+        return self._successions.count_alive_deposed(self._members, since)
 
     def _is_own(self, owner: OwnerRecord) -> bool:
         is_self = owner.incarnation == self._member.incarnation
@@ -339,7 +341,7 @@
             return True
         if self._suspected_epoch == owner.epoch:
             return True
-        if not self._has_lead and not self.is_heard():
+        if not self._has_lead and not self.is_owner_alive():
             return True
         if owner.incarnation == self._member.incarnation:
             # Without a mandate: a takeover was carried out after it seemed lost.
@@ -349,7 +351,7 @@
     def _find_delay(self) -> timedelta:
         owner = self._owner
         own = self._member.instance
-        if owner is not None and owner.is_released and owner.heir == own:
+        if owner is not None and owner.is_released and owner.successor == own:
             return timedelta()
         rank = self.list_heirs().index(own)
         away = self._clock.monotonic().total_seconds() - self._lost_contact_at
@@ -363,9 +365,9 @@
         self.suspect(epoch, absent)
         return self.list_heirs()[0]
 
-    def find_stronger(self) -> str:
+    def find_stronger_member(self) -> str:
         """Return a member that should own in this daemon's place, or nothing."""
-        return find_stronger(self._members.values(), self._member.power)
+        return find_stronger_member(self._members.values(), self._member.power)
 
     async def find_fence(self) -> int:
         """Return the revision of the fence key, 0 when it isn't known."""
@@ -436,11 +438,13 @@
         if self._owner_revision > revision:
             _log.info("Overtaken before it began.", epoch=record.epoch)
             return
-        self._successions.note(self._owner, record, self._clock.monotonic())
+        self._successions.record_owner_change(
+            self._owner, record, self._clock.monotonic()
+        )
         self._owner, self._owner_revision = record, revision
         self._has_lead = True
         self.confirm(sent)
-        self._mandate = Mandate(record.epoch, revision, revision, old)
+        self._mandate = OwnerTerm(record.epoch, revision, revision, old)
         _log.info("Owner of the pools.", epoch=record.epoch, revision=revision)
         self._take(self._mandate)
 
@@ -468,30 +472,32 @@
         :param is_leaving: this daemon stands for no election any more.
         """
         self._is_leaving = self._is_leaving or is_leaving
-        mandate = self._mandate
-        if mandate is None:
+        term = self._mandate
+        if term is None:
             return
         self.step_down("handover")
         heirs = self._list_other_heirs()
-        heir = heirs[0] if heirs else ""
-        await self._store.commit(build_release(mandate, self._member, heir, fence))
+        successor = heirs[0] if heirs else ""
+        await self._store.commit(build_release(term, self._member, successor, fence))
 
-    async def release_through(
+    async def release_via_delegate(
         self,
         fence: int,
-        commit_through: Callable[[str, Transaction], Awaitable[CommitResult]],
+        commit_via_delegate: Callable[[str, Transaction], Awaitable[CommitResult]],
     ) -> None:
         """Hand over to the first heir that the store answers, by a commit of its own.
 
-        :param commit_through: lets a daemon make a commit.
+        :param commit_via_delegate: lets a daemon make a commit.
         """
-        mandate = self._mandate
-        if mandate is None:
+        term = self._mandate
+        if term is None:
             return
         self.step_down("handover")
-        for heir in self._list_other_heirs()[:HEIRS_ASKED]:
-            release = build_release(mandate, self._member, heir, fence)
-            if isinstance(await commit_through(heir, release), Written | Mismatch):
+        for successor in self._list_other_heirs()[:HEIRS_ASKED]:
+            release = build_release(term, self._member, successor, fence)
+            if isinstance(
+                await commit_via_delegate(successor, release), Written | Mismatch
+            ):
                 return
 
     def _list_other_heirs(self) -> list[str]:
--- a/src/damaskdeck/coordination/pools/signs.py
+++ b/src/damaskdeck/coordination/pools/liveness.py
@@ -73,7 +73,7 @@
             self._trips = RoundTrips()
             self._heard_at = self._told_at = self._followed_at = self._now()
 
-    def note_sign(self, epoch: int) -> None:
+    def record_heartbeat(self, epoch: int) -> None:
         """Take note of a message that the owner has sent."""
         if epoch >= self.epoch:
             self.follow(epoch)
@@ -84,7 +84,7 @@
 
         :param sent: when it was asked for, monotonic seconds.
         """
-        self.note_sign(epoch)
+        self.record_heartbeat(epoch)
         if epoch == self.epoch:
             self._trips = self._trips.learn(self._now() - sent)
 
--- a/src/damaskdeck/coordination/pools/membership.py
+++ b/src/damaskdeck/coordination/pools/memberlease.py
@@ -6,12 +6,12 @@
 
 from damaskdeck.background import start_task
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.pools.health import HealthyStore
+from damaskdeck.coordination.pools.monitoredstore import MonitoredStore
 from damaskdeck.coordination.pools.times import PoolTimes
 from damaskdeck.logs import get_logger
 from damaskdeck.protocol.ports import Granted, Lapsed, Written
 from damaskdeck.protocol.transactions import Transaction, Write
-from damaskdeck.state.jobrecords import MEMBERS, MemberRecord, encode_record
+from damaskdeck.state.jobrecords import MEMBERS_PREFIX, MemberRecord, encode_record
 
 RETRY_DELAY = timedelta(milliseconds=100)
 # Between two looks whether a failing store is back.
@@ -31,7 +31,7 @@
     def __init__(
         self,
         member: MemberRecord,
-        store: HealthyStore,
+        store: MonitoredStore,
         clock: Clock,
         times: PoolTimes,
         note: Callable[[], None],
@@ -88,7 +88,7 @@
 
     async def _write(self) -> None:
         """Write the key; twice at worst, as it says the same."""
-        key = MEMBERS + self._member.instance
+        key = MEMBERS_PREFIX + self._member.instance
         write = Write(key, encode_record(self._member), self.lease)
         while self.lease:
             done = await self._store.commit(Transaction(writes=(write,)))
@@ -102,5 +102,5 @@
 
     async def leave(self) -> None:
         """Take the key away, so that nobody forwards here."""
-        key = MEMBERS + self._member.instance
+        key = MEMBERS_PREFIX + self._member.instance
         await self._store.commit(Transaction(removals=(key,)))
--- a/src/damaskdeck/coordination/pools/health.py
+++ b/src/damaskdeck/coordination/pools/monitoredstore.py
@@ -6,7 +6,7 @@
 from typing import TypeVar
 
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.pools.revisions import RevisionDates
+from damaskdeck.coordination.pools.revisions import RevisionTimes
 from damaskdeck.logs import get_logger
 from damaskdeck.protocol.ports import (
     Events,
@@ -16,13 +16,13 @@
     Lost,
     Missing,
     Rejected,
-    TooOld,
+    RevisionTooOld,
     Written,
 )
 from damaskdeck.protocol.transactions import (
     CommitResult,
     Page,
-    TooLong,
+    ReplyTooLarge,
     Transaction,
     TransactionalStore,
     Unchanged,
@@ -48,13 +48,13 @@
 _log = get_logger("store")
 
 
-class HealthyStore:
+class MonitoredStore:
     """A transactional store that remembers how its last calls went.
 
     Renewals of the member's lease are made several times a second, so a return of
     the store is noticed about as soon as it can be.
 
-    :ivar dates: from when on what the store shows was written.
+    :ivar write_times: from when on what the store shows was written.
     """
 
     def __init__(self, store: TransactionalStore, clock: Clock) -> None:
@@ -66,7 +66,7 @@
         # Conditional reads without an answer, one after the other, up to a limit.
         self._lost_reads = 0
         self._answered_at = float("-inf")
-        self.dates = RevisionDates()
+        self.write_times = RevisionTimes()
         # Set, and replaced, when the store answers again.
         self._returned = asyncio.Event()
 
@@ -107,7 +107,7 @@
         its way at the same time, has been answered since.
         """
         if isinstance(answer, Written | Unchanged):
-            self.dates.note(answer.revision, sent)
+            self.write_times.record(answer.revision, sent)
         if not isinstance(answer, Rejected | Lost):
             self._note_answer()
         elif sent >= self._answered_at:
@@ -160,25 +160,33 @@
         self,
         transaction: Transaction,
         timeout: timedelta | None = None,
-        longest: int | None = None,
-    ) -> CommitResult | TooLong:
+        max_reply_bytes: int | None = None,
+    ) -> CommitResult | ReplyTooLarge:
         """Make changes that take effect together or not at all."""
         limit = min(timeout or LONGEST_TIMEOUT, self.commit_timeout)
         sent = self._now()
-        done = await self._observe(self._store.commit(transaction, limit, longest))
+        done = await self._observe(
+            self._store.commit(transaction, limit, max_reply_bytes)
+        )
         self._usual += LATEST_SHARE * (self._now() - sent - self._usual)
         return done
 
     async def watch(
-        self, prefix: str, revision: int, wait: timedelta, longest: int | None = None
-    ) -> Events | TooOld | TooLong | Rejected | Lost:
+        self,
+        prefix: str,
+        revision: int,
+        wait: timedelta,
+        max_reply_bytes: int | None = None,
+    ) -> Events | RevisionTooOld | ReplyTooLarge | Rejected | Lost:
         """Return the changes after ``revision``.
 
         A watch that an outage has outlived may never be answered: it is given up as
         soon as the store answers another call.
         """
         sent = self._now()
-        call = asyncio.ensure_future(self._store.watch(prefix, revision, wait, longest))
+        call = asyncio.ensure_future(
+            self._store.watch(prefix, revision, wait, max_reply_bytes)
+        )
         returned = asyncio.ensure_future(self._returned.wait())
         try:
             await asyncio.wait({call, returned}, return_when=asyncio.FIRST_COMPLETED)
--- a/src/damaskdeck/coordination/pools/separation.py
+++ b/src/damaskdeck/coordination/pools/orderspacing.py
@@ -5,7 +5,7 @@
 cause would then crash as often.
 """
 
-from damaskdeck.state.board import Step
+from damaskdeck.state.pooljobs import Step
 
 # Longer than a worker needs to fall and its channel to break.
 APART_SECONDS = 0.1
@@ -22,7 +22,7 @@
     def note(self, step: Step, now: float) -> None:
         """Take note of an order."""
         self._at, self._job = now, step.job.identifier
-        self._is_suspect = step.is_suspect
+        self._is_suspect = step.has_crashes
 
     def allows(self, step: Step, now: float) -> bool:
         """Whether tasks of a step may be ordered now.
@@ -31,4 +31,4 @@
         """
         if now - self._at >= APART_SECONDS or self._job == step.job.identifier:
             return True
-        return not (self._is_suspect or step.is_suspect)
+        return not (self._is_suspect or step.has_crashes)
--- a/src/damaskdeck/coordination/pools/owner.py
+++ b/src/damaskdeck/coordination/pools/owner.py
@@ -10,38 +10,38 @@
 from datetime import timedelta
 from typing import NamedTuple
 
+from damaskdeck.coordination.pools.accountlimits import AccountLimits
 from damaskdeck.coordination.pools.accountmetrics import AccountMetrics
-from damaskdeck.coordination.pools.advising import AdviceDesk
-from damaskdeck.coordination.pools.allowances import Allowances
+from damaskdeck.coordination.pools.advice import AdviceScheduler
 from damaskdeck.coordination.pools.ceilings import Ceilings
-from damaskdeck.coordination.pools.changes import ChangeKind, Changes
-from damaskdeck.coordination.pools.confining import measure_rooms
+from damaskdeck.coordination.pools.changeset import ChangeKind, ChangeSet
 from damaskdeck.coordination.pools.contacts import WorkerContact
 from damaskdeck.coordination.pools.crashes import Crashes
 from damaskdeck.coordination.pools.declarations import Declarations
-from damaskdeck.coordination.pools.dispatching import Dispatcher
+from damaskdeck.coordination.pools.delegatedcommits import DelegatingStore
+from damaskdeck.coordination.pools.dispatcher import Dispatcher
 from damaskdeck.coordination.pools.intake import Intake
 from damaskdeck.coordination.pools.journal import Journal
-from damaskdeck.coordination.pools.relaying import RelayedStore
-from damaskdeck.coordination.pools.supervising import Supervisor
-from damaskdeck.coordination.pools.transfers import Mandate
-from damaskdeck.coordination.pools.workforce import (
+from damaskdeck.coordination.pools.supervision import Supervisor
+from damaskdeck.coordination.pools.transfers import OwnerTerm
+from damaskdeck.coordination.pools.workerfleet import (
+    FleetDependencies,
     Workforce,
     WorkforceEvents,
-    WorkforceParts,
 )
+from damaskdeck.coordination.pools.zoneconfinement import measure_zone_capacities
 from damaskdeck.logs import get_logger
 from damaskdeck.protocol.messages import Peers
-from damaskdeck.protocol.poolcalls import TellRoom
+from damaskdeck.protocol.poolmessages import ReportCapacity
 from damaskdeck.protocol.pools import (
     EndedTask,
     EndKind,
     RunningTask,
 )
-from damaskdeck.protocol.queues import QueuedState, QueueTable
+from damaskdeck.protocol.queues import QueueJobState, QueueTable
 from damaskdeck.protocol.sizes import Size
 from damaskdeck.protocol.transactions import Write
-from damaskdeck.state.board import Board, Job, Run, Step, Task
+from damaskdeck.state.pooljobs import Job, JobIndex, Run, Step, Task
 
 SWEEP_INTERVAL = timedelta(milliseconds=100)
 # A few messages a second for each daemon; room changes with each second's jobs.
@@ -55,7 +55,7 @@
 _log = get_logger("owner")
 
 
-class OwnerParts(NamedTuple):
+class OwnerDependencies(NamedTuple):
     """What an owner works with.
 
     :param basis: what it shares with its workforce.
@@ -63,10 +63,10 @@
     :param commits: makes the owner's commits.
     """
 
-    basis: WorkforceParts
+    basis: FleetDependencies
     peers: Peers
     declarations: Declarations
-    commits: RelayedStore
+    commits: DelegatingStore
 
 
 class PoolOwner:
@@ -76,52 +76,58 @@
     :ivar is_loaded: whether the jobs have been read from the store.
     """
 
-    def __init__(self, mandate: Mandate, parts: OwnerParts) -> None:
-        self.mandate = mandate
-        self.board = Board()
+    def __init__(self, term: OwnerTerm, parts: OwnerDependencies) -> None:
+        self.term = term
+        self.job_index = JobIndex()
         self.is_loaded = False
         basis = self._basis = parts.basis
         self._clock = basis.clock
         self._declarations = parts.declarations
         self._peers = parts.peers
-        self._changes = Changes(
-            self.board,
+        self._changes = ChangeSet(
+            self.job_index,
             lambda: self._journal,
             self._write_workers,
-            lambda: self.dispatcher.look_again(),
+            lambda: self.dispatcher.request_full_pass(),
         )
         self._journal = Journal(
-            mandate,
+            term,
             basis.leadership,
             parts.commits,
             basis.clock,
             basis.times,
             self._changes.gather,
         )
-        self.desk = AdviceDesk(
+        self.advice_scheduler = AdviceScheduler(
             parts.peers,
             basis.clock,
             basis.leadership.list_members,
-            lambda step: self.dispatcher.note_verdicts(step),
+            lambda step: self.dispatcher.handle_advice(step),
+        )
+        self.account_limits = AccountLimits(
+            self, Ceilings(self._changes.record_ceiling_change)
         )
-        self.allowances = Allowances(self, Ceilings(self._changes.note_ceilings))
         self._account_metrics = AccountMetrics(
-            self.board, lambda name: self.allowances.read_use(name).millicores
+            self.job_index, lambda name: self.account_limits.get_usage(name).millicores
+        )
+        self.dispatcher = Dispatcher(
+            self, basis.clock, basis.times, self.advice_scheduler
+        )
+        self._supervisor = Supervisor(
+            self, self.dispatcher, basis.times, self.advice_scheduler
         )
-        self.dispatcher = Dispatcher(self, basis.clock, basis.times, self.desk)
-        self._supervisor = Supervisor(self, self.dispatcher, basis.times, self.desk)
         self._crashes = Crashes(self)
         self.intake = Intake(self, basis.store, basis.leadership, basis.clock)
         self._workforce = Workforce(
-            mandate,
+            term,
             basis,
             self,
             WorkforceEvents(
-                self.dispatcher.look_again,
-                self._changes.note_roster,
+                self.dispatcher.request_full_pass,
+                self._changes.record_roster_change,
                 self._make_sure,
-                self._changes.note_cordons,
-                self._crashes.note_inherited,
+                self._changes.record_cordon_change,
+                self._crashes.record_inherited,
             ),
         )
 
@@ -138,17 +144,17 @@
         """Return the declared queues in force here."""
         return self._declarations.table
 
-    def are_quotas_sure(self) -> bool:
+    def are_quotas_fresh(self) -> bool:
         """Whether the document in force is fresh enough to start work by it."""
-        return self._declarations.is_sure(self._basis.times.document_sure)
+        return self._declarations.is_fresh(self._basis.times.document_max_age)
 
-    def list_unaccounted(self) -> list[Size]:
+    def list_unreconciled(self) -> list[Size]:
         """List the sizes of the workers that may run what isn't known."""
-        return self._workforce.list_unaccounted()
+        return self._workforce.list_unreconciled()
 
-    def list_unsure(self) -> Iterator[Job]:
+    def list_unconfirmed_jobs(self) -> Iterator[Job]:
         """Yield the jobs that may run without our knowing, ended ones too."""
-        return filter(self.may_be_started, self.board.jobs.values())
+        return filter(self.may_have_started, self.job_index.jobs.values())
 
     def may_decide(self) -> bool:
         """Whether the mandate is fresh enough to act on."""
@@ -161,7 +167,7 @@
         try:
             await self._load()
             self.is_loaded = True
-            self.dispatcher.look_again()
+            self.dispatcher.request_full_pass()
             await asyncio.gather(
                 self._journal.run(),
                 self.dispatcher.run(),
@@ -172,7 +178,7 @@
             )
         finally:
             self.intake.close()
-            self.desk.close()
+            self.advice_scheduler.close()
             self.dispatcher.close()
             self._workforce.close()
 
@@ -191,15 +197,15 @@
         # Jobs come first: an inventory can only be read by who knows the jobs.
         _, _, workers = await asyncio.gather(
             self.intake.load(),
-            self.allowances.ceilings.read(self._basis.store, self._clock),
+            self.account_limits.ceilings.read(self._basis.store, self._clock),
             self._workforce.read(),
         )
         self._workforce.load(workers)
         self._mark_unsure()
         _log.info(
             "Loaded.",
-            epoch=self.mandate.epoch,
-            jobs=len(self.board.open),
+            epoch=self.term.epoch,
+            jobs=len(self.job_index.open_jobs),
             workers=len(self.contacts),
             unaccounted=self._workforce.unaccounted,
         )
@@ -209,16 +215,16 @@
     def cancel(self, job: Job) -> None:
         """End a job as cancelled, unless it has ended; its runs are stopped."""
         if not job.is_final:
-            self.end_job(job, QueuedState.CANCELLED, "cancelled by a caller")
+            self.end_job(job, QueueJobState.CANCELLED, "cancelled by a caller")
 
-    async def cancel_durably(self, job: Job) -> QueuedState:
+    async def cancel_durably(self, job: Job) -> QueueJobState:
         """Cancel a job and return its state once that is durable."""
         self.cancel(job)
-        if job.shown != job.final:
+        if job.visible_state != job.final:
             await self._journal.flush()
-        return job.shown
+        return job.visible_state
 
-    def end_job(self, job: Job, state: QueuedState, reason: str) -> None:
+    def end_job(self, job: Job, state: QueueJobState, reason: str) -> None:
         """Give a job its final state and stop what still runs of it."""
         job.close(state, self.now())
         _log.info(
@@ -231,19 +237,19 @@
             slack=job.queue.slack,
             allowance=job.queue.allowance.total_seconds(),
         )
-        self._account_metrics.note_end(job)
-        self.board.close(job)
-        self.dispatcher.touch(job)
+        self._account_metrics.record_end(job)
+        self.job_index.close(job)
+        self.dispatcher.mark_changed(job)
         self.mark_dirty(job)
         for step in job.list_steps():
-            self.desk.forget(step)
-            self.dispatcher.forget(step)
+            self.advice_scheduler.discard(step)
+            self.dispatcher.discard(step)
             for run in list(step.list_runs()):
                 self.stop(run)
 
     def mark_dirty(self, job: Job) -> None:
         """Let the journal write a job's progress."""
-        self._changes.note_job(job)
+        self._changes.record_job_change(job)
 
     def stop(self, run: Run) -> None:
         """Tell a run's worker to end it."""
@@ -262,16 +268,16 @@
             return self._workforce.write_roster()
         if kind is ChangeKind.CORDONS:
             return self._workforce.cordons.build_write()
-        return self.allowances.ceilings.build_write()
+        return self.account_limits.ceilings.build_write()
 
     async def wait_until_durable(self, contact: WorkerContact) -> bool:
         """Wait for the ends taken so far; ``False`` while they can't be stored."""
-        self._changes.note_ends(contact)
+        self._changes.record_worker_ends(contact)
         self._journal.wake()
         try:
             async with asyncio.timeout(DURABLE_WAIT.total_seconds()):
                 while contact.observed < contact.processed:
-                    await self._journal.flush_lazily()
+                    await self._journal.flush_batched()
         except TimeoutError:
             return False
         return True
@@ -279,34 +285,34 @@
     # Doubt left by predecessors ------------------------------------------------
 
     def _mark_unsure(self) -> None:
-        for job in self.board.open.values():
-            job.is_unsure = self.may_be_started(job)
+        for job in self.job_index.open_jobs.values():
+            job.has_unconfirmed_runs = self.may_have_started(job)
         self._make_sure()
 
-    def may_be_started(self, job: Job) -> bool:
+    def may_have_started(self, job: Job) -> bool:
         """Whether a predecessor may have started a job without our knowing.
 
         Only on workers of the zones that the job was confined to when this owner's
         takeover ended the commits of the one before.
         """
-        is_older = job.record.epoch < self.mandate.epoch
+        is_older = job.record.epoch < self.term.epoch
         return is_older and not self._workforce.is_accounted(job.zones, job.identifier)
 
     def _make_sure(self) -> None:
         """Let the jobs start of which all workers have told what they run."""
         if not self._workforce.unaccounted:
-            _log.info("All workers are accounted for.", epoch=self.mandate.epoch)
-        for job in self.board.open.values():
-            if not job.is_unsure or self.may_be_started(job):
+            _log.info("All workers are accounted for.", epoch=self.term.epoch)
+        for job in self.job_index.open_jobs.values():
+            if not job.has_unconfirmed_runs or self.may_have_started(job):
                 continue
-            job.is_unsure = False
+            job.has_unconfirmed_runs = False
             for step in job.list_steps():
                 self.stop_if_incomplete(step)
-            self.dispatcher.touch(job)
+            self.dispatcher.mark_changed(job)
 
-    def widen(self, job: Job, zones: frozenset[str]) -> None:
+    def widen_zones(self, job: Job, zones: frozenset[str]) -> None:
         """Let workers of more zones run a job, as soon as that is durable."""
-        if not job.can_widen:
+        if not job.can_widen_zones:
             return
         job.wider_zones = job.zones | zones
         _log.info(
@@ -315,7 +321,7 @@
             zones=sorted(job.wider_zones),
         )
         self.mark_dirty(job)
-        self._journal.hasten()
+        self._journal.expedite()
 
     def stop_if_incomplete(self, step: Step) -> None:
         """Stop the runs of a gang of which a member is missing."""
@@ -331,82 +337,84 @@
 
     def adopt(self, contact: WorkerContact, row: RunningTask) -> Run | None:
         """Return a run for a task that a predecessor started."""
-        task = self.board.find_task(row.task)
+        task = self.job_index.find_task(row.task)
         if task is None:
             return None
         run = Run(task, contact.info.identifier, row.attempt, self.now())
-        run.is_found = True
+        run.is_adopted = True
         task.attempt = max(task.attempt, row.attempt)
         is_unwanted = task.step.job.is_final or task.is_completed
         if task.runs and not task.step.spec.is_speculative:
             is_unwanted = True
         task.runs.append(run)
-        if not contact.is_read:
-            self.allowances.note_found(run)
-        self.dispatcher.touch(task.step.job)
+        if not contact.is_reconciled:
+            self.account_limits.record_inherited_run(run)
+        self.dispatcher.mark_changed(task.step.job)
         if is_unwanted:
             contact.stop(run)
         return run
 
     def charge(self, run: Run) -> None:
         """Count a run that takes room."""
-        self.allowances.charge(run)
+        self.account_limits.charge(run)
 
     def release(self, run: Run) -> None:
         """Count a run no longer."""
-        self.allowances.release(run)
+        self.account_limits.release(run)
 
-    def note_running(self, run: Run) -> None:
+    def record_running(self, run: Run) -> None:
         """Take note that a run was seen to run."""
         job = run.task.step.job
-        job.note_start()
+        job.record_start()
         if job.is_final:
             self.stop(run)
 
-    def note_vanished(self, contact: WorkerContact, run: Run) -> None:
+    def handle_lost_run(self, contact: WorkerContact, run: Run) -> None:
         """Take note that a run is gone without an end."""
         task = run.task
         if run in task.runs:
             task.runs.remove(run)
-        task.step.keep_checkpoint(task, run.checkpoint)
+        task.step.store_checkpoint(task, run.checkpoint)
         if task.step.spec.is_gang:
             for other in list(task.step.list_runs()):
                 self.stop(other)
-        self.dispatcher.touch(task.step.job)
-        self.dispatcher.note_room(contact)
+        self.dispatcher.mark_changed(task.step.job)
+        self.dispatcher.handle_freed_capacity(contact)
 
-    def note_crash(self, contact: WorkerContact, lost: list[Run]) -> None:
+    def record_crash(self, contact: WorkerContact, lost: list[Run]) -> None:
         """Take note of the runs that went with a worker's life."""
-        self._crashes.note_crash(contact, lost)
+        self._crashes.record_crash(contact, lost)
 
-    def note_contact(self, contact: WorkerContact) -> None:
+    def handle_contact_change(self, contact: WorkerContact) -> None:
         """Take note that a worker has answered, or that its lease is over."""
         is_over = contact.is_gone or self.now() >= contact.lease_until
-        if contact.is_known or is_over:
+        if contact.is_synchronized or is_over:
             self._workforce.account(contact)
-        self.dispatcher.note_contact(contact)
+        self.dispatcher.handle_contact_change(contact)
 
-    def take_end(self, contact: WorkerContact, end: EndedTask, run: Run | None) -> None:
+    def handle_end(
+        self, contact: WorkerContact, end: EndedTask, run: Run | None
+    ) -> None:
         """Take note of an end."""
-        task = run.task if run is not None else self.board.find_task(end.task)
-        self._changes.note_ends(contact)
-        self.dispatcher.note_room(contact)
+        task = run.task if run is not None else self.job_index.find_task(end.task)
+        self._changes.record_worker_ends(contact)
+        self.dispatcher.handle_freed_capacity(contact)
         if task is None:
             return
         if run is not None and run in task.runs:
             task.runs.remove(run)
         task.attempt = max(task.attempt, end.attempt)
         step, job = task.step, task.step.job
-        step.keep_checkpoint(task, end.checkpoint)
-        self.dispatcher.note_end(contact, task, end, run)
-        if end.kind is EndKind.COMPLETED and not step.spec.is_lasting:
+        step.store_checkpoint(task, end.checkpoint)
+        self.dispatcher.record_end(contact, task, end, run)
+        if end.kind is EndKind.COMPLETED and not step.spec.is_long_running:
             self._complete(step, task, run)
-        elif end.kind is EndKind.FAILED and not step.spec.is_lasting:
+        elif end.kind is EndKind.FAILED and not step.spec.is_long_running:
             task.failed_on.add(contact.info.identifier)
             self._fail(step, task, end.attempt)
         if job.is_final or end.kind in (EndKind.COMPLETED, EndKind.FAILED):
             self.mark_dirty(job)
-        self.dispatcher.touch(job)
+        self.dispatcher.mark_changed(job)
 
     def _complete(self, step: Step, task: Task, run: Run | None) -> None:
         step.complete(task)
@@ -415,20 +423,20 @@
                 for other in list(member.runs):
                     self.stop(other)
         if step.is_completed:
-            self.desk.forget(step)
+            self.advice_scheduler.discard(step)
             if not step.job.is_final and step.job.close_if_completed(self.now()):
-                self.end_job(step.job, QueuedState.COMPLETED, "all tasks completed")
+                self.end_job(step.job, QueueJobState.COMPLETED, "all tasks completed")
 
     def _fail(self, step: Step, task: Task, attempt: int) -> None:
         failed = step.fail(task, attempt)
         job = step.job
         if failed >= job.queue.attempts and not job.is_final:
             reason = f"task {task.name[1:]} failed {failed} times"
-            self.end_job(job, QueuedState.FAILED, reason)
+            self.end_job(job, QueueJobState.FAILED, reason)
 
     def next_attempt(self, tasks: list[Task]) -> int:
         """Return an attempt number above all that the tasks had."""
-        least = (self.mandate.epoch - 1) * ATTEMPTS_OF_EPOCH
+        least = (self.term.epoch - 1) * ATTEMPTS_OF_EPOCH
         return max(least, *(task.attempt for task in tasks)) + 1
 
     # Loops -------------------------------------------------------------------
@@ -440,32 +448,32 @@
             if self._basis.leadership.is_cut_off():
                 # It is a sign of life, too, of an owner that may go on deciding.
                 continue
-            rooms = measure_rooms(self.contacts.values(), self.now())
-            message: TellRoom = {"epoch": self.mandate.epoch, "zones": rooms}
+            rooms = measure_zone_capacities(self.contacts.values(), self.now())
+            message: ReportCapacity = {"epoch": self.term.epoch, "zones": rooms}
             for name in self._basis.leadership.list_members():
-                self._peers.send(name, message, TellRoom)
+                self._peers.send(name, message, ReportCapacity)
 
     async def _sweep(self) -> None:
         while True:
             await self._clock.sleep(SWEEP_INTERVAL)
             now = self.now()
-            self.desk.dispatch()
+            self.advice_scheduler.dispatch()
             self._workforce.sweep_rooms(now)
             self._supervisor.sweep(now)
             self._workforce.cordons.sweep(
                 now, may_add=not self._basis.leadership.is_cut_off()
             )
             self._forget_ended(now)
-            self._account_metrics.tell(now)
+            self._account_metrics.publish(now)
             if not self._basis.leadership.is_cut_off():
                 # What is lowered now could not be raised again.
-                self.allowances.sweep()
+                self.account_limits.sweep()
             self.dispatcher.wake()
 
     def _forget_ended(self, now: float) -> None:
-        limit = self._basis.times.forget_after.total_seconds()
-        for job in list(self.board.jobs.values()):
-            if not job.is_final or job.shown != job.final:
+        limit = self._basis.times.discard_after.total_seconds()
+        for job in list(self.job_index.jobs.values()):
+            if not job.is_final or job.visible_state != job.final:
                 # Jobs stand in the order in which they came.
                 if now - job.arrived_at < limit:
                     break
@@ -474,5 +482,5 @@
                 break
             if any(step.tasks and any(step.list_runs()) for step in job.list_steps()):
                 continue
-            self.board.remove(job)
-            self._changes.note_forgotten(job)
+            self.job_index.remove(job)
+            self._changes.record_job_removal(job)
--- a/src/damaskdeck/coordination/pools/watching.py
+++ b/src/damaskdeck/coordination/pools/ownermonitor.py
@@ -18,15 +18,15 @@
 from damaskdeck.background import start_task
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.pools.leadership import Leadership
-from damaskdeck.coordination.pools.signs import LONGEST_SILENCE, LifeSigns
+from damaskdeck.coordination.pools.liveness import LONGEST_SILENCE, LifeSigns
 from damaskdeck.logs import get_logger
 from damaskdeck.protocol.messages import Answered, Peers
-from damaskdeck.protocol.poolcalls import (
-    AskBeat,
-    AskHeard,
-    BeatReply,
-    HeardReply,
-    StandFor,
+from damaskdeck.protocol.poolmessages import (
+    CheckOwner,
+    CheckOwnerReply,
+    HeartbeatReply,
+    RequestHeartbeat,
+    RequestTakeover,
 )
 from damaskdeck.state.jobrecords import OwnerRecord
 
@@ -54,7 +54,7 @@
 _log = get_logger("watching")
 
 
-class OwnerWatch:
+class OwnerMonitor:
     """Watches the owner from one daemon.
 
     :param instance: this daemon's name.
@@ -78,10 +78,10 @@
         self._beats: set[asyncio.Task[None]] = set()
         self._followed = 0
         self._fence = 0
-        leadership.is_heard = self.is_heard
-        peers.register(AskBeat, self._beat)
-        peers.register(AskHeard, self._tell_heard)
-        peers.register(StandFor, self._stand_for)
+        leadership.is_owner_alive = self.is_owner_alive
+        peers.register(RequestHeartbeat, self._beat)
+        peers.register(CheckOwner, self._tell_heard)
+        peers.register(RequestTakeover, self._stand_for)
 
     async def run(self) -> None:
         """Ask for beats until cancelled."""
@@ -89,7 +89,7 @@
             while True:
                 await self._clock.sleep(BEAT_INTERVAL)
                 owner = self._leadership.owner
-                if owner is None or owner.is_released or self._leadership.mandate:
+                if owner is None or owner.is_released or self._leadership.term:
                     continue
                 self._follow(owner.epoch)
                 if self._is_watcher(owner.instance):
@@ -98,9 +98,9 @@
             for beat in self._beats:
                 beat.cancel()
 
-    def note_sign(self, epoch: int) -> None:
+    def record_heartbeat(self, epoch: int) -> None:
         """Take note of a message of an owner."""
-        self._signs.note_sign(epoch)
+        self._signs.record_heartbeat(epoch)
 
     def _follow(self, epoch: int) -> None:
         if epoch > self._followed:
@@ -111,7 +111,7 @@
             self._beats.clear()
         self._signs.follow(epoch)
 
-    def is_heard(self) -> bool:
+    def is_owner_alive(self) -> bool:
         """Whether the owner was heard lately, as far as this daemon listens."""
         owner = self._leadership.owner
         if owner is None or owner.epoch != self._signs.epoch:
@@ -161,10 +161,10 @@
             start_task(self._take_beat(owner), self._beats)
 
     async def _take_beat(self, owner: OwnerRecord) -> None:
-        message: AskBeat = {"epoch": owner.epoch}
+        message: RequestHeartbeat = {"epoch": owner.epoch}
         sent = self._clock.monotonic().total_seconds()
         reply = await self._peers.call(
-            owner.instance, message, AskBeat, LONGEST_SILENCE
+            owner.instance, message, RequestHeartbeat, LONGEST_SILENCE
         )
         if not isinstance(reply, Answered) or reply.message["epoch"] < owner.epoch:
             return
@@ -210,36 +210,38 @@
 
     async def _ask_heard(self, name: str, epoch: int) -> bool | None:
         """Ask a daemon whether it hears the owner; ``None`` without an answer."""
-        message: AskHeard = {"epoch": epoch}
+        message: CheckOwner = {"epoch": epoch}
         timeout = timedelta(seconds=self._find_timeout())
-        reply = await self._peers.call(name, message, AskHeard, timeout + WITNESS_SLACK)
+        reply = await self._peers.call(
+            name, message, CheckOwner, timeout + WITNESS_SLACK
+        )
         return reply.message["hears"] if isinstance(reply, Answered) else None
 
     async def _call_heir(self, owner: str, epoch: int, absent: list[str]) -> None:
-        heir = self._leadership.find_heir(epoch, frozenset(absent))
+        successor = self._leadership.find_heir(epoch, frozenset(absent))
         _log.info(
             "Nobody hears the owner.",
             owner=owner,
             epoch=epoch,
             absent=absent,
-            heir=heir,
+            heir=successor,
             silence=round(self._signs.measure_silence(), 3),
             timeout=round(self._find_timeout(), 3),
         )
-        if heir != self._instance:
-            message: StandFor = {"epoch": epoch, "absent": absent}
-            self._peers.send(heir, message, StandFor)
+        if successor != self._instance:
+            message: RequestTakeover = {"epoch": epoch, "absent": absent}
+            self._peers.send(successor, message, RequestTakeover)
 
-    async def _stand_for(self, peer: str, message: StandFor) -> None:
+    async def _stand_for(self, peer: str, message: RequestTakeover) -> None:
         owner = self._leadership.owner
         if owner is not None and owner.epoch == message["epoch"]:
             self._leadership.suspect(owner.epoch, frozenset(message["absent"]))
 
-    async def _beat(self, peer: str, message: AskBeat) -> BeatReply:
+    async def _beat(self, peer: str, message: RequestHeartbeat) -> HeartbeatReply:
         is_cut_off = self._leadership.is_cut_off()
         return {"epoch": self._get_epoch(), "is_cut_off": is_cut_off}
 
-    async def _tell_heard(self, peer: str, message: AskHeard) -> HeardReply:
+    async def _tell_heard(self, peer: str, message: CheckOwner) -> CheckOwnerReply:
         owner = self._leadership.owner
         if owner is None or owner.epoch != message["epoch"] or owner.is_released:
             return {"hears": owner is not None and owner.epoch > message["epoch"]}
--- a/src/damaskdeck/coordination/pools/pending.py
+++ b/src/damaskdeck/coordination/pools/pending.py
@@ -6,14 +6,14 @@
 
 from typing import NamedTuple
 
-from damaskdeck.coordination.pools.moving import may_have_copies
-from damaskdeck.coordination.pools.ordering import (
+from damaskdeck.coordination.pools.relocation import may_have_copies
+from damaskdeck.coordination.pools.urgency import (
     Deadlines,
     Urgency,
     find_deadlines,
     judge_deadlines,
 )
-from damaskdeck.state.board import Job, Step, Task
+from damaskdeck.state.pooljobs import Job, Step, Task
 
 
 class PendingStep:
@@ -49,7 +49,7 @@
         self._steps: dict[str, dict[str, PendingStep]] = {}
         self._touched: dict[str, Job] = {}
 
-    def touch(self, job: Job) -> None:
+    def mark_changed(self, job: Job) -> None:
         """Take note that a job's steps may have changed."""
         self._touched[job.identifier] = job
 
@@ -92,6 +92,6 @@
     return {
         step.name: PendingStep(step, tasks, find_deadlines(step))
         for step in job.list_steps()
-        if not job.is_unsure or may_have_copies(step)
+        if not job.has_unconfirmed_runs or may_have_copies(step)
         if step.is_due and (tasks := step.list_waiting())
     }
--- a/src/damaskdeck/coordination/pools/placing.py
+++ b/src/damaskdeck/coordination/pools/planning.py
@@ -6,7 +6,7 @@
 from damaskdeck.protocol.pools import PoolWorker
 from damaskdeck.protocol.queues import StepSpec
 from damaskdeck.protocol.sizes import Size, fits, subtract_sizes
-from damaskdeck.state.board import Step, Task
+from damaskdeck.state.pooljobs import Step, Task
 
 Plan = list[tuple[Task, Candidate]]
 
@@ -14,7 +14,7 @@
 UNBOUNDED = 1_000_000
 
 
-def suits(spec: StepSpec, worker: PoolWorker) -> bool:
+def is_suitable(spec: StepSpec, worker: PoolWorker) -> bool:
     """Tell whether a worker's kind lets it run a step, room aside."""
     return not spec.label or spec.label in worker.labels
 
@@ -24,12 +24,12 @@
     return Counter(run.worker for run in step.list_runs())
 
 
-def is_choosy(spec: StepSpec) -> bool:
+def has_rack_preference(spec: StepSpec) -> bool:
     """Tell whether the racks that a step runs on change how long it takes."""
     return spec.needs_one_rack or bool(spec.near)
 
 
-def has_best_rack(step: Step, workers: list[PoolWorker]) -> bool:
+def fits_preferred_rack(step: Step, workers: list[PoolWorker]) -> bool:
     """Tell whether a choosy step could run on the racks that it runs best on.
 
     :param workers: those that may run it, room aside.
@@ -70,7 +70,7 @@
     :param may_go_far: a choosy step is placed beside its best racks too.
     :param zones: in which the step runs already.
     """
-    if not is_choosy(step.spec):
+    if not has_rack_preference(step.spec):
         return _plan_tasks(step, tasks, candidates, zones)
     plan = _plan_on_best_rack(step, tasks, candidates)
     if not may_go_far or len(plan) == len(tasks):
@@ -131,7 +131,7 @@
     soon as one of its tasks is. Zones where the step runs already come first, then
     those that hold all of it, those with the most room before others.
     """
-    if is_choosy(step.spec):
+    if has_rack_preference(step.spec):
         return []
     zones: dict[str, list[Candidate]] = {}
     for candidate in candidates:
@@ -198,7 +198,7 @@
             has_failed = candidate.key in task.failed_on
             if has_failed and not is_last:
                 continue
-            pace = -candidate.pace if spec.is_lasting else candidate.pace
+            pace = -candidate.pace if spec.is_long_running else candidate.pace
             score = (has_failed, candidate.is_slow, is_far, pace, left.millicores)
             if best is None or score < best_score:
                 best, best_score = candidate, score
--- a/src/damaskdeck/coordination/pools/moving.py
+++ b/src/damaskdeck/coordination/pools/relocation.py
@@ -2,13 +2,13 @@
 
 from collections.abc import Iterator
 
-from damaskdeck.coordination.pools.advising import Verdicts
+from damaskdeck.coordination.pools.advice import StepAdvice
 from damaskdeck.coordination.pools.contacts import WorkerContact
-from damaskdeck.coordination.pools.ordering import Outlook, judge_step
-from damaskdeck.coordination.pools.placing import count_fitting, suits
-from damaskdeck.coordination.pools.speeds import Speeds
-from damaskdeck.coordination.pools.trust import is_working
-from damaskdeck.state.board import Run, Step
+from damaskdeck.coordination.pools.planning import count_fitting, is_suitable
+from damaskdeck.coordination.pools.slowness import SlowWorkerDetector
+from damaskdeck.coordination.pools.urgency import DeadlineStatus, measure_urgency
+from damaskdeck.coordination.pools.workerhealth import is_working
+from damaskdeck.state.pooljobs import Run, Step
 
 # Slowness passes, and what was done is lost: elsewhere it must take less than half.
 GAIN_FACTOR = 2.0
@@ -19,30 +19,32 @@
 
 
 def find_moves(
-    contacts: dict[str, WorkerContact], speeds: Speeds, now: float
+    contacts: dict[str, WorkerContact], slow_workers: SlowWorkerDetector, now: float
 ) -> Iterator[Run]:
     """Yield the runs on slow workers that would end much earlier elsewhere."""
     for contact in contacts.values():
-        if not contact.is_known or not speeds.is_slow(contact.info.identifier, now):
+        if not contact.is_synchronized or not slow_workers.is_slow(
+            contact.info.identifier, now
+        ):
             continue
         for run in contact.runs.values():
             spec = run.task.step.spec
-            if spec.is_lasting or run.task.moves >= MOVES_LIMIT:
+            if spec.is_long_running or run.task.moves >= MOVES_LIMIT:
                 continue
-            if is_working(run) and _gains(run, speeds, now):
+            if is_working(run) and _gains(run, slow_workers, now):
                 yield run
 
 
-def _gains(run: Run, speeds: Speeds, now: float) -> bool:
+def _gains(run: Run, slow_workers: SlowWorkerDetector, now: float) -> bool:
     pace = run.pace
-    sound, _ = speeds.expect(run)
+    sound, _ = slow_workers.expect(run)
     if pace is None or not sound:
         return False
     here = (100 - run.percent) / pace.rate
     # Slack counts until a start: a run may end its whole estimate later.
-    outlook, _, slack = judge_step(run.task.step, now)
+    deadline_status, _, slack = measure_urgency(run.task.step, now)
     estimate = run.task.step.spec.estimate.total_seconds()
-    if outlook is Outlook.LOST or here <= slack + estimate:
+    if deadline_status is DeadlineStatus.LOST or here <= slack + estimate:
         return False
     is_kept = run.task.step.spec.is_checkpointing and bool(run.checkpoint)
     there = (100 - run.percent if is_kept else 100) / sound
@@ -73,8 +75,8 @@
     step: Step,
     pool: str,
     contacts: dict[str, WorkerContact],
-    speeds: Speeds,
-    verdicts: Verdicts,
+    slow_workers: SlowWorkerDetector,
+    step_advice: StepAdvice,
     tasks: int,
     now: float,
 ) -> bool:
@@ -83,10 +85,14 @@
     room = 0
     for key, contact in contacts.items():
         info = contact.info
-        if info.pool != pool or key in verdicts.refused or not suits(spec, info):
+        if (
+            info.pool != pool
+            or key in step_advice.refused
+            or not is_suitable(spec, info)
+        ):
             continue
         if not step.job.may_run_in(info.zone):
             continue
-        if contact.is_usable(now) and not speeds.is_slow(key, now):
+        if contact.is_usable(now) and not slow_workers.is_slow(key, now):
             room += count_fitting(spec, contact.free)
     return room >= tasks
--- a/src/damaskdeck/coordination/pools/reserving.py
+++ b/src/damaskdeck/coordination/pools/reservations.py
@@ -13,11 +13,11 @@
 from typing import NamedTuple
 
 from damaskdeck.coordination.pools.contacts import WorkerContact
-from damaskdeck.coordination.pools.leaving import measure_rest
-from damaskdeck.coordination.pools.placing import count_fitting
+from damaskdeck.coordination.pools.departures import measure_rest
+from damaskdeck.coordination.pools.planning import count_fitting
 from damaskdeck.protocol.queues import StepSpec
 from damaskdeck.protocol.sizes import add_sizes
-from damaskdeck.state.board import Run, Step
+from damaskdeck.state.pooljobs import Run, Step
 
 # So much of the workers may be kept at a time; the most urgent gang alone may have
 # twice that. What is kept stands half empty: with a half in place of a quarter of 270
@@ -70,11 +70,11 @@
         if kept is None or kept.step is step:
             return True
         spec = step.spec
-        if spec.is_lasting:
+        if spec.is_long_running:
             return False
         return now + spec.estimate.total_seconds() <= kept.starts_at
 
-    def drop(self, step: Step) -> None:
+    def release(self, step: Step) -> None:
         """Keep nothing for a step any more."""
         kept = self._steps.pop(step.name, None)
         for worker in kept.workers if kept is not None else ():
@@ -83,9 +83,9 @@
     def retain(self, names: Iterable[str]) -> None:
         """Drop the reservations of all other steps."""
         for name in self._steps.keys() - set(names):
-            self.drop(self._steps[name].step)
+            self.release(self._steps[name].step)
 
-    def keep(
+    def reserve(
         self,
         step: Step,
         contacts: list[WorkerContact],
@@ -97,7 +97,7 @@
         :param contacts: those that it may run on.
         :param fleet: all workers of its pool.
         """
-        self.drop(step)
+        self.release(step)
         able = [c for c in contacts if c.info.identifier not in self._workers]
         most = max((count_fitting(step.spec, c.info.size) for c in able), default=0)
         if not most:
@@ -138,7 +138,7 @@
     return []
 
 
-def is_crowded(contacts: Iterable[WorkerContact]) -> bool:
+def is_contended(contacts: Iterable[WorkerContact]) -> bool:
     """Whether so much of a pool's processors is used that gangs may lack room."""
     total = used = 0
     for contact in contacts:
@@ -166,5 +166,5 @@
     return [
         (now + max(0.0, measure_rest(run, now)), run)
         for run in contact.runs.values()
-        if not run.task.step.spec.is_lasting
+        if not run.task.step.spec.is_long_running
     ]
--- a/src/damaskdeck/coordination/pools/revisions.py
+++ b/src/damaskdeck/coordination/pools/revisions.py
@@ -8,7 +8,7 @@
 DATES_APART_SECONDS = 0.05
 
 
-class RevisionDates:
+class RevisionTimes:
     """From when on revisions of the store were written, in monotonic seconds.
 
     What has a later revision than the store had when it was asked was written after
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self._dates: deque[tuple[int, float]] = deque(maxlen=DATES_KEPT)
 
-    def note(self, revision: int, sent: float) -> None:
+    def record(self, revision: int, sent: float) -> None:
         """Take note that the store's revision was no later at ``sent``."""
         if not self._dates:
             self._dates.append((revision, sent))
@@ -28,7 +28,7 @@
         if revision >= newest and sent >= noted + DATES_APART_SECONDS:
             self._dates.append((revision, sent))
 
-    def date(self, revision: int) -> float:
+    def find_write_time(self, revision: int) -> float:
         """Return when a revision was written at the earliest.
 
         Before the first note nothing is known of it: negative infinity.
--- a/src/damaskdeck/coordination/pools/speeds.py
+++ b/src/damaskdeck/coordination/pools/slowness.py
@@ -11,9 +11,9 @@
 from typing import NamedTuple
 
 from damaskdeck.coordination.pools.contacts import WorkerContact
-from damaskdeck.coordination.pools.trust import is_working
+from damaskdeck.coordination.pools.workerhealth import is_working
 from damaskdeck.logs import get_logger
-from damaskdeck.state.board import Run, Step
+from damaskdeck.state.pooljobs import Run, Step
 
 # Sound workers differ by up to a half; a slow one takes several times as long.
 SLOW_SPEED = 0.45
@@ -50,7 +50,7 @@
     runs: int = 0
 
 
-class Speeds:
+class SlowWorkerDetector:
     """What is known of the workers' speeds, for one owner."""
 
     def __init__(self) -> None:
@@ -58,7 +58,7 @@
         self._slow_until: dict[str, float] = {}
         self._paces: dict[Step, list[_Told]] = {}
 
-    def note_completed(self, run: Run, now: float) -> None:
+    def record_completion(self, run: Run, now: float) -> None:
         """Learn from a run that has completed as it was observed to."""
         estimate = run.task.step.spec.estimate.total_seconds()
         took = now - run.settled_at
--- a/src/damaskdeck/coordination/pools/paces.py
+++ b/src/damaskdeck/coordination/pools/speedranks.py
@@ -3,13 +3,13 @@
 Tasks of one step do about the same work, so what each took, against the mean of its
 step, tells the speed of its worker; errors of estimates, which whole steps share,
 cancel out. It says nothing about a worker that turns slow: that passes within seconds,
-and is told by what its runs gain (:mod:`damaskdeck.coordination.pools.speeds`).
+and is told by what its runs gain (:mod:`damaskdeck.coordination.pools.slowness`).
 """
 
 import math
 from typing import NamedTuple
 
-from damaskdeck.state.board import Run, Step
+from damaskdeck.state.pooljobs import Run, Step
 
 # Workers are told apart by a tenth more or less than the mean: kinds differ by a fifth
 # and more, and what is learnt is off by some 0.05.
@@ -32,14 +32,14 @@
     runs: int = 0
 
 
-class Paces:
+class SpeedRanks:
     """Speeds of workers, for one owner."""
 
     def __init__(self) -> None:
         self._paces: dict[str, Pace] = {}
         self._took: dict[Step, list[tuple[str, float]]] = {}
 
-    def note_completed(self, run: Run, now: float) -> None:
+    def record_completion(self, run: Run, now: float) -> None:
         """Learn from a run that has completed, and that was seen from its start."""
         took = now - run.settled_at
         step = run.task.step
@@ -50,7 +50,7 @@
         if len(told) == len(step.tasks):
             self._learn(self._took.pop(step))
 
-    def forget(self, step: Step) -> None:
+    def discard(self, step: Step) -> None:
         """Drop what was gathered of a step that won't complete."""
         self._took.pop(step, None)
 
--- a/src/damaskdeck/coordination/pools/starting.py
+++ b/src/damaskdeck/coordination/pools/starter.py
@@ -7,13 +7,13 @@
 
 from damaskdeck.background import start_task
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.pools.advising import AdviceDesk
+from damaskdeck.coordination.pools.advice import AdviceScheduler
 from damaskdeck.coordination.pools.contacts import WorkerContact
-from damaskdeck.coordination.pools.placing import Plan
-from damaskdeck.coordination.pools.transfers import Mandate
+from damaskdeck.coordination.pools.planning import Plan
+from damaskdeck.coordination.pools.transfers import OwnerTerm
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import observe_wait
-from damaskdeck.state.board import Job, Run, RunPhase, Step, Task
+from damaskdeck.state.pooljobs import Job, Run, RunPhase, Step, Task
 
 # A gang that could not start tries again after so long.
 GANG_PAUSE_SECONDS = 0.2
@@ -29,7 +29,7 @@
 class StartOwner(Protocol):
     """What a starter asks of the owner."""
 
-    mandate: Mandate
+    term: OwnerTerm
 
     def now(self) -> float:
         """Return monotonic seconds."""
@@ -44,20 +44,20 @@
 class Starter:
     """Orders planned tasks on their workers.
 
-    :param touch: called with the job whose tasks may wait again.
+    :param mark_changed: called with the job whose tasks may wait again.
     """
 
     def __init__(
         self,
         owner: StartOwner,
         clock: Clock,
-        desk: AdviceDesk,
-        touch: Callable[[Job], None],
+        advice_scheduler: AdviceScheduler,
+        mark_changed: Callable[[Job], None],
     ) -> None:
         self._owner = owner
         self._clock = clock
-        self._desk = desk
-        self._touch = touch
+        self._advice_scheduler = advice_scheduler
+        self._touch = mark_changed
         self._starts: set[asyncio.Task[None]] = set()
 
     def close(self) -> None:
@@ -92,18 +92,18 @@
             tasks=[task.name.index for task, _ in plan],
             workers=[candidate.key for _, candidate in plan],
             age=round(now - step.job.arrived_at, 3),
-            epoch=self._owner.mandate.epoch,
+            epoch=self._owner.term.epoch,
         )
         start_task(self._start(step, runs), self._starts)
         return [run for run, _ in runs]
 
     async def _start(self, step: Step, runs: list[tuple[Run, WorkerContact]]) -> None:
-        verdicts = self._desk.get(step)
+        step_advice = self._advice_scheduler.get(step)
         needs_ticket = step.job.queue.advice is not None
         payload = step.job.record.spec.payload
 
         def start(run: Run, contact: WorkerContact):
-            ticket = verdicts.tickets.get(run.worker, ("", 0.0))[0]
+            ticket = step_advice.tickets.get(run.worker, ("", 0.0))[0]
             return contact.start(
                 run, payload, run.task.checkpoint, ticket if needs_ticket else ""
             )
@@ -113,7 +113,7 @@
             return
         for (run, _), is_started in zip(runs, results, strict=True):
             if not is_started and run.phase is RunPhase.ORDERED:
-                verdicts.drop(run.worker)
+                step_advice.discard_ticket(run.worker)
         is_gang = step.spec.is_gang and not step.is_completed
         if is_gang and not await self._settle_gang([run for run, _ in runs]):
             step.not_before = self._owner.now() + GANG_PAUSE_SECONDS
--- a/src/damaskdeck/coordination/pools/heirs.py
+++ b/src/damaskdeck/coordination/pools/succession.py
@@ -15,7 +15,7 @@
 STRONGER = 1.5
 
 
-def rank_heirs(members: Mapping[str, MemberRecord], epoch: int) -> list[str]:
+def rank_successors(members: Mapping[str, MemberRecord], epoch: int) -> list[str]:
     """List who should own next: the strongest, of these the youngest.
 
     In a rolling restart the one that was restarted last is stopped last again. Those
@@ -33,14 +33,14 @@
     return sorted(names[turn:] + names[:turn], key=rank)
 
 
-def find_stronger(members: Iterable[MemberRecord], power: float) -> str:
+def find_stronger_member(members: Iterable[MemberRecord], power: float) -> str:
     """Return a member that should own in place of one of that power, or nothing."""
     strong = [member for member in members if member.power >= STRONGER * power]
     best = max(strong, key=lambda member: member.power, default=None)
     return best.instance if best is not None else ""
 
 
-def spread_over_zones(members: Mapping[str, MemberRecord]) -> list[str]:
+def interleave_zones(members: Mapping[str, MemberRecord]) -> list[str]:
     """List the members by turns of their availability zones."""
     zones: dict[str, list[str]] = {}
     for name in sorted(members):
@@ -54,13 +54,13 @@
     owner: OwnerRecord
 
 
-class Successions:
+class DeposedOwners:
     """The owners that were succeeded without having handed over."""
 
     def __init__(self) -> None:
         self._deposed: list[_Deposed] = []
 
-    def note(
+    def record_owner_change(
         self, before: OwnerRecord | None, owner: OwnerRecord, now: timedelta
     ) -> None:
         """Take note of an owner as the store shows it.
@@ -70,7 +70,9 @@
         if before is not None and before.epoch < owner.epoch and not before.is_released:
             self._deposed.append(_Deposed(now, before))
 
-    def count_alive(self, members: Mapping[str, MemberRecord], since: timedelta) -> int:
+    def count_alive_deposed(
+        self, members: Mapping[str, MemberRecord], since: timedelta
+    ) -> int:
         """Count the owners that were deposed since then though they are alive.
 
         One that is gone still counts until its lease in the store has ended.
--- a/src/damaskdeck/coordination/pools/supervising.py
+++ b/src/damaskdeck/coordination/pools/supervision.py
@@ -1,18 +1,18 @@
 """Watches what runs: gives up what won't end where it is, and starts copies."""
 
-from damaskdeck.coordination.pools.advising import AdviceDesk
-from damaskdeck.coordination.pools.dispatching import Dispatcher, DispatchOwner
-from damaskdeck.coordination.pools.leaving import find_departing
-from damaskdeck.coordination.pools.moving import (
+from damaskdeck.coordination.pools.advice import AdviceScheduler
+from damaskdeck.coordination.pools.departures import find_departing
+from damaskdeck.coordination.pools.dispatcher import Dispatcher, DispatchOwner
+from damaskdeck.coordination.pools.relocation import (
     find_moves,
     find_silent,
     has_room,
     may_have_copies,
 )
-from damaskdeck.coordination.pools.ordering import is_due_soon
 from damaskdeck.coordination.pools.times import PoolTimes
+from damaskdeck.coordination.pools.urgency import is_due_soon
 from damaskdeck.logs import get_logger
-from damaskdeck.state.board import Run
+from damaskdeck.state.pooljobs import Run
 
 # A look at a worker, which tells the progress of its runs, comes every half second.
 JUDGE_SECONDS = 0.25
@@ -28,17 +28,17 @@
         owner: DispatchOwner,
         dispatcher: Dispatcher,
         times: PoolTimes,
-        desk: AdviceDesk,
+        advice_scheduler: AdviceScheduler,
     ) -> None:
         self._owner = owner
         self._dispatcher = dispatcher
         self._times = times
-        self._desk = desk
+        self._advice_scheduler = advice_scheduler
         self._judged_at = float("-inf")
 
     def sweep(self, now: float) -> None:
         """Look at all workers and at what they run."""
-        longest = self._times.stop_longest
+        longest = self._times.max_stop_time
         contacts = self._owner.contacts
         for run in list(find_departing(contacts.values(), longest, now)):
             self._give_up(run, "A run would outlast its worker's stay.")
@@ -53,11 +53,11 @@
         """Judge workers by the progress that looks at them have told."""
         contacts = self._owner.contacts
         names = frozenset(contacts)
-        self._dispatcher.trust.set_workers(names)
-        self._dispatcher.paces.set_workers(names)
-        self._dispatcher.speeds.judge(contacts.values(), now)
+        self._dispatcher.worker_health.set_workers(names)
+        self._dispatcher.speed_ranks.set_workers(names)
+        self._dispatcher.slow_workers.judge(contacts.values(), now)
         for contact in contacts.values():
-            for run in list(self._dispatcher.trust.find_stalled(contact, now)):
+            for run in list(self._dispatcher.worker_health.find_stalled(contact, now)):
                 self._give_up(run, "A run stands still.")
 
     def _move_runs(self, now: float) -> None:
@@ -66,10 +66,10 @@
         As often as tickets for that may come: they don't last.
         """
         contacts = self._owner.contacts
-        for run in list(find_moves(contacts, self._dispatcher.speeds, now)):
+        for run in list(find_moves(contacts, self._dispatcher.slow_workers, now)):
             self._move(run, now)
         for run in list(find_silent(contacts, now)):
-            if self._dispatcher.copy(run, now):
+            if self._dispatcher.start_copy(run, now):
                 _log.info(
                     "A task is started beside a run that nothing is heard of.",
                     id=run.task.name.job,
@@ -79,12 +79,12 @@
 
     def _ask_ahead(self, now: float) -> None:
         """Ask the advisor about steps that are about to become due."""
-        for job in self._owner.board.open.values():
-            if job.queue.advice is None or job.is_unsure:
+        for job in self._owner.job_index.open_jobs.values():
+            if job.queue.advice is None or job.has_unconfirmed_runs:
                 continue
             for step in job.list_steps():
                 if is_due_soon(step, job.queue.advice, now):
-                    self._dispatcher.ask_first(step, now)
+                    self._dispatcher.request_urgent_advice(step, now)
 
     def _move(self, run: Run, now: float) -> None:
         """Take a run, or its whole gang, off a slow worker if there is room.
@@ -100,15 +100,15 @@
             step,
             pool,
             self._owner.contacts,
-            self._dispatcher.speeds,
-            self._desk.get(step),
+            self._dispatcher.slow_workers,
+            self._advice_scheduler.get(step),
             len(tasks),
             now,
         )
         if not is_possible:
             return
         if may_have_copies(step):
-            if not self._dispatcher.copy(run, now):
+            if not self._dispatcher.start_copy(run, now):
                 return
         else:
             self._give_up(run, "A run would end earlier elsewhere.")
--- a/src/damaskdeck/coordination/pools/times.py
+++ b/src/damaskdeck/coordination/pools/times.py
@@ -15,12 +15,12 @@
 class PoolBounds(NamedTuple):
     """What the platform promises and asks.
 
-    :param hold_longest: longest lease that a worker grants.
-    :param lease_shortest: shortest lease of the store.
+    :param max_worker_lease: longest lease that a worker grants.
+    :param min_store_lease: shortest lease of the store.
     :param grace: time from the order to stop until a daemon is killed.
-    :param status_kept: states of ended jobs are asked for at least so long.
-    :param far_factor: a step takes so many times as long away from its best racks.
-    :param stop_longest: a run that is told to stop takes so long at most.
+    :param status_retention: states of ended jobs are asked for at least so long.
+    :param remote_factor: a step takes so many times as long away from its best racks.
+    :param max_stop_time: a run that is told to stop takes so long at most.
     :param in_force: a document is in force so long after it was acknowledged.
     :param contact: a worker whose room has shrunk may have orders by its old room for
         so long, and one heartbeat.
@@ -29,12 +29,12 @@
         nobody; ``None`` where that is only asked of daemons in touch.
     """
 
-    hold_longest: timedelta
-    lease_shortest: timedelta
+    max_worker_lease: timedelta
+    min_store_lease: timedelta
     grace: timedelta
-    status_kept: timedelta
-    far_factor: float = 2.0
-    stop_longest: timedelta = timedelta(seconds=1)
+    status_retention: timedelta
+    remote_factor: float = 2.0
+    max_stop_time: timedelta = timedelta(seconds=1)
     in_force: timedelta = timedelta(seconds=3)
     contact: timedelta = timedelta(seconds=3)
     heartbeat: timedelta = timedelta(milliseconds=1500)
@@ -49,39 +49,39 @@
     control_wait: timedelta
     tenure: timedelta
     lease: timedelta
-    lease_over: timedelta
+    lease_expiry: timedelta
     succession: timedelta
-    hold_wait: timedelta
+    poll_wait: timedelta
     start_window: timedelta
     start_timeout: timedelta
     accept_timeout: timedelta
     unready_after: timedelta
-    forget_after: timedelta
-    linger: timedelta
-    far_factor: float
-    stop_longest: timedelta
-    keys_sure: timedelta | None
-    document_sure: timedelta
-    rooms_sure: timedelta
+    discard_after: timedelta
+    batch_delay: timedelta
+    remote_factor: float
+    max_stop_time: timedelta
+    keys_max_age: timedelta | None
+    document_max_age: timedelta
+    capacity_max_age: timedelta
 
 
 def derive_times(bounds: PoolBounds) -> PoolTimes:
     """Work the times out.
 
-    The sums that safety rests on: a worker's tasks have ended ``lease_over``
+    The sums that safety rests on: a worker's tasks have ended ``lease_expiry``
     after the last renewal reached it, and a deposed owner renews nothing once
     ``tenure`` has passed since it last saw itself named in the store, so
     ``succession`` after a takeover nothing that the old owner ordered runs on a
     worker that did not answer.
     """
-    lease = bounds.hold_longest
-    lease_over = lease / (1 - CLOCK_SLOWNESS)
+    lease = bounds.max_worker_lease
+    lease_expiry = lease / (1 - CLOCK_SLOWNESS)
     # As long as a lease: an owner that the store leaves alone for so long lets
     # its workers' leases run out, which doubles what an outage may last.
     tenure = lease
-    member_ttl = max(bounds.lease_shortest, timedelta(milliseconds=1200))
+    member_ttl = max(bounds.min_store_lease, timedelta(milliseconds=1200))
     # A worker that goes dark is noticed within this and a little.
-    hold_wait = min(timedelta(milliseconds=500), lease / 8)
+    poll_wait = min(timedelta(milliseconds=500), lease / 8)
     return PoolTimes(
         member_ttl=member_ttl,
         # Three renewals may be lost before the lease is.
@@ -90,9 +90,9 @@
         control_wait=timedelta(milliseconds=1500),
         tenure=tenure,
         lease=lease,
-        lease_over=lease_over,
-        succession=tenure + lease_over,
-        hold_wait=hold_wait,
+        lease_expiry=lease_expiry,
+        succession=tenure + lease_expiry,
+        poll_wait=poll_wait,
         # An order that the network keeps longer is refused as late.
         start_window=timedelta(milliseconds=1200),
         start_timeout=timedelta(milliseconds=600),
@@ -100,13 +100,13 @@
         accept_timeout=timedelta(milliseconds=900),
         # Callers are better off with daemons that the store answers.
         unready_after=timedelta(milliseconds=400),
-        forget_after=bounds.status_kept * 1.5,
+        discard_after=bounds.status_retention * 1.5,
         # Ends of one moment share a commit and a look.
-        linger=timedelta(milliseconds=35),
-        far_factor=bounds.far_factor,
-        stop_longest=bounds.stop_longest,
-        keys_sure=bounds.revocation and bounds.revocation - SURENESS_MARGIN,
+        batch_delay=timedelta(milliseconds=35),
+        remote_factor=bounds.remote_factor,
+        max_stop_time=bounds.max_stop_time,
+        keys_max_age=bounds.revocation and bounds.revocation - SURENESS_MARGIN,
         # Also an order that is under way begins within the bound.
-        document_sure=bounds.in_force - SURENESS_MARGIN,
-        rooms_sure=bounds.contact + bounds.heartbeat - ROOM_MARGIN,
+        document_max_age=bounds.in_force - SURENESS_MARGIN,
+        capacity_max_age=bounds.contact + bounds.heartbeat - ROOM_MARGIN,
     )
--- a/src/damaskdeck/coordination/pools/transfers.py
+++ b/src/damaskdeck/coordination/pools/transfers.py
@@ -14,7 +14,7 @@
 )
 
 
-class Mandate(NamedTuple):
+class OwnerTerm(NamedTuple):
     """What an owner decides under.
 
     :param revision: of the owner's record, which new jobs are stored against.
@@ -48,18 +48,18 @@
 
 
 def build_release(
-    mandate: Mandate, member: MemberRecord, heir: str, fence: int
+    term: OwnerTerm, member: MemberRecord, successor: str, fence: int
 ) -> Transaction:
     """Return the commit by which an owner hands over.
 
-    :param heir: who should take over first.
+    :param successor: who should take over first.
     :param fence: revision of the fence key as the owner last wrote it.
     """
     record = OwnerRecord(
-        mandate.epoch, member.instance, member.incarnation, True, heir, fence
+        term.epoch, member.instance, member.incarnation, True, successor, fence
     )
     return Transaction(
-        ((OWNER_KEY, mandate.revision),),
+        ((OWNER_KEY, term.revision),),
         (Write(OWNER_KEY, encode_record(record)),),
         (LEAD_KEY,),
     )
--- a/src/damaskdeck/coordination/pools/ordering.py
+++ b/src/damaskdeck/coordination/pools/urgency.py
@@ -4,9 +4,9 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from damaskdeck.coordination.pools.leaving import measure_rest
-from damaskdeck.protocol.queues import AdviceTerms, JobSpec, Queue, StepSpec
-from damaskdeck.state.board import RunPhase, Step
+from damaskdeck.coordination.pools.departures import measure_rest
+from damaskdeck.protocol.queues import AdvisorTiming, JobSpec, Queue, StepSpec
+from damaskdeck.state.pooljobs import RunPhase, Step
 
 # The advisor is asked about a step while the steps before it have so long to go, and
 # what its answer takes: a fifth of the time that its tickets last is then gone.
@@ -15,10 +15,10 @@
 LATE_MULTIPLE = 3.0
 
 
-class Outlook(IntEnum):
+class DeadlineStatus(IntEnum):
     """What a job can still be; lower comes first."""
 
-    PUNCTUAL = 0
+    ON_TIME = 0
     LATE = 1
     LOST = 2
 
@@ -30,7 +30,7 @@
     :param slack: seconds until the step must start to be punctual (or late).
     """
 
-    outlook: Outlook
+    deadline_status: DeadlineStatus
     rank: int
     slack: float
 
@@ -56,7 +56,7 @@
     )
 
 
-def measure_whole_chain(spec: JobSpec) -> float:
+def measure_critical_path(spec: JobSpec) -> float:
     """Return the longest chain of work of the whole job, in seconds."""
     return _find_longest((step, _estimate(step)) for step in spec.steps)
 
@@ -76,13 +76,13 @@
 
 def find_objective(queue: Queue, spec: JobSpec) -> float:
     """Return how many seconds after its arrival a job should be done."""
-    return queue.slack * measure_whole_chain(spec) + queue.allowance.total_seconds()
+    return queue.slack * measure_critical_path(spec) + queue.allowance.total_seconds()
 
 
 def find_deadlines(step: Step) -> Deadlines:
     """Return until when a step must start; changes when steps of its job end."""
     job = step.job
-    if step.spec.is_lasting:
+    if step.spec.is_long_running:
         return Deadlines(0.0, 0.0)
     objective = find_objective(job.queue, job.record.spec)
     chain = measure_chain(job.occurrences[step.occurrence])
@@ -98,22 +98,22 @@
     :param deadlines: those of the step.
     """
     rank = step.job.queue.rank
-    if step.spec.is_lasting:
-        return Urgency(Outlook.PUNCTUAL, rank, 0.0)
+    if step.spec.is_long_running:
+        return Urgency(DeadlineStatus.ON_TIME, rank, 0.0)
     start_by, late_by = deadlines
     if now <= start_by:
-        return Urgency(Outlook.PUNCTUAL, rank, start_by - now)
+        return Urgency(DeadlineStatus.ON_TIME, rank, start_by - now)
     if now <= late_by:
-        return Urgency(Outlook.LATE, rank, late_by - now)
-    return Urgency(Outlook.LOST, rank, now - late_by)
+        return Urgency(DeadlineStatus.LATE, rank, late_by - now)
+    return Urgency(DeadlineStatus.LOST, rank, now - late_by)
 
 
-def judge_step(step: Step, now: float) -> Urgency:
+def measure_urgency(step: Step, now: float) -> Urgency:
     """Return how urgent a step is."""
     return judge_deadlines(step, find_deadlines(step), now)
 
 
-def is_due_soon(step: Step, terms: AdviceTerms, now: float) -> bool:
+def is_due_soon(step: Step, terms: AdvisorTiming, now: float) -> bool:
     """Tell whether the steps before one will have completed in a moment.
 
     :param terms: of the advice that its tasks need.
--- a/src/damaskdeck/coordination/pools/workforce.py
+++ b/src/damaskdeck/coordination/pools/workerfleet.py
@@ -11,20 +11,20 @@
 from damaskdeck.coordination.pools.inventories import ContactOwner
 from damaskdeck.coordination.pools.leadership import RETRY_DELAY, Leadership
 from damaskdeck.coordination.pools.times import PoolTimes
-from damaskdeck.coordination.pools.transfers import Mandate
+from damaskdeck.coordination.pools.transfers import OwnerTerm
 from damaskdeck.delays import LoopDelay
 from damaskdeck.errors import MessageError
 from damaskdeck.logs import get_logger
-from damaskdeck.protocol.accounts import UNLIMITED_SIZE
+from damaskdeck.protocol.clientaccounts import UNLIMITED_SIZE
 from damaskdeck.protocol.pools import (
     PoolWorker,
     PoolWorkers,
-    Registered,
+    RegisteredWorkers,
     RegistryChange,
     RegistryChanges,
     WorkerRegistry,
 )
-from damaskdeck.protocol.ports import Found, Missing, TooOld
+from damaskdeck.protocol.ports import Found, Missing, RevisionTooOld
 from damaskdeck.protocol.sizes import Size
 from damaskdeck.protocol.transactions import TransactionalStore, Write
 from damaskdeck.state.jobrecords import (
@@ -50,12 +50,13 @@
 _log = get_logger("workforce")
 
 
-class WorkforceParts(NamedTuple):
+class FleetDependencies(NamedTuple):
     """What a workforce works with.
 
-    :param knows_pool: tells whether the operators have declared a pool.
+    :param is_pool_declared: tells whether the operators have declared a pool.
     :param delay: how late this process is.
-    :param date: tells when a revision of the store was written at the earliest.
+    :param find_write_time: returns the earliest time at which a revision of the store
+        was written.
     """
 
     leadership: Leadership
@@ -64,9 +65,9 @@
     registry: WorkerRegistry
     clock: Clock
     times: PoolTimes
-    knows_pool: Callable[[str], bool]
+    is_pool_declared: Callable[[str], bool]
     delay: LoopDelay
-    date: Callable[[int], float]
+    find_write_time: Callable[[int], float]
 
 
 class WorkforceEvents(NamedTuple):
@@ -93,7 +94,7 @@
     :param roster: ``None`` where it can't be read.
     """
 
-    registered: Registered
+    registered: RegisteredWorkers
     roster: RosterRecord | None
     cordons: CordonsRecord
 
@@ -107,13 +108,13 @@
 
     def __init__(
         self,
-        mandate: Mandate,
-        parts: WorkforceParts,
+        term: OwnerTerm,
+        parts: FleetDependencies,
         owner: ContactOwner,
         events: WorkforceEvents,
     ) -> None:
         self.contacts: dict[str, WorkerContact] = {}
-        self._mandate = mandate
+        self._mandate = term
         self._parts = parts
         self._owner = owner
         self._events = events
@@ -147,13 +148,13 @@
         """How many workers may run what a predecessor ordered without our knowing."""
         return len(self._unaccounted)
 
-    def list_unaccounted(self) -> list[Size]:
+    def list_unreconciled(self) -> list[Size]:
         """List what the workers that are not accounted for yet may hold at most.
 
         One that has shrunk may run what it was given before.
         """
         return [
-            contact.most if (contact := self.contacts.get(name)) else UNBOUNDED
+            contact.peak_size if (contact := self.contacts.get(name)) else UNBOUNDED
             for name in self._unaccounted
         ]
 
@@ -170,7 +171,7 @@
                 parts.store.read(CORDONS_KEY),
             )
             answers = roster, cordons
-            if isinstance(found, Registered) and all(
+            if isinstance(found, RegisteredWorkers) and all(
                 isinstance(answer, Found | Missing) for answer in answers
             ):
                 break
@@ -243,12 +244,14 @@
 
         The call tells whether orders may go to more workers.
         """
-        listed = [(c, c.most) for c in self.contacts.values() if not c.is_gone]
-        roster = RosterRecord(tuple(c.info._replace(size=most) for c, most in listed))
+        listed = [(c, c.peak_size) for c in self.contacts.values() if not c.is_gone]
+        roster = RosterRecord(
+            tuple(c.info._replace(size=peak_size) for c, peak_size in listed)
+        )
 
         def note_durable() -> bool:
-            for contact, most in listed:
-                contact.is_rostered = contact.most == most
+            for contact, peak_size in listed:
+                contact.is_rostered = contact.peak_size == peak_size
             return bool(listed)
 
         return Write(ROSTER_KEY, encode_record(roster)), note_durable
@@ -264,7 +267,7 @@
             return now
         is_gone = parts.leadership.is_gone(old.instance, old.incarnation)
         is_over = old.is_released or is_gone or is_silent
-        lasts = parts.times.lease_over if is_over else parts.times.succession
+        lasts = parts.times.lease_expiry if is_over else parts.times.succession
         return now + lasts.total_seconds()
 
     def _add(self, worker: PoolWorker, is_silent: bool = False) -> WorkerContact:
@@ -287,7 +290,7 @@
     async def _keep(self, contact: WorkerContact) -> None:
         await contact.run()
         cordon = self.cordons.find(contact.info.identifier)
-        if contact.is_gone and not contact.is_read and cordon is not None:
+        if contact.is_gone and not contact.is_reconciled and cordon is not None:
             # Its runs are known to nobody else any more.
             self._events.crash(cordon.runs)
         self.contacts.pop(contact.info.identifier, None)
@@ -305,15 +308,15 @@
         if error is not None and self._broken is not None and not self._broken.done():
             self._broken.set_exception(error)
 
-    def _list_all(self, found: Registered) -> None:
+    def _list_all(self, found: RegisteredWorkers) -> None:
         for worker, revision in zip(found.workers, found.revisions, strict=True):
             self._list(worker, revision)
 
     def _list(self, worker: PoolWorker, revision: int) -> bool:
         """Take note of a registration; tell whether it says anything new."""
-        told_at = self._parts.date(revision)
+        told_at = self._parts.find_write_time(revision)
         contact = self.contacts.get(worker.identifier)
-        if contact is None and not self._parts.knows_pool(worker.pool):
+        if contact is None and not self._parts.is_pool_declared(worker.pool):
             self._note_undeclared(worker, revision)
             return False
         self._undeclared.pop(worker.identifier, None)
@@ -324,9 +327,9 @@
         is_new = not contact.is_listed or contact.info != worker
         was_rostered = contact.is_rostered
         contact.update(worker, told_at)
-        if worker.identifier in self._unsure and contact.is_room_sure(self._now()):
+        if worker.identifier in self._unsure and contact.is_capacity_fresh(self._now()):
             self._unsure.discard(worker.identifier)
-            self._owner.note_contact(contact)
+            self._owner.handle_contact_change(contact)
         if was_rostered and not contact.is_rostered:
             self._events.roster()
         return is_new
@@ -336,10 +339,10 @@
         unsure = {
             name
             for name, contact in self.contacts.items()
-            if contact.is_listed and not contact.is_room_sure(now)
+            if contact.is_listed and not contact.is_capacity_fresh(now)
         }
         for name in unsure - self._unsure:
-            self._owner.note_contact(self.contacts[name])
+            self._owner.handle_contact_change(self.contacts[name])
         if bool(unsure) is not self._are_rooms_unsure:
             self._are_rooms_unsure = bool(unsure)
             if unsure:
@@ -379,13 +382,13 @@
                 if is_new:
                     # Heartbeats change a registration's time alone.
                     self._events.change()
-            elif isinstance(answer, TooOld):
+            elif isinstance(answer, RevisionTooOld):
                 await self._list_anew()
             await self._parts.clock.sleep(REGISTRY_INTERVAL)
 
     async def _list_anew(self) -> None:
         found = await self._parts.registry.list_workers()
-        if isinstance(found, Registered):
+        if isinstance(found, RegisteredWorkers):
             self._revision = found.revision
             present = {worker.identifier for worker in found.workers}
             for gone in self._undeclared.keys() - present:
--- a/src/damaskdeck/coordination/pools/trust.py
+++ b/src/damaskdeck/coordination/pools/workerhealth.py
@@ -9,13 +9,13 @@
 from datetime import timedelta
 
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.places.failures import Failures
+from damaskdeck.coordination.places.failures import FailureHistory
 from damaskdeck.coordination.places.quarantine import Quarantine
 from damaskdeck.coordination.pools.contacts import WorkerContact
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_retry
 from damaskdeck.protocol.pools import EndedTask, EndKind
-from damaskdeck.state.board import Job, Run, RunPhase, Step, Task
+from damaskdeck.state.pooljobs import Job, Run, RunPhase, Step, Task
 
 # A fault of a worker lasts for seconds; longer pauses would waste a sound one.
 QUARANTINE_PAUSE = timedelta(seconds=2)
@@ -37,12 +37,12 @@
 _log = get_logger("trust")
 
 
-class Trust:
+class WorkerHealth:
     """What speaks against workers, for one owner."""
 
     def __init__(self, clock: Clock) -> None:
         self._quarantine = Quarantine(
-            clock, Failures(), QUARANTINE_SHARE, QUARANTINE_PAUSE
+            clock, FailureHistory(), QUARANTINE_SHARE, QUARANTINE_PAUSE
         )
         self._pauses: dict[str, float] = {}
 
@@ -57,17 +57,17 @@
         has_spare = job.queue.attempts >= ATTEMPTS_TO_SPARE
         return self._quarantine.may_start(worker, has_spare)
 
-    def note_start(self, run: Run) -> None:
+    def record_start(self, run: Run) -> None:
         """Take note of a start; on a doubted worker it is a probe."""
-        self._quarantine.note_start(run.worker, name_run(run.task, run.attempt))
+        self._quarantine.record_start(run.worker, name_run(run.task, run.attempt))
 
-    def note_end(self, worker: str, task: Task, end: EndedTask) -> None:
+    def record_end(self, worker: str, task: Task, end: EndedTask) -> None:
         """Take note of how a run ended."""
         outcomes = {EndKind.COMPLETED: True, EndKind.FAILED: False}
         succeeded = outcomes.get(end.kind)
         if succeeded:
             self._pauses.pop(worker, None)
-        self._quarantine.note_end(
+        self._quarantine.record_end(
             worker,
             task.step.job.queue.name,
             task.step.job.identifier,
@@ -81,9 +81,9 @@
         The worker gets nothing new for a while.
         """
         runs = [run for run in contact.runs.values() if is_working(run)]
-        if not runs or not contact.is_known:
+        if not runs or not contact.is_synchronized:
             return
-        still = contact.looked_at - max(run.moved_at for run in runs)
+        still = contact.polled_at - max(run.progressed_at for run in runs)
         if still < STILL_SECONDS:
             return
         name = contact.info.identifier
--- a/src/damaskdeck/coordination/pools/leases.py
+++ b/src/damaskdeck/coordination/pools/workerlease.py
@@ -10,20 +10,20 @@
 
     :param bound: when the leases that predecessors granted are over, monotonic
         seconds as all times here.
-    :ivar over_at: when all that it runs has ended if it never answers again.
+    :ivar expires_at: when all that it runs has ended if it never answers again.
     """
 
     def __init__(self, bound: float) -> None:
-        self.over_at = bound
+        self.expires_at = bound
         self._clock: timedelta | None = None
         self._clock_at = 0.0
 
     @property
-    def is_known(self) -> bool:
+    def is_synchronized(self) -> bool:
         """Whether the worker has told its clock."""
         return self._clock is not None
 
-    def note_clock(self, clock: timedelta, now: float) -> None:
+    def record_clock(self, clock: timedelta, now: float) -> None:
         """Take note of the worker's steady clock; answers may overtake each other."""
         if self._clock is None or clock >= self._clock:
             self._clock = clock
@@ -41,5 +41,5 @@
         """
         since = now - self._clock_at
         longest = (since + lease.total_seconds()) / (1 - CLOCK_SLOWNESS)
-        self.over_at = max(self.over_at, self._clock_at + longest)
+        self.expires_at = max(self.expires_at, self._clock_at + longest)
         return self.estimate_clock(now) + lease
--- a/src/damaskdeck/coordination/pools/confining.py
+++ b/src/damaskdeck/coordination/pools/zoneconfinement.py
@@ -12,12 +12,12 @@
 
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.pools.contacts import WorkerContact
-from damaskdeck.coordination.pools.ordering import (
+from damaskdeck.coordination.pools.planning import has_rack_preference
+from damaskdeck.coordination.pools.urgency import (
     find_objective,
-    measure_whole_chain,
+    measure_critical_path,
 )
-from damaskdeck.coordination.pools.placing import is_choosy
-from damaskdeck.protocol.poolcalls import TellRoom
+from damaskdeck.protocol.poolmessages import ReportCapacity
 from damaskdeck.protocol.queues import JobSpec, Queue, StepSpec
 
 # What the owner told longer ago says nothing about room any more; it tells it twice
@@ -35,7 +35,7 @@
     memory: int
 
 
-class ZoneRooms:
+class ZoneCapacities:
     """What the owner told of the room in each zone, on one daemon.
 
     :param lease: a job that can wait for the leases of workers that don't answer
@@ -49,7 +49,7 @@
         self._epoch = 0
         self._pools: dict[str, dict[str, Room]] = {}
 
-    def take(self, message: TellRoom) -> None:
+    def take(self, message: ReportCapacity) -> None:
         """Take note of what an owner tells; an older one is not heard."""
         if message["epoch"] < self._epoch:
             return
@@ -68,7 +68,7 @@
         is_old = self._clock.monotonic() - self._told_at > ROOM_LASTS
         if is_old or spec.repeats or not all(map(_may_be_confined, spec.steps)):
             return ()
-        slack = find_objective(queue, spec) - measure_whole_chain(spec)
+        slack = find_objective(queue, spec) - measure_critical_path(spec)
         if slack > self._lease.total_seconds():
             return ()
         millicores = max(s.tasks * s.size.millicores for s in spec.steps) * ROOM_MARGIN
@@ -89,7 +89,7 @@
 
     One that lasts is better spread, and one that is choosy goes to its racks.
     """
-    return not (step.is_lasting or step.label or is_choosy(step))
+    return not (step.is_long_running or step.label or has_rack_preference(step))
 
 
 def _shuffle(rooms: dict[str, Room], identifier: str) -> list[str]:
@@ -104,7 +104,7 @@
     return sorted(times, key=lambda zone: times[zone])
 
 
-def measure_rooms(
+def measure_zone_capacities(
     contacts: Iterable[WorkerContact], now: float
 ) -> list[tuple[str, str, int, int]]:
     """Return pool, zone, millicores and MiB of the free room that orders may use."""
--- a/src/damaskdeck/coordination/queues/fairness.py
+++ b/src/damaskdeck/coordination/queues/fairness.py
@@ -27,7 +27,7 @@
 
     def compute_share(self, team: str) -> float:
         """Return the dominant share of ``team``, divided by its weight."""
-        use, weight = self._quotas.read_use(team)
+        use, weight = self._quotas.get_usage(team)
         capacity = self._quotas.capacity
         known = self._known.get(team)
         if known and known[0] is use and known[1] == weight and known[2] is capacity:
--- a/src/damaskdeck/coordination/queues/queueing.py
+++ b/src/damaskdeck/coordination/queues/queueing.py
@@ -99,7 +99,7 @@
         self._closed_classes[entry.group.line.rank] = -1
         key = job.team, entry.group.line.rank
         self._needs.setdefault(key, TeamNeed()).add(entry.group.line.need)
-        self.quotas.add_want(job.team, job.want, entry.group.line.rank)
+        self.quotas.add_demand(job.team, job.want, entry.group.line.rank)
         self._work += 1
 
     def push_all(self, jobs: Iterable[WaitingJob]) -> None:
@@ -113,7 +113,7 @@
         if entry is None:
             return None
         self._drop_entry(entry)
-        self.quotas.drop_want(entry.job.team, entry.job.want, entry.group.line.rank)
+        self.quotas.remove_demand(entry.job.team, entry.job.want, entry.group.line.rank)
         return entry.job
 
     def remove_all(self, names: Iterable[str]) -> int:
@@ -130,7 +130,7 @@
         job = entry.job
         self._since_overdue = 0 if overdue else self._since_overdue + 1
         line = entry.group.line
-        self.quotas.charge_wanted(job.team, line.need, line.rank)
+        self.quotas.charge_demand(job.team, line.need, line.rank)
         if job.gang or job.tasks == 1:
             del self._entries[name]
             self._drop_entry(entry)
@@ -147,7 +147,7 @@
         left = waiting.tasks if waiting else 0
         self.push(job._replace(tasks=left + job.offered))
 
-    def note_room(self, room: Size) -> None:
+    def unblock_fitting(self, room: Size) -> None:
         """Note that one worker now has ``room``, so that its jobs are tried."""
         self.blocks.open(room)
 
--- a/src/damaskdeck/coordination/queues/lategangs.py
+++ b/src/damaskdeck/coordination/queues/starvinggangs.py
@@ -9,13 +9,13 @@
 from damaskdeck.protocol.sizes import Size, add_sizes, fits, subtract_sizes
 
 # A gang that has waited so long has room kept for it.
-GANG_WAIT = timedelta(seconds=30)
+STARVATION_LIMIT = timedelta(seconds=30)
 # So many gangs of a ledger ask for it, each once in such an interval.
 GANG_LIMIT = 4
 ASK_INTERVAL = timedelta(seconds=1)
 
 
-class LateGangs:
+class StarvingGangs:
     """The waiting gangs of one ledger, and which of them ask for room first.
 
     They don't wait for their turn: smaller tasks that found no room would always
@@ -43,7 +43,7 @@
 
     def is_late(self, job: WaitingJob) -> bool:
         """Tell whether room is to be kept for a gang."""
-        return self._clock.monotonic() - job.submitted >= GANG_WAIT
+        return self._clock.monotonic() - job.submitted >= STARVATION_LIMIT
 
     def list(self) -> list[WaitingJob]:
         """List the first late gangs, the most urgent and oldest first."""
--- a/src/damaskdeck/coordination/requests/admission.py
+++ b/src/damaskdeck/coordination/requests/admission.py
@@ -190,12 +190,12 @@
     def __init__(
         self,
         durations: Durations,
-        chooser: random.Random,
+        rng: random.Random,
         limit: int = QUEUE_LIMIT,
         size_limit: int = QUEUE_BYTES,
     ) -> None:
         self._durations = durations
-        self._random = chooser
+        self._random = rng
         self._limit = limit
         self._size_limit = size_limit
         self._classes = [_ClassQueue() for _ in _RANKS]
--- a/src/damaskdeck/coordination/requests/attempts.py
+++ b/src/damaskdeck/coordination/requests/attempts.py
@@ -28,13 +28,13 @@
     is_free: bool = False
 
 
-class Gone(NamedTuple):
+class AnswerLost(NamedTuple):
     """The answer is lost; the request may have run."""
 
     code: str
 
 
-Result = Completed | Failed | NotRun | Gone
+Result = Completed | Failed | NotRun | AnswerLost
 
 
 class Place(NamedTuple):
@@ -61,7 +61,7 @@
     """The place that was waited for is gone; look for another."""
 
 
-class Course:
+class RequestContext:
     """A request on its way through its attempts on one daemon.
 
     :param deadline: on this daemon's monotonic clock.
--- a/src/damaskdeck/coordination/requests/forwards.py
+++ b/src/damaskdeck/coordination/requests/forwards.py
@@ -10,35 +10,35 @@
 from damaskdeck.coordination.requests.attempts import (
     FREE_CODES,
     HOP_FACTOR,
-    Course,
-    Gone,
+    AnswerLost,
     NotRun,
     Redirect,
+    RequestContext,
     Result,
 )
 from damaskdeck.coordination.requests.lanes import Lane
 from damaskdeck.coordination.requests.loads import LoadTable
 from damaskdeck.coordination.requests.sharing import SlotSharing
 from damaskdeck.metrics import count_drop
+from damaskdeck.protocol.conversions import build_outcome_data, parse_outcome
 from damaskdeck.protocol.forwarding import (
-    CancelForward,
-    ForwardOutcome,
+    CancelForwardedRequest,
     ForwardRequest,
+    ForwardRequestReply,
 )
 from damaskdeck.protocol.handlers import ServiceRequest
 from damaskdeck.protocol.messages import Answered, Peers, Unsent
 from damaskdeck.protocol.outcomes import Outcome, Refused, Unknown
-from damaskdeck.protocol.replies import read_outcome, show_outcome
 from damaskdeck.protocol.resources import Urgency
 
-PART = "forwards"
+COMPONENT = "forwards"
 KEPT_TIME = timedelta(seconds=1)
 
 _URGENCIES = {urgency.value: urgency for urgency in Urgency}
 
 # A request that a peer passed on: the peer, the identifier and the attempt.
 _Key = tuple[str, str, int]
-Serve = Callable[[Course], Awaitable[Outcome]]
+Serve = Callable[[RequestContext], Awaitable[Outcome]]
 
 
 class Forwarder:
@@ -65,14 +65,14 @@
         self._taken: dict[_Key, asyncio.Task[Outcome] | None] = {}
         self._deadlines: deque[tuple[timedelta, _Key]] = deque()
         peers.register(ForwardRequest, self._take)
-        peers.register(CancelForward, self._cancel)
+        peers.register(CancelForwardedRequest, self._cancel)
 
     @property
     def count_taken(self) -> int:
         """Return how many requests of peers are in progress here."""
         return sum(task is not None for task in self._taken.values())
 
-    async def forward(self, redirect: Redirect, course: Course) -> Result:
+    async def forward(self, redirect: Redirect, course: RequestContext) -> Result:
         """Pass a request to another daemon and wait for its outcome."""
         left = course.deadline - self._clock.monotonic()
         if left <= timedelta():
@@ -86,18 +86,18 @@
             reply = await self._peers.call(instance, message, ForwardRequest, left)
         except asyncio.CancelledError:
             name = course.request.identifier
-            cancel = CancelForward(identifier=name, attempt=attempt)
-            self._peers.send(instance, cancel, CancelForward)
+            cancel = CancelForwardedRequest(identifier=name, attempt=attempt)
+            self._peers.send(instance, cancel, CancelForwardedRequest)
             raise
         if isinstance(reply, Unsent):
             self._loads.forget(instance)
             return NotRun(reply.code, is_free=True)
         if not isinstance(reply, Answered):
-            return Gone(reply.code)
+            return AnswerLost(reply.code)
         return self._read(instance, course.request, attempt, reply.message)
 
     def _write(
-        self, course: Course, attempt: int, left: timedelta, patience: float
+        self, course: RequestContext, attempt: int, left: timedelta, patience: float
     ) -> ForwardRequest:
         request = course.request
         return ForwardRequest(
@@ -118,27 +118,27 @@
         self, instance: str, request: ServiceRequest, attempt: int, answer: Any
     ) -> Result:
         if not answer:
-            return Gone("no_outcome")
+            return AnswerLost("no_outcome")
         if (answer["identifier"], answer["attempt"]) != (request.identifier, attempt):
-            count_drop(PART, "answer_crossed")
-            return Gone("answer_crossed")
+            count_drop(COMPONENT, "answer_crossed")
+            return AnswerLost("answer_crossed")
         if "load" in answer:
             self._loads.note(instance, request.service, answer["load"])
-        outcome = read_outcome(answer["outcome"])
+        outcome = parse_outcome(answer["outcome"])
         if isinstance(outcome, Refused):
             is_free = outcome.code in FREE_CODES
             return NotRun(outcome.code, outcome.retry_after, is_free)
         if isinstance(outcome, Unknown):
-            return Gone(outcome.code)
+            return AnswerLost(outcome.code)
         return outcome
 
     async def _take(
         self, instance: str, message: ForwardRequest
-    ) -> ForwardOutcome | None:
+    ) -> ForwardRequestReply | None:
         key = (instance, message["identifier"], message["attempt"])
         self._forget_old()
         if key in self._taken:
-            count_drop(PART, "request_doubled")
+            count_drop(COMPONENT, "request_doubled")
             return None
         service = message["service"]
         self._sharing.count_arrived(service)
@@ -153,14 +153,14 @@
             outcome = Unknown("cancelled")
         finally:
             self._taken[key] = None
-        return ForwardOutcome(
+        return ForwardRequestReply(
             identifier=message["identifier"],
             attempt=message["attempt"],
-            outcome=show_outcome(outcome),
+            outcome=build_outcome_data(outcome),
             load=self._get_lane(service).read_load(),
         )
 
-    async def _cancel(self, instance: str, message: CancelForward) -> None:
+    async def _cancel(self, instance: str, message: CancelForwardedRequest) -> None:
         key = (instance, message["identifier"], message["attempt"])
         task = self._taken.get(key)
         if task is not None:
@@ -175,7 +175,7 @@
             else:
                 self._deadlines.append((now, key))
 
-    def _read_course(self, message: ForwardRequest) -> Course:
+    def _read_course(self, message: ForwardRequest) -> RequestContext:
         request = ServiceRequest(
             message["identifier"],
             message["service"],
@@ -187,4 +187,4 @@
             idempotent=message["idempotent"],
         )
         base = message["attempt"] * HOP_FACTOR
-        return Course(request, self._clock, base, False, message["patience"])
+        return RequestContext(request, self._clock, base, False, message["patience"])
--- a/src/damaskdeck/coordination/requests/handover.py
+++ b/src/damaskdeck/coordination/requests/handover.py
@@ -9,7 +9,7 @@
 from damaskdeck.coordination.requests.lanes import name_thing
 from damaskdeck.coordination.requests.slots import SlotPool
 from damaskdeck.logs import get_logger
-from damaskdeck.protocol.forwarding import ReadSlots, SlotsRead
+from damaskdeck.protocol.forwarding import ReadSlots, ReadSlotsReply
 from damaskdeck.protocol.members import Members, Ownership
 from damaskdeck.protocol.messages import Answered, Peers
 
@@ -32,8 +32,9 @@
     or cut off, and all slots count as filled until its longest call must have
     ended.
 
-    :param longest: no call to a target is open for longer.
-    :param margin: added to ``longest`` where a slot must be free without an answer.
+    :param max_call_time: no call to a target is open for longer.
+    :param margin: added to ``max_call_time`` where a slot must be free without an
+        answer.
     :param on_free: called when slots of a pool may have become free.
     """
 
@@ -43,7 +44,7 @@
         ownership: Ownership,
         peers: Peers,
         clock: Clock,
-        longest: timedelta,
+        max_call_time: timedelta,
         margin: timedelta,
         on_free: Callable[[SlotPool], None],
     ) -> None:
@@ -51,7 +52,7 @@
         self._ownership = ownership
         self._peers = peers
         self._clock = clock
-        self._longest = longest
+        self._longest = max_call_time
         self._margin = margin
         self._on_free = on_free
         self._follows: set[asyncio.Task[None]] = set()
@@ -89,7 +90,7 @@
         return pool in self._former.get(pool.target.name, {}).values()
 
     def _inherit(
-        self, pool: SlotPool, epoch: int, answers: dict[str, SlotsRead]
+        self, pool: SlotPool, epoch: int, answers: dict[str, ReadSlotsReply]
     ) -> bool:
         """Take over what the earlier owners say; tell whether the last one did."""
         for name, answer in answers.items():
@@ -107,7 +108,7 @@
         now = self._clock.monotonic()
         return [now + timedelta(seconds=seconds) for seconds in remaining]
 
-    async def _ask(self, pool: SlotPool, epoch: int) -> dict[str, SlotsRead]:
+    async def _ask(self, pool: SlotPool, epoch: int) -> dict[str, ReadSlotsReply]:
         target = pool.target.name
         own = self._members.self
         names = [m.name for m in self._members.list_live(own.zone) if m != own]
@@ -121,15 +122,15 @@
                 answers[name] = reply.message
         return answers
 
-    async def _tell(self, instance: str, message: ReadSlots) -> SlotsRead | None:
+    async def _tell(self, instance: str, message: ReadSlots) -> ReadSlotsReply | None:
         target = message["target"]
         if self._ownership.get_epoch(name_thing(target)) is not None:
             return None
         return self._read_former(target)
 
-    def _read_former(self, target: str) -> SlotsRead:
+    def _read_former(self, target: str) -> ReadSlotsReply:
         pools = self._former.get(target, {})
-        answer = SlotsRead(
+        answer = ReadSlotsReply(
             target=target, epoch=max(pools, default=0), remaining=[], inherited={}
         )
         for pool in pools.values():
--- a/src/damaskdeck/coordination/requests/health.py
+++ b/src/damaskdeck/coordination/requests/health.py
@@ -8,7 +8,7 @@
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_refusal
 
-PART = "health"
+COMPONENT = "health"
 STREAK_LIMIT = 5
 BAD_SHARE = 0.5
 EJECTED_SHARE = 0.34
@@ -18,7 +18,7 @@
 
 _WEIGHT = 0.05
 
-_log = get_logger(PART)
+_log = get_logger(COMPONENT)
 
 
 class TargetHealth:
@@ -31,11 +31,11 @@
     :ivar until: when the target may be tried again, or ``None``.
     """
 
-    def __init__(self, pool: SlotPool, clock: Clock, chooser: random.Random) -> None:
+    def __init__(self, pool: SlotPool, clock: Clock, rng: random.Random) -> None:
         self.pool = pool
         self.until: timedelta | None = None
         self._clock = clock
-        self._random = chooser
+        self._random = rng
         self._streak = 0
         self._bad = 0.0
         self._ejections = 0
@@ -73,7 +73,7 @@
         self._ejections = min(self._ejections + 1, 10)
         self.until = self._clock.monotonic() + wait * (1 + self._random.random() / 2)
         self.pool.allowance = 0
-        count_refusal(PART, "ejected")
+        count_refusal(COMPONENT, "ejected")
         _log.warn("A target is ejected.", target=self.pool.target.name)
 
     def postpone(self) -> None:
--- a/src/damaskdeck/coordination/requests/keyed.py
+++ b/src/damaskdeck/coordination/requests/keyed.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from damaskdeck.background import start_task
-from damaskdeck.coordination.requests.attempts import Course, Gone
-from damaskdeck.protocol.handlers import Claimed, KeyMemory, Known
+from damaskdeck.coordination.requests.attempts import AnswerLost, RequestContext
+from damaskdeck.protocol.handlers import ClaimedKey, IdempotencyKeys, KnownKey
 from damaskdeck.protocol.outcomes import (
     Completed,
     Failed,
@@ -26,7 +26,9 @@
     """
 
     def __init__(
-        self, keys: KeyMemory, serve: Callable[[Course], Awaitable[Outcome]]
+        self,
+        keys: IdempotencyKeys,
+        serve: Callable[[RequestContext], Awaitable[Outcome]],
     ) -> None:
         self._keys = keys
         self._serve = serve
@@ -37,7 +39,7 @@
         """Return how many keys are being claimed or settled."""
         return len(self._settlings)
 
-    async def serve(self, course: Course) -> Outcome:
+    async def serve(self, course: RequestContext) -> Outcome:
         """Run a request once for its key, or return what became of it."""
         request = course.request
         digest = hashlib.sha256(request.body).digest()
@@ -48,9 +50,9 @@
         except asyncio.CancelledError:
             self._start(self._settle_unserved(name, claiming))
             raise
-        if isinstance(claim, Known):
+        if isinstance(claim, KnownKey):
             return claim.outcome
-        if not isinstance(claim, Claimed):
+        if not isinstance(claim, ClaimedKey):
             return claim
         try:
             outcome = await self._serve(course)
@@ -69,11 +71,11 @@
         self, name: tuple[str, str, str], claiming: "asyncio.Task[Any]"
     ) -> None:
         """Remember that a request whose caller went too early has not run."""
-        if isinstance(await claiming, Claimed):
+        if isinstance(await claiming, ClaimedKey):
             await self._keys.settle_key(*name, Refused("cancelled"))
 
     async def _settle_cancelled(
-        self, name: tuple[str, str, str], course: Course
+        self, name: tuple[str, str, str], course: RequestContext
     ) -> None:
         """Remember what became of a keyed request whose caller has gone."""
         outcome: Outcome = Refused("cancelled")
@@ -83,7 +85,7 @@
             result = await course.call
             if isinstance(result, Completed | Failed):
                 outcome = result
-            elif isinstance(result, Gone):
+            elif isinstance(result, AnswerLost):
                 outcome = Unknown(result.code)
         elif course.is_sent:
             outcome = Unknown("cancelled")
--- a/src/damaskdeck/coordination/requests/lanes.py
+++ b/src/damaskdeck/coordination/requests/lanes.py
@@ -7,11 +7,11 @@
 
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.requests.admission import AdmissionQueue, Waiter
-from damaskdeck.coordination.requests.attempts import Course, Moved, Place
+from damaskdeck.coordination.requests.attempts import Moved, Place, RequestContext
 from damaskdeck.coordination.requests.durations import Durations
 from damaskdeck.coordination.requests.health import TargetHealth
 from damaskdeck.coordination.requests.slots import SlotPool
-from damaskdeck.protocol.forwarding import Load
+from damaskdeck.protocol.forwarding import ServiceLoad
 from damaskdeck.protocol.members import Ownership
 from damaskdeck.protocol.ports import Instance
 
@@ -30,7 +30,7 @@
     """One service on one daemon.
 
     :param ownership: asked before each slot is filled.
-    :param longest: no call to a target is open for longer.
+    :param max_call_time: no call to a target is open for longer.
     :param queue_limit: waiters of one team and urgency class.
     :param on_room: called when slots were given to all who wait, or none is left.
     """
@@ -40,20 +40,20 @@
         service: str,
         ownership: Ownership,
         clock: Clock,
-        chooser: random.Random,
-        longest: timedelta,
+        rng: random.Random,
+        max_call_time: timedelta,
         queue_limit: int,
         on_room: Callable[["Lane"], None],
     ) -> None:
         self.service = service
         self.pools: dict[str, SlotPool] = {}
         self.durations = Durations()
-        self.queue = AdmissionQueue(self.durations, chooser, queue_limit)
+        self.queue = AdmissionQueue(self.durations, rng, queue_limit)
         self._health: dict[str, TargetHealth] = {}
         self._ownership = ownership
         self._clock = clock
-        self._random = chooser
-        self._longest = longest
+        self._random = rng
+        self._longest = max_call_time
         self._on_room = on_room
 
     def add_pool(self, pool: SlotPool) -> None:
@@ -104,9 +104,9 @@
         """Return how many own targets are ejected now."""
         return sum(health.until is not None for health in self._health.values())
 
-    def read_load(self) -> Load:
+    def read_load(self) -> ServiceLoad:
         """Return the load to tell other daemons of."""
-        return Load(
+        return ServiceLoad(
             slots=self.count_slots(),
             free=self.count_free(),
             queued=len(self.queue),
@@ -150,7 +150,7 @@
             count, slots = len(self.queue), self.count_slots()
             _settle(waiter, self.queue.refuse("deadline_unmeetable", count, slots))
 
-    def make_waiter(self, course: Course) -> Waiter:
+    def make_waiter(self, course: RequestContext) -> Waiter:
         """Return a waiter for a request, with the time it needs kept back."""
         left = (course.deadline - self._clock.monotonic()).total_seconds()
         need = min(self.durations.high, max(left, 0.0) / 2)
--- a/src/damaskdeck/coordination/requests/loads.py
+++ b/src/damaskdeck/coordination/requests/loads.py
@@ -10,7 +10,7 @@
 from damaskdeck.clock import Clock
 from damaskdeck.errors import DECODE_ERRORS
 from damaskdeck.logs import get_logger
-from damaskdeck.protocol.forwarding import Load
+from damaskdeck.protocol.forwarding import ServiceLoad
 from damaskdeck.protocol.members import Members
 
 TOPIC = "load"
@@ -20,7 +20,7 @@
 _LEAST_TIME = 0.001
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(dict[str, Load])
+_decoder = msgspec.msgpack.Decoder(dict[str, ServiceLoad])
 _log = get_logger("routing")
 
 
@@ -33,14 +33,14 @@
 
     __slots__ = ("average", "instance", "load", "sent", "time")
 
-    def __init__(self, instance: str, load: Load, time: timedelta) -> None:
+    def __init__(self, instance: str, load: ServiceLoad, time: timedelta) -> None:
         self.instance = instance
         self.load = load
         self.time = time
         self.average = float(load["free"])
         self.sent = 0
 
-    def update(self, load: Load, time: timedelta) -> None:
+    def update(self, load: ServiceLoad, time: timedelta) -> None:
         """Take a newer load."""
         self.load = load
         self.time = time
@@ -85,18 +85,18 @@
 class LoadTable:
     """Loads of the other owners by service.
 
-    :param chooser: draws the two to choose from.
+    :param rng: draws the two to choose from.
     """
 
-    def __init__(self, members: Members, clock: Clock, chooser: random.Random) -> None:
+    def __init__(self, members: Members, clock: Clock, rng: random.Random) -> None:
         self._members = members
         self._clock = clock
-        self._random = chooser
+        self._random = rng
         self._views: dict[str, dict[str, LoadView]] = {}
         self._near: dict[str, list[LoadView]] = {}
         self._far: dict[str, list[LoadView]] = {}
 
-    def publish(self, loads: dict[str, Load]) -> None:
+    def publish(self, loads: dict[str, ServiceLoad]) -> None:
         """Attach the own loads to the next heartbeats, the largest first."""
         ranked = sorted(loads.items(), key=lambda item: -item[1]["slots"])
         value = _encoder.encode(dict(ranked))
@@ -120,7 +120,7 @@
                 side = self._near if zones[name] == own.zone else self._far
                 side.setdefault(service, []).append(view)
 
-    def note(self, instance: str, service: str, load: Load) -> None:
+    def note(self, instance: str, service: str, load: ServiceLoad) -> None:
         """Learn a load from a reply."""
         self._put(instance, service, load, self._clock.monotonic())
 
@@ -168,7 +168,7 @@
         side = self._near if near else self._far
         return [v.instance for v in side.get(service, ()) if v.load["slots"]]
 
-    def list_near(self, service: str) -> list[Load]:
+    def list_near(self, service: str) -> list[ServiceLoad]:
         """List the loads of this availability zone's other owners."""
         return [view.load for view in self._near.get(service, ())]
 
@@ -176,7 +176,9 @@
         """Don't choose a daemon before its next report."""
         for views in self._views.values():
             if instance in views:
-                views[instance].load = Load(**{**views[instance].load, "slots": 0})
+                views[instance].load = ServiceLoad(
+                    **{**views[instance].load, "slots": 0}
+                )
 
     def _read(self, name: str, value: bytes, received: timedelta) -> None:
         try:
@@ -187,7 +189,9 @@
         for service, load in loads.items():
             self._put(name, service, load, received)
 
-    def _put(self, instance: str, service: str, load: Load, time: timedelta) -> None:
+    def _put(
+        self, instance: str, service: str, load: ServiceLoad, time: timedelta
+    ) -> None:
         views = self._views.setdefault(service, {})
         view = views.get(instance)
         if view is None:
--- a/src/damaskdeck/coordination/requests/owned.py
+++ b/src/damaskdeck/coordination/requests/owned.py
@@ -8,7 +8,7 @@
 
 from damaskdeck.background import start_task
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.requests.attempts import Gone, NotRun, Result
+from damaskdeck.coordination.requests.attempts import AnswerLost, NotRun, Result
 from damaskdeck.coordination.requests.handover import SlotHandover
 from damaskdeck.coordination.requests.health import TargetHealth, may_eject
 from damaskdeck.coordination.requests.lanes import Lane
@@ -49,7 +49,7 @@
 class OwnedTargets:
     """Fills lanes with the targets that ownership gives to this daemon.
 
-    :param longest: no request runs on a target for longer.
+    :param max_call_time: no request runs on a target for longer.
     :param margin: added to it where a slot must be free without an answer.
     :param queue_limit: waiters of one team and urgency class for a service.
     :param on_room: called when slots of a lane were given to all who wait.
@@ -65,8 +65,8 @@
         clock: Clock,
         timers: Timers,
         loads: LoadTable,
-        chooser: random.Random,
-        longest: timedelta,
+        rng: random.Random,
+        max_call_time: timedelta,
         margin: timedelta,
         queue_limit: int,
         on_room: Callable[[Lane], None],
@@ -79,16 +79,16 @@
         self._clock = clock
         self._timers = timers
         self._loads = loads
-        self._random = chooser
-        self._longest = longest
-        self._hold = longest + margin
+        self._random = rng
+        self._longest = max_call_time
+        self._hold = max_call_time + margin
         self._queue_limit = queue_limit
         self._on_room = on_room
         self._gained: dict[str, SlotPool] = {}
         self._unlisted: dict[str, int] = {}
         self._gains: set[asyncio.Task[None]] = set()
         self._handover = SlotHandover(
-            members, ownership, peers, clock, longest, margin, self._give_places
+            members, ownership, peers, clock, max_call_time, margin, self._give_places
         )
         ownership.on_gain(SCOPE, self._gain)
         ownership.on_loss(SCOPE, self._lose)
@@ -131,14 +131,14 @@
         if isinstance(result, NotRun) and result.code == "target_leaving":
             lane.update_target(target._replace(state=InstanceState.LEAVING))
         lane.give_places()
-        if isinstance(result, Gone):
+        if isinstance(result, AnswerLost):
             until = self._clock.monotonic() + self._hold
             self._timers.call_at(until, lane.give_places)
 
     def note_health(self, pool: SlotPool, result: Result, seconds: float) -> None:
         """Learn from a result, or from silence, about a target's health."""
         lane = self.get_lane(pool.target.service)
-        if result == Gone("timeout") and seconds < lane.durations.high:
+        if result == AnswerLost("timeout") and seconds < lane.durations.high:
             return
         bad = lane.note_result(pool.target.name, not is_fault(result))
         if bad is not None and self._may_eject(lane):
@@ -162,13 +162,13 @@
             target = pool.target = listed.get(last.name, last)
             self.get_lane(target.service).update_target(target)
         if targets:
-            self._ownership.set_things(SCOPE, tuple(listed))
+            self._ownership.set_shards(SCOPE, tuple(listed))
         for name in [name for name in self._unlisted if name in listed]:
             gain = self._gain(f"{SCOPE}/{name}", self._unlisted.pop(name))
             start_task(gain, self._gains)
 
-    async def _gain(self, thing: str, epoch: int) -> None:
-        name = thing.partition("/")[2]
+    async def _gain(self, shard: str, epoch: int) -> None:
+        name = shard.partition("/")[2]
         target = self._fleet.get(name)
         if target is None:
             self._unlisted[name] = epoch
@@ -181,8 +181,8 @@
         lane.add_pool(pool)
         self._timers.call_at(self._clock.monotonic() + GAIN_TIME, lane.give_places)
 
-    async def _lose(self, thing: str, epoch: int) -> None:
-        target = thing.partition("/")[2]
+    async def _lose(self, shard: str, epoch: int) -> None:
+        target = shard.partition("/")[2]
         for lane in self.lanes.values():
             lane.remove_pool(target)
         self._unlisted.pop(target, None)
--- a/src/damaskdeck/coordination/requests/retries.py
+++ b/src/damaskdeck/coordination/requests/retries.py
@@ -36,10 +36,10 @@
         return True
 
 
-def draw_backoff(retry: int, chooser: random.Random) -> timedelta:
+def draw_backoff(retry: int, rng: random.Random) -> timedelta:
     """Draw the wait before a retry, from nothing to a doubling limit.
 
     :param retry: 1 for the first.
     """
     limit = min(BACKOFF * 2 ** (retry - 1), BACKOFF_LIMIT)
-    return limit * chooser.random()
+    return limit * rng.random()
