--- a/src/damaskdeck/coordination/requests/routing.py
+++ b/src/damaskdeck/coordination/requests/routing.py
@@ -7,12 +7,12 @@
 
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.requests.attempts import (
-    Course,
-    Gone,
+    AnswerLost,
     Moved,
     NotRun,
     Place,
     Redirect,
+    RequestContext,
     Result,
 )
 from damaskdeck.coordination.requests.forwards import Forwarder
@@ -36,7 +36,7 @@
 )
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_refusal, count_retry, observe_wait
-from damaskdeck.protocol.handlers import KeyMemory, ServiceRequest
+from damaskdeck.protocol.handlers import IdempotencyKeys, ServiceRequest
 from damaskdeck.protocol.members import Members, Ownership
 from damaskdeck.protocol.messages import Peers
 from damaskdeck.protocol.outcomes import (
@@ -48,7 +48,7 @@
 )
 from damaskdeck.protocol.ports import TargetPort
 
-PART = "routing"
+COMPONENT = "routing"
 RETRY_HINT = timedelta(seconds=1)
 TICK = timedelta(milliseconds=5)
 HOP_TIME = 0.001
@@ -64,18 +64,19 @@
 # Refusals that no other place would answer otherwise.
 FINAL_CODES = frozenset({"deadline_unmeetable", "queue_full", "deadline_passed"})
 
-_log = get_logger(PART)
+_log = get_logger(COMPONENT)
 
 
 class Router:
     """Answers callers' requests; implements ``protocol.handlers.RequestHandler``.
 
     :param keys: remembers idempotency keys; without it keyed requests are refused.
-    :param longest: no call to a target is open for longer; a new owner waits as
+    :param max_call_time: no call to a target is open for longer; a new owner waits as
         long for what a dead one may have in progress.
-    :param margin: added to ``longest`` where a slot must be free without an answer.
+    :param margin: added to ``max_call_time`` where a slot must be free without an
+        answer.
     :param queue_limit: waiters of one team and urgency class for a service.
-    :param chooser: seeded, for the same choices in each run of a test.
+    :param rng: seeded, for the same choices in each run of a test.
     """
 
     def __init__(
@@ -86,14 +87,14 @@
         targets: TargetPort,
         fleet: FleetReader,
         clock: Clock,
-        keys: KeyMemory | None = None,
-        longest: timedelta = REQUEST_TIMEOUT,
+        keys: IdempotencyKeys | None = None,
+        max_call_time: timedelta = REQUEST_TIMEOUT,
         margin: timedelta = LEASE_MARGIN,
-        chooser: random.Random | None = None,
+        rng: random.Random | None = None,
         queue_limit: int = QUEUE_LIMIT,
     ) -> None:
         self._clock = clock
-        self._random = chooser or random.Random()
+        self._random = rng or random.Random()
         self._timers = Timers(clock)
         self._budget = RetryBudget()
         self._open = 0
@@ -110,7 +111,7 @@
             self._timers,
             self._loads,
             self._random,
-            longest,
+            max_call_time,
             margin,
             queue_limit,
             self._offer,
@@ -127,7 +128,7 @@
             ownership,
             targets,
             clock,
-            longest,
+            max_call_time,
             margin,
             self._timers,
             self._owned.note_result,
@@ -167,7 +168,7 @@
         Cancelling the task gives up its place in the queue. A call that is open
         already goes on, as its slot stays filled until the target answers.
         """
-        course = Course(request, self._clock)
+        course = RequestContext(request, self._clock)
         self._open += 1
         try:
             serve = self._serve_keyed if request.key else self._serve
@@ -175,10 +176,10 @@
         finally:
             self._open -= 1
         if isinstance(outcome, Refused):
-            count_refusal(PART, outcome.code)
+            count_refusal(COMPONENT, outcome.code)
         return outcome
 
-    async def _serve_keyed(self, course: Course) -> Outcome:
+    async def _serve_keyed(self, course: RequestContext) -> Outcome:
         refused = self._refuse_early(course)
         if refused is not None:
             return refused
@@ -186,16 +187,16 @@
             return Refused("keys_unsupported")
         return await self._keyed.serve(course)
 
-    async def _serve_peer(self, course: Course) -> Outcome:
+    async def _serve_peer(self, course: RequestContext) -> Outcome:
         if self._is_draining:
             return Refused("draining", retry_after=RETRY_HINT)
         return await self._serve(course)
 
-    async def _serve(self, course: Course) -> Outcome:
+    async def _serve(self, course: RequestContext) -> Outcome:
         """Make attempts until one of them, or their end, decides the outcome."""
         self._budget.earn()
         while True:
-            place = self._find_place(course)
+            place = self._choose_route(course)
             if place is None:
                 place = await self._wait(course)
             if isinstance(place, Refused):
@@ -206,10 +207,12 @@
             outcome = self._judge(result, course)
             if outcome is not None:
                 return outcome
-            if isinstance(result, NotRun | Gone):
+            if isinstance(result, NotRun | AnswerLost):
                 await self._back_off(result, course)
 
-    def _find_place(self, course: Course) -> Place | Redirect | Refused | None:
+    def _choose_route(
+        self, course: RequestContext
+    ) -> Place | Redirect | Refused | None:
         """Decide where a request goes now; ``None`` when it is to wait here."""
         service = course.request.service
         lane = self._owned.get_lane(service)
@@ -223,7 +226,9 @@
                 return None if lane.count_slots() else Refused("not_owner")
         return self._find_peer(course, lane)
 
-    def _find_peer(self, course: Course, lane: Lane) -> Redirect | Refused | None:
+    def _find_peer(
+        self, course: RequestContext, lane: Lane
+    ) -> Redirect | Refused | None:
         service = course.request.service
         left = (course.deadline - self._clock.monotonic()).total_seconds()
         slots = 0 if self._is_draining else lane.count_slots()
@@ -247,7 +252,7 @@
             code = course.last.code
         return Refused(code, retry_after=RETRY_HINT)
 
-    async def _wait(self, course: Course) -> Place | Redirect | Refused | Moved:
+    async def _wait(self, course: RequestContext) -> Place | Redirect | Refused | Moved:
         """Wait in the queue for a slot, here or wherever one is offered."""
         request = course.request
         lane = self._owned.get_lane(request.service)
@@ -274,7 +279,7 @@
         finally:
             timer.cancel()
         wait_time = self._clock.monotonic() - now
-        observe_wait(PART, request.urgency.value, wait_time)
+        observe_wait(COMPONENT, request.urgency.value, wait_time)
         return place
 
     def _abandon(self, lane: Lane, future: "asyncio.Future[object]") -> None:
@@ -286,7 +291,7 @@
             place.pool.free(place.number)
             lane.give_places()
 
-    async def _attempt(self, place: Place | Redirect, course: Course) -> Result:
+    async def _attempt(self, place: Place | Redirect, course: RequestContext) -> Result:
         if isinstance(place, Redirect):
             course.call = None
             return await self._forwarder.forward(place, course)
@@ -299,7 +304,7 @@
             self._owned.note_health(place.pool, result, silence)
         return result
 
-    def _choose_patience(self, course: Course, now: timedelta) -> timedelta:
+    def _choose_patience(self, course: RequestContext, now: timedelta) -> timedelta:
         """Return when an attempt is given up; earlier while another may be made."""
         if not course.request.idempotent or course.retries + 1 >= ATTEMPT_LIMIT:
             return course.deadline
@@ -307,25 +312,25 @@
         ample = timedelta(seconds=SILENCE_FACTOR * durations.high)
         return min(course.deadline, now + max(ample, (course.deadline - now) / 2))
 
-    def _judge(self, result: Result, course: Course) -> Outcome | None:
+    def _judge(self, result: Result, course: RequestContext) -> Outcome | None:
         """Return the outcome, or ``None`` when another attempt may be made."""
         if isinstance(result, Completed | Failed):
             return result
-        if isinstance(result, Gone):
+        if isinstance(result, AnswerLost):
             course.lost = result.code
             if not course.request.idempotent:
                 return Unknown(result.code)
         else:
             course.last = result
         if self._may_retry(result, course):
-            count_retry(PART, result.code)
+            count_retry(COMPONENT, result.code)
             return None
         if course.lost:
             return Unknown(course.lost)
         hint = result.retry_after if isinstance(result, NotRun) else None
         return Refused(result.code, retry_after=hint or RETRY_HINT)
 
-    def _may_retry(self, result: NotRun | Gone, course: Course) -> bool:
+    def _may_retry(self, result: NotRun | AnswerLost, course: RequestContext) -> bool:
         if self._clock.monotonic() >= course.deadline:
             return False
         if isinstance(result, NotRun) and result.is_free:
@@ -333,19 +338,21 @@
             return course.bounced < BOUNCE_LIMIT
         if isinstance(result, NotRun) and result.code in FINAL_CODES:
             return False
-        if isinstance(result, Gone) and not course.may_forward:
+        if isinstance(result, AnswerLost) and not course.may_forward:
             return False
         course.retries += 1
         return course.retries < ATTEMPT_LIMIT and self._budget.spend()
 
-    async def _back_off(self, result: NotRun | Gone, course: Course) -> None:
+    async def _back_off(
+        self, result: NotRun | AnswerLost, course: RequestContext
+    ) -> None:
         if isinstance(result, NotRun) and result.is_free:
             return
         wait = draw_backoff(course.retries, self._random)
         left = course.deadline - self._clock.monotonic()
         await self._clock.sleep(min(wait, left))
 
-    def _refuse_early(self, course: Course) -> Refused | None:
+    def _refuse_early(self, course: RequestContext) -> Refused | None:
         """Refuse what can't make its deadline before a key is claimed for it."""
         lane = self._owned.get_lane(course.request.service)
         slots = lane.count_slots()
--- a/src/damaskdeck/coordination/requests/sending.py
+++ b/src/damaskdeck/coordination/requests/sending.py
@@ -10,10 +10,10 @@
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.requests.attempts import (
     FREE_CODES,
-    Course,
-    Gone,
+    AnswerLost,
     NotRun,
     Place,
+    RequestContext,
     Result,
 )
 from damaskdeck.coordination.requests.lanes import name_thing
@@ -30,7 +30,7 @@
     TargetPort,
 )
 
-PART = "targets"
+COMPONENT = "targets"
 FAILED_STATUS = 500
 NO_FAULT = frozenset({"target_full", "target_leaving", "not_owner", "deadline_passed"})
 
@@ -45,8 +45,9 @@
     is free only once the target has answered, and until then nobody else may
     have it.
 
-    :param longest: no request runs on a target for longer, nor is a call open.
-    :param margin: added to ``longest`` where a slot must be free without an answer.
+    :param max_call_time: no request runs on a target for longer, nor is a call open.
+    :param margin: added to ``max_call_time`` where a slot must be free without an
+        answer.
     :param on_result: called once a slot is given back or held.
     """
 
@@ -55,7 +56,7 @@
         ownership: Ownership,
         targets: TargetPort,
         clock: Clock,
-        longest: timedelta,
+        max_call_time: timedelta,
         margin: timedelta,
         timers: Timers,
         on_result: ResultHandler,
@@ -63,7 +64,7 @@
         self._ownership = ownership
         self._targets = targets
         self._clock = clock
-        self._longest = longest
+        self._longest = max_call_time
         self._margin = margin
         self._timers = timers
         self._on_result = on_result
@@ -89,14 +90,14 @@
             timer.cancel()
             if not call.done():
                 call.add_done_callback(_drop_answer)
-        return call.result() if call.done() else Gone("timeout")
+        return call.result() if call.done() else AnswerLost("timeout")
 
-    def start(self, place: Place, course: Course) -> "asyncio.Task[Result]":
+    def start(self, place: Place, course: RequestContext) -> "asyncio.Task[Result]":
         """Begin a call to the target whose slot was taken."""
         attempt = course.begin_attempt(place.pool.target.name)
         return start_task(self._run(place, course, attempt), self._calls)
 
-    async def _run(self, place: Place, course: Course, attempt: int) -> Result:
+    async def _run(self, place: Place, course: RequestContext, attempt: int) -> Result:
         pool = place.pool
         now = self._clock.monotonic()
         in_time = now < course.deadline
@@ -135,11 +136,11 @@
             return NotRun(answer.code, is_free=answer.code in FREE_CODES)
         if isinstance(answer, Lost):
             pool.hold(place.number, until)
-            return Gone(answer.code)
+            return AnswerLost(answer.code)
         if (answer.request, answer.attempt) != (call.request, call.attempt):
             pool.hold(place.number, until)
-            count_drop(PART, "answer_crossed")
-            return Gone("answer_crossed")
+            count_drop(COMPONENT, "answer_crossed")
+            return AnswerLost("answer_crossed")
         pool.free(place.number)
         if answer.status >= FAILED_STATUS:
             return Failed(f"status_{answer.status}")
@@ -160,4 +161,4 @@
 
 def _drop_answer(task: "asyncio.Task[Result]") -> None:
     if not task.cancelled() and task.exception() is None:
-        count_drop(PART, "answer_late")
+        count_drop(COMPONENT, "answer_late")
--- a/src/damaskdeck/coordination/requests/sharing.py
+++ b/src/damaskdeck/coordination/requests/sharing.py
@@ -10,7 +10,7 @@
 from damaskdeck.coordination.requests.lanes import Lane
 from damaskdeck.coordination.requests.loads import LoadTable
 from damaskdeck.coordination.requests.timers import Timers
-from damaskdeck.protocol.forwarding import RequestsWaiting, SlotsOffered
+from damaskdeck.protocol.forwarding import OfferSlots, ReportWaitingRequests
 from damaskdeck.protocol.messages import Peers
 
 OFFER_LIFE = timedelta(milliseconds=10)
@@ -46,19 +46,19 @@
         clock: Clock,
         timers: Timers,
         get_lane: Callable[[str], Lane],
-        chooser: random.Random,
+        rng: random.Random,
     ) -> None:
         self._peers = peers
         self._loads = loads
         self._clock = clock
         self._timers = timers
         self._get_lane = get_lane
-        self._random = chooser
+        self._random = rng
         self._waiting: dict[str, dict[str, _Waiting]] = {}
         self._offers: dict[str, list[timedelta]] = {}
         self._told: dict[str, timedelta] = {}
-        peers.register(RequestsWaiting, self._take_waiting)
-        peers.register(SlotsOffered, self._take_offer)
+        peers.register(ReportWaitingRequests, self._take_waiting)
+        peers.register(OfferSlots, self._take_offer)
 
     def tell_waiting(self, lane: Lane) -> None:
         """Tell owners that requests wait here, now or after a short pause."""
@@ -75,13 +75,13 @@
     def _send_waiting(self, lane: Lane) -> None:
         if not len(lane.queue):
             return
-        message = RequestsWaiting(service=lane.service, count=len(lane.queue))
+        message = ReportWaitingRequests(service=lane.service, count=len(lane.queue))
         near = self._loads.list_owners(lane.service, near=True)
         far = self._loads.list_owners(lane.service, near=False)
         near = self._random.sample(near, min(TOLD_LIMIT, len(near)))
         far = self._random.sample(far, min(TOLD_LIMIT - len(near), len(far)))
         for instance in near + far:
-            self._peers.send(instance, message, RequestsWaiting)
+            self._peers.send(instance, message, ReportWaitingRequests)
 
     def note_waiting(self, instance: str, service: str, count: int) -> None:
         """Learn how many requests wait at a peer."""
@@ -112,8 +112,8 @@
             count = min(room, waiting[instance].count)
             waiting[instance].count -= count
             room -= count
-            message = SlotsOffered(service=lane.service, count=count)
-            if self._peers.send(instance, message, SlotsOffered) is None:
+            message = OfferSlots(service=lane.service, count=count)
+            if self._peers.send(instance, message, OfferSlots) is None:
                 expiry = now + OFFER_LIFE
                 self._offers.setdefault(lane.service, []).extend([expiry] * count)
 
@@ -131,11 +131,13 @@
         name = max(waiting, key=lambda name: waiting[name].count, default=None)
         return name if name is not None and waiting[name].count > 0 else None
 
-    async def _take_waiting(self, instance: str, message: RequestsWaiting) -> None:
+    async def _take_waiting(
+        self, instance: str, message: ReportWaitingRequests
+    ) -> None:
         self.note_waiting(instance, message["service"], message["count"])
         self.offer(self._get_lane(message["service"]))
 
-    async def _take_offer(self, instance: str, message: SlotsOffered) -> None:
+    async def _take_offer(self, instance: str, message: OfferSlots) -> None:
         lane = self._get_lane(message["service"])
         count = message["count"]
         while count > 0:
--- a/src/damaskdeck/coordination/workers/fleet.py
+++ b/src/damaskdeck/coordination/workers/fleet.py
@@ -64,7 +64,7 @@
         self._drained: frozenset[str] = frozenset()
 
     @property
-    def last_answer(self) -> timedelta | None:
+    def last_listed_at(self) -> timedelta | None:
         """Monotonic time of the last good answer; ``None`` before the first."""
         return self._last_answer
 
--- a/src/damaskdeck/coordination/workers/hosting.py
+++ b/src/damaskdeck/coordination/workers/hosting.py
@@ -7,7 +7,7 @@
 
 from damaskdeck import defaults
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.places.rooms import Held, Rooms
+from damaskdeck.coordination.places.allocator import CapacityAllocator, Hold
 from damaskdeck.coordination.workers.fences import Fences
 from damaskdeck.coordination.workers.fleet import Change
 from damaskdeck.coordination.workers.outbox import Outbox
@@ -24,7 +24,7 @@
 from damaskdeck.protocol.ports import Instance, InstanceState, WorkerPort
 from damaskdeck.protocol.resources import POLICY_NAME, Kind, Resource
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.state.accounts import Accounts, WorkerAccount
+from damaskdeck.state.workeraccounts import WorkerAccount, WorkerAccounts
 
 PUBLISH_INTERVAL = timedelta(milliseconds=250)
 
@@ -69,10 +69,10 @@
         lease: timedelta = defaults.TASK_LEASE,
         renewal: timedelta = defaults.TASK_RENEWAL,
     ) -> None:
-        self.accounts = Accounts()
+        self.accounts = WorkerAccounts()
         self.sessions: dict[str, Session] = {}
         self._unlisted: dict[str, int] = {}
-        self.rooms = Rooms(self.accounts, clock, self._preempt)
+        self.allocator = CapacityAllocator(self.accounts, clock, self._preempt)
         self._members = members
         self._ownership = ownership
         self._workers = workers
@@ -114,8 +114,8 @@
 
     # Gains and losses ------------------------------------------------------------
 
-    async def _gain(self, thing: str, epoch: int) -> None:
-        name = thing.partition("/")[2]
+    async def _gain(self, shard: str, epoch: int) -> None:
+        name = shard.partition("/")[2]
         worker = self._fleet.get(name)
         if worker is None:
             _log.warn("Gained a worker that isn't listed yet.", worker=name)
@@ -125,7 +125,7 @@
 
     def _open_session(self, worker: Instance, epoch: int) -> None:
         name = worker.name
-        thing = f"worker/{name}"
+        shard = f"worker/{name}"
         self._end_session(name)
         self.accounts.set_worker(worker)
         self.accounts.close_worker(name, "inventory")
@@ -135,19 +135,19 @@
             self._workers,
             self.accounts,
             self._clock,
-            lambda: self._ownership.get_epoch(thing) == epoch,
+            lambda: self._ownership.get_epoch(shard) == epoch,
             self._outbox.put,
-            self.rooms,
+            self.allocator,
             self._grace,
             self._lease,
             self._renewal,
         )
         self.sessions[name] = session
-        self.rooms.set_workers(self.sessions)
+        self.allocator.set_workers(self.sessions)
         self._start_runner(name, session.run())
 
-    async def _lose(self, thing: str, epoch: int) -> None:
-        name = thing.partition("/")[2]
+    async def _lose(self, shard: str, epoch: int) -> None:
+        name = shard.partition("/")[2]
         if self._unlisted.get(name) == epoch:
             del self._unlisted[name]
         session = self.sessions.get(name)
@@ -177,7 +177,7 @@
         """Take over the policy's weights, or the defaults when it was deleted."""
         if kind is Kind.POLICY and name == POLICY_NAME:
             spec = resource["spec"] if resource else {}
-            self.rooms.set_weights({**defaults.WEIGHTS, **spec.get("weights", {})})
+            self.allocator.set_weights({**defaults.WEIGHTS, **spec.get("weights", {})})
 
     def _end_session(self, name: str) -> None:
         self.sessions.pop(name, None)
@@ -185,11 +185,11 @@
         if runner is not None:
             runner.cancel()
         self.accounts.remove_worker(name)
-        self.rooms.set_workers(self.sessions)
+        self.allocator.set_workers(self.sessions)
 
     async def _publish_all(self) -> None:
         while True:
-            self.rooms.expire()
+            self.allocator.expire()
             self._clear_leaving()
             if self._is_changed:
                 self._is_changed = False
@@ -214,12 +214,12 @@
         for name, session in self.sessions.items():
             if session.worker.state is not InstanceState.LEAVING:
                 continue
-            for task, checkpoint in self.rooms.list_movable(name):
+            for task, checkpoint in self.allocator.list_movable(name):
                 hosted = session.tasks.get(task)
                 if hosted is not None and not hosted.cause:
                     session.orders.preempt(task, checkpoint, "worker_leaving")
 
-    async def _take_noted(self, noted: jobs.TasksNoted) -> None:
+    async def _take_noted(self, noted: jobs.TaskUpdatesReply) -> None:
         for attempt in noted["stop"]:
             session = self.sessions.get(attempt["worker"])
             if session is not None:
@@ -231,20 +231,24 @@
 
     # Messages of keepers ---------------------------------------------------------
 
-    async def _reserve(self, _: str, message: jobs.ReserveTasks) -> jobs.TasksReserved:
-        reply = jobs.TasksReserved(granted=[], refused=[])
+    async def _reserve(
+        self, _: str, message: jobs.ReserveTasks
+    ) -> jobs.ReserveTasksReply:
+        reply = jobs.ReserveTasksReply(granted=[], refused=[])
         is_admitted = self._fences.admit(message["ledger"], message["epoch"])
         for request in message["tasks"]:
-            found = self.rooms.hold(request) if is_admitted else "stale_keeper"
-            if isinstance(found, Held):
+            found = self.allocator.hold(request) if is_admitted else "stale_keeper"
+            if isinstance(found, Hold):
                 reply["granted"].append(self._grant(request, found.worker))
                 continue
             count_refusal("workers", found)
             reply["refused"].append(_refuse(request, found))
         return reply
 
-    def _grant(self, request: jobs.Request, worker: str) -> jobs.Grant:
-        return jobs.Grant(
+    def _grant(
+        self, request: jobs.ReservationRequest, worker: str
+    ) -> jobs.ReservationGrant:
+        return jobs.ReservationGrant(
             task=request["task"],
             attempt=request["attempt"],
             worker=worker,
@@ -254,8 +258,8 @@
     def _preempt(self, worker: str, task: str, checkpoint: bool) -> None:
         self.sessions[worker].orders.preempt(task, checkpoint)
 
-    async def _start(self, _: str, message: jobs.StartTasks) -> jobs.TasksTaken:
-        reply = jobs.TasksTaken(refused=[])
+    async def _start(self, _: str, message: jobs.StartTasks) -> jobs.TaskOrdersReply:
+        reply = jobs.TaskOrdersReply(refused=[])
         is_admitted = self._fences.admit(message["ledger"], message["epoch"])
         for start in message["tasks"]:
             code = self._refuse_start(start) if is_admitted else "stale_keeper"
@@ -267,7 +271,7 @@
             self.sessions[start["worker"]].orders.start(start)
         return reply
 
-    def _refuse_start(self, start: jobs.Start) -> str:
+    def _refuse_start(self, start: jobs.TaskToStart) -> str:
         task, attempt = start["task"], start["attempt"]
         session = self.sessions.get(start["worker"])
         epoch = self._get_epoch(start["worker"])
@@ -278,16 +282,16 @@
         hosted = session.roster.tasks.get(task)
         if hosted and (hosted.state in OPEN_STATES or hosted.attempt >= attempt):
             return "already_started"
-        if not self.rooms.confirm(task, start["worker"]):
+        if not self.allocator.confirm(task, start["worker"]):
             return "hold_expired"
         return ""
 
     async def _release(self, _: str, message: jobs.ReleaseTasks) -> None:
         for item in message["tasks"]:
-            self.rooms.release_hold(item["task"])
+            self.allocator.release_hold(item["task"])
 
-    async def _stop(self, _: str, message: jobs.StopTasks) -> jobs.TasksTaken:
-        reply = jobs.TasksTaken(refused=[])
+    async def _stop(self, _: str, message: jobs.StopTasks) -> jobs.TaskOrdersReply:
+        reply = jobs.TaskOrdersReply(refused=[])
         is_admitted = self._fences.admit(message["ledger"], message["epoch"])
         for item in message["tasks"]:
             session = self.sessions.get(item["worker"])
@@ -299,15 +303,17 @@
             session.orders.stop(item["task"], item["attempt"], checkpoint)
         return reply
 
-    async def _check(self, _: str, message: jobs.CheckTasks) -> jobs.TaskReports | None:
+    async def _check(self, _: str, message: jobs.CheckTasks) -> jobs.TaskUpdates | None:
         if not self._fences.admit(message["ledger"], message["epoch"]):
             return None
         found = [self._tell(item) for item in message["tasks"]]
-        return jobs.TaskReports(ledger=message["ledger"], tasks=found)
+        return jobs.TaskUpdates(ledger=message["ledger"], tasks=found)
 
-    def _tell(self, item: jobs.TaskAttempt) -> jobs.TaskNews:
+    def _tell(self, item: jobs.TaskAttempt) -> jobs.TaskUpdate:
         task, attempt, worker = item["task"], item["attempt"], item["worker"]
-        news = jobs.TaskNews(task=task, attempt=attempt, worker=worker, state="unsure")
+        news = jobs.TaskUpdate(
+            task=task, attempt=attempt, worker=worker, state="unsure"
+        )
         session = self.sessions.get(worker)
         if session is None or self._get_epoch(worker) != session.epoch:
             return news
@@ -315,7 +321,7 @@
         if hosted is not None:
             is_running = hosted.state == "running"
             news["state"] = "running" if is_running else "unsure"
-            self.rooms.describe(item)
+            self.allocator.update_adopted(item)
         elif item.get("epoch") == session.epoch:
             self._fences.fence(task, attempt)
             self._drop_hold(task, worker)
@@ -352,5 +358,7 @@
         return self._ownership.get_epoch(f"worker/{worker}")
 
 
-def _refuse(item: jobs.TaskAttempt | jobs.Request, code: str) -> jobs.Refusal:
+def _refuse(
+    item: jobs.TaskAttempt | jobs.ReservationRequest, code: str
+) -> jobs.Refusal:
     return jobs.Refusal(task=item["task"], attempt=item["attempt"], code=code)
--- a/src/damaskdeck/coordination/workers/observations.py
+++ b/src/damaskdeck/coordination/workers/observations.py
@@ -9,11 +9,11 @@
 from damaskdeck.coordination.workers.hosting import WorkerHost
 from damaskdeck.protocol.members import Members, Ownership
 from damaskdeck.protocol.messages import Answered, Peers
-from damaskdeck.protocol.observations import ListObserved, Observed
+from damaskdeck.protocol.observations import ListObservedReply, ListObservedResources
 from damaskdeck.protocol.outcomes import Refused
 from damaskdeck.protocol.ports import Instance, InstanceRole
-from damaskdeck.protocol.resources import Kind, Resource, show_size
-from damaskdeck.state.accounts import Reservation, WorkerAccount
+from damaskdeck.protocol.resources import Kind, Resource, format_size
+from damaskdeck.state.workeraccounts import Reservation, WorkerAccount
 
 CALL_TIMEOUT = timedelta(seconds=2)
 
@@ -52,7 +52,7 @@
         self.host = host
         self._members = members
         self._peers = peers
-        peers.register(ListObserved, self._answer)
+        peers.register(ListObservedResources, self._answer)
 
     async def list_resources(self, kind: str) -> tuple[Resource, ...] | Refused:
         """List what all live daemons know of ``kind``."""
@@ -68,14 +68,16 @@
         return tuple(found[name] for name in sorted(found))
 
     async def _ask(self, name: str, kind: str) -> list[Any]:
-        request = ListObserved(kind=kind)
-        reply = await self._peers.call(name, request, ListObserved, CALL_TIMEOUT)
+        request = ListObservedResources(kind=kind)
+        reply = await self._peers.call(
+            name, request, ListObservedResources, CALL_TIMEOUT
+        )
         return reply.message["items"] if isinstance(reply, Answered) else []
 
-    async def _answer(self, instance: str, request: Any) -> Observed:
+    async def _answer(self, instance: str, request: Any) -> ListObservedReply:
         kind = request["kind"]
         items = list(self._list_own(kind)) if kind in _listers else []
-        return Observed(items=items)
+        return ListObservedReply(items=items)
 
     def _list_own(self, kind: str) -> Iterator[Resource]:
         return _listers[kind](self)
@@ -98,8 +100,8 @@
 @lister(Kind.TARGET)
 def list_targets(observer: Observer) -> Iterator[Resource]:
     """List the targets that this daemon owns."""
-    for thing in observer.ownership.list_held("target"):
-        instance = observer.fleet.get(thing.partition("/")[2])
+    for shard in observer.ownership.list_owned("target"):
+        instance = observer.fleet.get(shard.partition("/")[2])
         if instance is not None:
             yield show_instance(observer.ownership, instance)
 
@@ -117,7 +119,7 @@
     kind = "worker" if instance.role is InstanceRole.WORKER else "target"
     spec: dict[str, Any] = {"zone": instance.zone, "rack": instance.rack}
     if kind == "worker":
-        spec["size"] = show_size(instance.size)
+        spec["size"] = format_size(instance.size)
     else:
         spec.update(
             service=instance.service,
@@ -137,7 +139,7 @@
     """Show a worker of this daemon's with its use as reserved."""
     resource = show_instance(observer.ownership, account.instance)
     resource["status"].update(
-        free=show_size(account.free),
+        free=format_size(account.free),
         tasks=len(account.reservations),
         closed=account.closed,
     )
@@ -154,5 +156,5 @@
         "state": hosted.state if hosted else "reserved",
         "attempt": hosted.attempt if hosted else 0,
     }
-    spec = {"size": show_size(need.size), "urgency": need.urgency.value}
+    spec = {"size": format_size(need.size), "urgency": need.urgency.value}
     return Resource(kind="task", metadata={"name": need.task}, spec=spec, status=status)
--- a/src/damaskdeck/coordination/workers/orders.py
+++ b/src/damaskdeck/coordination/workers/orders.py
@@ -7,7 +7,7 @@
 
 from damaskdeck.coordination.workers.rosters import OPEN_STATES, Hosted, Roster
 from damaskdeck.metrics import count_retry
-from damaskdeck.protocol.jobs import Start
+from damaskdeck.protocol.jobs import TaskToStart
 from damaskdeck.protocol.ports import (
     Accepted,
     Instance,
@@ -17,7 +17,7 @@
     WorkerPort,
 )
 from damaskdeck.protocol.sizes import ZERO_SIZE
-from damaskdeck.state.accounts import Accounts
+from damaskdeck.state.workeraccounts import WorkerAccounts
 
 Order = Callable[[], Awaitable[None]]
 
@@ -26,7 +26,7 @@
     """What orders need of the session that they are sent in."""
 
     roster: Roster
-    accounts: Accounts
+    accounts: WorkerAccounts
     port: WorkerPort
     worker: Instance
     epoch: int
@@ -65,7 +65,7 @@
             order = await self._waiting.get()
             await order()
 
-    def start(self, start: Start) -> None:
+    def start(self, start: TaskToStart) -> None:
         """Start a task that has its reservation."""
         self._roster.enter(start)
         self._waiting.put_nowait(lambda: self._start(start))
@@ -115,7 +115,7 @@
             self._waiting.put_nowait(self._forget_all)
         self._forgotten.add(task)
 
-    async def _start(self, start: Start) -> None:
+    async def _start(self, start: TaskToStart) -> None:
         hosted = self._roster.find(start["task"], start["attempt"])
         if hosted is None or hosted.state != "starting":
             return
@@ -183,7 +183,7 @@
         if names and session.may_act():
             await session.port.acknowledge(session.worker, session.epoch, names)
 
-    def _make_order(self, start: Start) -> StartOrder:
+    def _make_order(self, start: TaskToStart) -> StartOrder:
         held = self._session.accounts.find(start["task"])
         return StartOrder(
             start["task"],
--- a/src/damaskdeck/coordination/workers/outbox.py
+++ b/src/damaskdeck/coordination/workers/outbox.py
@@ -6,10 +6,10 @@
 from itertools import islice
 
 from damaskdeck.clock import Clock
-from damaskdeck.protocol.jobs import TaskNews, TaskReports, TasksNoted
+from damaskdeck.protocol.jobs import TaskUpdate, TaskUpdates, TaskUpdatesReply
 from damaskdeck.protocol.members import Ownership
 from damaskdeck.protocol.messages import Answered, Peers
-from damaskdeck.state.names import read_job, read_ledger
+from damaskdeck.state.names import parse_job_name, parse_ledger_name
 
 BATCH_LIMIT = 500
 BATCH_BYTES = 512_000
@@ -17,7 +17,7 @@
 RETRY_INTERVAL = timedelta(milliseconds=500)
 GATHER_INTERVAL = timedelta(milliseconds=10)
 
-NotedHandler = Callable[[TasksNoted], Awaitable[None]]
+NotedHandler = Callable[[TaskUpdatesReply], Awaitable[None]]
 
 
 class Outbox:
@@ -33,13 +33,13 @@
         self._peers = peers
         self._clock = clock
         self._on_noted = on_noted
-        self._waiting: dict[str, dict[tuple[str, int], TaskNews]] = {}
+        self._waiting: dict[str, dict[tuple[str, int], TaskUpdate]] = {}
         self._filled = asyncio.Event()
         self._senders: dict[str, asyncio.Task[None]] = {}
 
-    def put(self, news: TaskNews) -> None:
+    def put(self, news: TaskUpdate) -> None:
         """Send news; they replace older ones of the same attempt."""
-        ledger = read_ledger(read_job(news["task"]))
+        ledger = parse_ledger_name(parse_job_name(news["task"]))
         if ledger is None:
             return
         waiting = self._waiting.setdefault(ledger, {})
@@ -78,22 +78,24 @@
             if not noted["noted"]:
                 await self._clock.sleep(RETRY_INTERVAL)
 
-    async def _send(self, ledger: str, batch: list[TaskNews]) -> TasksNoted | None:
+    async def _send(
+        self, ledger: str, batch: list[TaskUpdate]
+    ) -> TaskUpdatesReply | None:
         owner = self._ownership.find_owner(f"ledger/{ledger}")
         if owner is None:
             return None
-        message = TaskReports(ledger=ledger, tasks=batch)
+        message = TaskUpdates(ledger=ledger, tasks=batch)
         answer = await self._peers.call(
-            owner.instance, message, TaskReports, REPLY_TIMEOUT
+            owner.instance, message, TaskUpdates, REPLY_TIMEOUT
         )
         if not isinstance(answer, Answered) or answer.message is None:
             return None
         return answer.message
 
 
-def take_batch(waiting: dict[tuple[str, int], TaskNews]) -> list[TaskNews]:
+def take_batch(waiting: dict[tuple[str, int], TaskUpdate]) -> list[TaskUpdate]:
     """Return the oldest news, as many as go into one message."""
-    batch: list[TaskNews] = []
+    batch: list[TaskUpdate] = []
     size = 0
     for news in islice(waiting.values(), BATCH_LIMIT):
         size += len(news.get("result", b""))
--- a/src/damaskdeck/coordination/workers/owners.py
+++ b/src/damaskdeck/coordination/workers/owners.py
@@ -16,7 +16,7 @@
 from damaskdeck.metrics import count_drop
 from damaskdeck.protocol.members import Members, Report
 from damaskdeck.protocol.summaries import WorkerSummary
-from damaskdeck.state.accounts import TaskNeed
+from damaskdeck.state.workeraccounts import TaskNeed
 
 ROOM_LIFE = timedelta(seconds=5)
 PREEMPTIBLE_LIMIT = 3
@@ -26,7 +26,7 @@
 _decoder = msgspec.msgpack.Decoder(WorkerSummary)
 
 
-class Owners:
+class OwnerSelector:
     """The summaries of all owners, and what they are asked for meanwhile."""
 
     def __init__(self, members: Members, clock: Clock) -> None:
@@ -64,7 +64,7 @@
         view = choose_owner(self._views.values(), need, self._random, now)
         if view is None:
             return self._choose_preemptible(need)
-        view.note_asked(need)
+        view.deduct(need)
         return view.name
 
     def list_fitting(self, need: TaskNeed) -> list[str]:
@@ -77,7 +77,7 @@
         fitting.update(view.name for view in self._list_preemptible(need))
         return sorted(fitting)
 
-    def list_able(self, need: TaskNeed) -> list[str]:
+    def list_capable(self, need: TaskNeed) -> list[str]:
         """List the owners of workers that could hold ``need`` if empty."""
         return sorted(
             view.name
@@ -85,17 +85,17 @@
             if view.is_able(need) and (not need.zones or view.zone in need.zones)
         )
 
-    def note_refused(self, owner: str, need: TaskNeed) -> None:
+    def record_refusal(self, owner: str, need: TaskNeed) -> None:
         """Note that an owner has no room for ``need`` after all."""
         view = self._views.get(owner)
         if view is not None:
-            view.note_refused(need)
+            view.record_refusal(need)
 
-    def note_making_room(self, owner: str, task: str) -> None:
+    def record_preemption(self, owner: str, task: str) -> None:
         """Note that an owner makes room for a task; it is asked again."""
         self._rooms[task] = (owner, self._clock.monotonic() + ROOM_LIFE)
 
-    def forget(self, task: str) -> None:
+    def discard(self, task: str) -> None:
         """Forget a task that needs no room any more."""
         self._rooms.pop(task, None)
 
--- a/src/damaskdeck/coordination/workers/rosters.py
+++ b/src/damaskdeck/coordination/workers/rosters.py
@@ -9,10 +9,10 @@
 from damaskdeck.coordination.workers.leases import compute_takeover_bound, stretch_lease
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_refusal
-from damaskdeck.protocol.jobs import Start, TaskNews
+from damaskdeck.protocol.jobs import TaskToStart, TaskUpdate
 from damaskdeck.protocol.ports import TaskReport
 from damaskdeck.protocol.resources import Urgency
-from damaskdeck.state.accounts import Accounts, Reserved, TaskNeed
+from damaskdeck.state.workeraccounts import Reserved, TaskNeed, WorkerAccounts
 
 # States of an attempt that isn't known to have ended.
 OPEN_STATES = frozenset({"starting", "unsure", "running"})
@@ -23,7 +23,7 @@
 class Hosted(NamedTuple):
     """An attempt of a task on a worker, as its owner knows it.
 
-    :param state: as in :class:`~damaskdeck.protocol.jobs.TaskNews`; ``starting``
+    :param state: as in :class:`~damaskdeck.protocol.jobs.TaskUpdate`; ``starting``
         until its start is sent, then ``unsure`` until that is answered.
     :param until: monotonic time when its lease ends at the latest.
     :param settled: monotonic time from which on an inventory must show it.
@@ -37,7 +37,7 @@
     state: str
     until: timedelta
     settled: timedelta
-    start: Start | None = None
+    start: TaskToStart | None = None
     is_repeat: bool = False
     cause: str = ""
 
@@ -47,16 +47,16 @@
 
     :param worker: its name.
     :param put_news: takes news for the keepers.
-    :param note_end: ``note_end(worker, task, state)`` learns of each end.
+    :param record_end: ``record_end(worker, task, state)`` learns of each end.
     """
 
     def __init__(
         self,
         worker: str,
-        accounts: Accounts,
+        accounts: WorkerAccounts,
         clock: Clock,
-        put_news: Callable[[TaskNews], None],
-        note_end: Callable[[str, str, str], None],
+        put_news: Callable[[TaskUpdate], None],
+        record_end: Callable[[str, str, str], None],
         lease: timedelta = defaults.TASK_LEASE,
     ) -> None:
         self.tasks: dict[str, Hosted] = {}
@@ -64,7 +64,7 @@
         self._accounts = accounts
         self._clock = clock
         self._put_news = put_news
-        self._note_end = note_end
+        self._record_end = record_end
         self._lease = stretch_lease(lease)
         self._adoption = compute_takeover_bound(lease)
 
@@ -81,7 +81,7 @@
         """List the tasks whose leases must be renewed."""
         return tuple(h.task for h in self.tasks.values() if h.state == "running")
 
-    def enter(self, start: Start) -> None:
+    def enter(self, start: TaskToStart) -> None:
         """Add a task that is about to be started."""
         now = self._clock.monotonic()
         name = start["task"]
@@ -161,10 +161,10 @@
         self.tasks[hosted.task] = hosted._replace(state=state, settled=now)
         if state != "running":
             self._release(hosted.task)
-            self._note_end(self._worker, hosted.task, state)
+            self._record_end(self._worker, hosted.task, state)
         if state in ("stopped", "checkpointed"):
             code = hosted.cause
-        news = TaskNews(
+        news = TaskUpdate(
             task=hosted.task,
             attempt=hosted.attempt,
             worker=self._worker,
--- a/src/damaskdeck/coordination/workers/sessions.py
+++ b/src/damaskdeck/coordination/workers/sessions.py
@@ -6,14 +6,14 @@
 
 from damaskdeck import defaults
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.places.rooms import Rooms
+from damaskdeck.coordination.places.allocator import CapacityAllocator
 from damaskdeck.coordination.queues.pressure import Checkpoint, Throttle
 from damaskdeck.coordination.workers.leases import compute_takeover_bound
 from damaskdeck.coordination.workers.orders import Orders
 from damaskdeck.coordination.workers.rosters import Hosted, Roster
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_retry
-from damaskdeck.protocol.jobs import TaskNews
+from damaskdeck.protocol.jobs import TaskUpdate
 from damaskdeck.protocol.ports import (
     Instance,
     Inventory,
@@ -22,7 +22,7 @@
     Usage,
     WorkerPort,
 )
-from damaskdeck.state.accounts import Accounts
+from damaskdeck.state.workeraccounts import WorkerAccounts
 
 FOLLOW_WAIT = timedelta(seconds=20)
 RETRY_INTERVAL = timedelta(milliseconds=500)
@@ -46,7 +46,7 @@
     :param worker: as the platform lists it; set anew when that changes.
     :param may_act: tells whether this daemon still owns the worker.
     :param put_news: takes news for the keepers.
-    :param rooms: learns of ends and of use.
+    :param allocator: learns of ends and of use.
     :param grace: how long to wait before the first placement, for workers that
         don't check epochs.
     """
@@ -56,11 +56,11 @@
         worker: Instance,
         epoch: int,
         port: WorkerPort,
-        accounts: Accounts,
+        accounts: WorkerAccounts,
         clock: Clock,
         may_act: Callable[[], bool],
-        put_news: Callable[[TaskNews], None],
-        rooms: Rooms,
+        put_news: Callable[[TaskUpdate], None],
+        allocator: CapacityAllocator,
         grace: timedelta = timedelta(),
         lease: timedelta = defaults.TASK_LEASE,
         renewal: timedelta = defaults.TASK_RENEWAL,
@@ -69,9 +69,9 @@
         self.epoch = epoch
         self.is_ready = False
         self.roster = Roster(
-            worker.name, accounts, clock, put_news, rooms.note_end, lease
+            worker.name, accounts, clock, put_news, allocator.record_end, lease
         )
-        self._rooms = rooms
+        self._allocator = allocator
         self.port = port
         self.accounts = accounts
         self._clock = clock
@@ -205,7 +205,7 @@
         staying = [
             item for item in usage if item.task in tasks and not tasks[item.task].cause
         ]
-        for action in self._rooms.observe(self.worker.name, staying):
+        for action in self._allocator.observe(self.worker.name, staying):
             if isinstance(action, Throttle):
                 self.orders.throttle(action.task, action.millicores)
             else:
--- a/src/damaskdeck/coordination/workers/summaries.py
+++ b/src/damaskdeck/coordination/workers/summaries.py
@@ -16,7 +16,7 @@
 from damaskdeck.protocol.resources import Urgency
 from damaskdeck.protocol.sizes import ZERO_SIZE, Size, add_sizes, fits, subtract_sizes
 from damaskdeck.protocol.summaries import ClassSummary, WorkerSummary
-from damaskdeck.state.accounts import Accounts, TaskNeed, WorkerAccount
+from damaskdeck.state.workeraccounts import TaskNeed, WorkerAccount, WorkerAccounts
 
 # Topic of the reports that members attach to their heartbeats.
 TOPIC = "workers"
@@ -29,7 +29,7 @@
 _SAMPLED = 9
 
 
-def summarize_workers(accounts: Accounts, zone: str) -> WorkerSummary:
+def summarize_workers(accounts: WorkerAccounts, zone: str) -> WorkerSummary:
     """Summarize the open workers of an owner; about 1 KiB when encoded at most."""
     opened = [account for account in accounts.workers.values() if not account.closed]
     parts = [[a for a in opened if not a.size[2]], [a for a in opened if a.size[2]]]
@@ -123,14 +123,14 @@
         """Count the slices that hold ``need``."""
         return sum(fits(need.size, size) for part in self.classes for size in part)
 
-    def note_asked(self, need: TaskNeed) -> None:
+    def deduct(self, need: TaskNeed) -> None:
         """Take what was asked for off the tightest slice."""
         found = self.find_tightest(need)
         if found is not None:
             slices = self.classes[found[0]]
             slices[found[1]] = subtract_sizes(slices[found[1]], need.size)
 
-    def note_refused(self, need: TaskNeed) -> None:
+    def record_refusal(self, need: TaskNeed) -> None:
         """Forget the slices that hold ``need``: the summary was wrong."""
         self.classes = [
             [size for size in part if not fits(need.size, size)]
--- a/src/damaskdeck/daemon.py
+++ b/src/damaskdeck/daemon.py
@@ -9,7 +9,7 @@
 
 from damaskdeck.clock import Clock, SystemClock
 from damaskdeck.coordination.configuration.relay import ConfigurationRelay
-from damaskdeck.coordination.jobs.keeper import Keeper
+from damaskdeck.coordination.jobs.ledgerowner import LedgerOwner
 from damaskdeck.coordination.members.membership import Membership
 from damaskdeck.coordination.members.ownership import StoreOwnership
 from damaskdeck.coordination.requests.routing import Router
@@ -27,9 +27,9 @@
 )
 from damaskdeck.protocol.resources import POLICY_NAME, Kind, Resource
 from damaskdeck.settings import Settings, load_settings
+from damaskdeck.state.changehistory import ChangeHistory
 from damaskdeck.state.configuration import Configuration
-from damaskdeck.state.names import name_ledger
-from damaskdeck.state.watches import History
+from damaskdeck.state.names import format_ledger_name
 from damaskdeck.transport.api.app import build_app
 from damaskdeck.transport.api.credentials import Credentials
 from damaskdeck.transport.api.server import ApiServer
@@ -125,7 +125,7 @@
             member_lease=settings.member_lease,
         )
         self.ownership = StoreOwnership(self.membership, network, store, clock)
-        self.configuration = Configuration(History())
+        self.configuration = Configuration(ChangeHistory())
         self.relay = ConfigurationRelay(
             self.configuration, self.membership, network, store, clock
         )
@@ -134,7 +134,7 @@
     def _build_planes(self) -> None:
         settings, clock, network = self.settings, self._clock, self._network
         shared = (self.membership, self.ownership, network)
-        self.keeper = Keeper(
+        self.ledger_owner = LedgerOwner(
             *shared,
             self._platform.store,
             self.configuration,
@@ -157,16 +157,16 @@
             self._platform.targets,
             self.fleet,
             clock,
-            self.keeper,
-            longest=settings.request_timeout,
+            self.ledger_owner,
+            max_call_time=settings.request_timeout,
             queue_limit=settings.queue_limit,
         )
         self.observer = Observer(*shared, self.fleet, self.host)
         self._follow_changes()
 
     def _follow_changes(self) -> None:
-        ledgers = tuple(map(name_ledger, range(self.settings.ledger_count)))
-        self.ownership.set_things("ledger", ledgers)
+        ledgers = tuple(map(format_ledger_name, range(self.settings.ledger_count)))
+        self.ownership.set_shards("ledger", ledgers)
         self.fleet.on_change(lambda changes: self._list_things())
         self.configuration.subscribe(self._take_policy)
 
@@ -176,7 +176,7 @@
             self.configuration,
             self.relay,
             self.router,
-            self.keeper,
+            self.ledger_owner,
             self.observer,
             Credentials(settings.operator_token, settings.team_tokens),
             self._clock,
@@ -192,7 +192,7 @@
             ("worker", InstanceRole.WORKER),
         ):
             listed = self.fleet.list(role, self.settings.zone)
-            self.ownership.set_things(scope, tuple(i.name for i in listed))
+            self.ownership.set_shards(scope, tuple(i.name for i in listed))
 
     def _take_policy(self, kind: Kind, name: str, resource: Resource | None) -> None:
         if kind is Kind.POLICY and name == POLICY_NAME:
@@ -201,13 +201,13 @@
 
     def is_ready(self) -> bool:
         """Whether the balancer may send calls here."""
-        is_fleet_known = self.fleet.last_answer is not None
+        is_fleet_known = self.fleet.last_listed_at is not None
         return self.relay.is_ready and is_fleet_known and not self._is_draining
 
     def read_status(self) -> Mapping[str, Any]:
         """Return this daemon's part of ``GET /v1/status``."""
         held = {
-            scope: list(self.ownership.list_held(scope))
+            scope: list(self.ownership.list_owned(scope))
             for scope in ("ledger", "target", "worker")
         }
         members = [m._asdict() for m in self.membership.list_live()]
@@ -232,7 +232,7 @@
         :raises Exception: that of the first part that failed; nothing is drained.
         """
         parts = [self.fleet, self.membership, self.ownership, self.relay]
-        parts += [self.keeper, self.host, self.router]
+        parts += [self.ledger_owner, self.host, self.router]
         tasks = [asyncio.ensure_future(part.run()) for part in parts]
         stop = asyncio.ensure_future(self._stop.wait())
         try:
@@ -253,7 +253,7 @@
         await self._clock.sleep(self.settings.drain_delay)
         await self._finish("requests", self.router.drain(), self.settings.grace)
         await self._finish("handover", self.ownership.drain(), HANDOVER_LIMIT)
-        await self._finish("ledgers", self.keeper.close(), HANDOVER_LIMIT)
+        await self._finish("ledgers", self.ledger_owner.close(), HANDOVER_LIMIT)
         await self._finish("leave", self.membership.leave(), HANDOVER_LIMIT)
         await self._server.stop()
 
--- a/src/damaskdeck/platform/callers.py
+++ b/src/damaskdeck/platform/callers.py
@@ -9,36 +9,36 @@
 
 from damaskdeck.errors import MessageError
 from damaskdeck.platform.jobs import read_job
-from damaskdeck.protocol.callers import (
-    COME_BACK,
-    BarCode,
-    Barred,
+from damaskdeck.protocol.callresults import (
+    DEFAULT_RETRY_DELAY,
     Caller,
-    NoJob,
-    NotTaken,
-    Taken,
-    Told,
-    Unsettled,
-    Untold,
+    CallRejected,
+    CallRejectionCode,
+    JobAccepted,
+    JobNotAccepted,
+    JobNotFound,
+    JobStateFound,
+    JobStateUnavailable,
+    JobUnconfirmed,
 )
-from damaskdeck.protocol.queues import JobSpec, Queue, QueuedState, QueueTable
+from damaskdeck.protocol.queues import JobSpec, Queue, QueueJobState, QueueTable
 
 _IDENTIFIER = re.compile(r"^[0-9a-fA-F]{16}$")
 _STATES = {
-    QueuedState.QUEUED: "queued",
-    QueuedState.RUNNING: "running",
-    QueuedState.COMPLETED: "done",
-    QueuedState.FAILED: "failed",
-    QueuedState.CANCELLED: "cancelled",
+    QueueJobState.QUEUED: "queued",
+    QueueJobState.RUNNING: "running",
+    QueueJobState.COMPLETED: "done",
+    QueueJobState.FAILED: "failed",
+    QueueJobState.CANCELLED: "cancelled",
 }
 
 _BARS = {
-    BarCode.NO_DOCUMENT: 503,
-    BarCode.STALE_DOCUMENT: 503,
-    BarCode.NO_QUEUE: 404,
-    BarCode.MISSING_KEY: 401,
-    BarCode.UNKNOWN_KEY: 401,
-    BarCode.IDENTIFIER_IN_USE: 409,
+    CallRejectionCode.NO_DOCUMENT: 503,
+    CallRejectionCode.STALE_DOCUMENT: 503,
+    CallRejectionCode.NO_QUEUE: 404,
+    CallRejectionCode.MISSING_KEY: 401,
+    CallRejectionCode.UNKNOWN_KEY: 401,
+    CallRejectionCode.IDENTIFIER_IN_USE: 409,
 }
 # Where callers show the key of their account.
 _KEY_HEADER = b"x-api-key"
@@ -51,27 +51,29 @@
 _encoder = msgspec.json.Encoder()
 
 
-class Desk(Protocol):
-    """What answers callers; see :class:`damaskdeck.coordination.pools.JobDesk`."""
+class Frontend(Protocol):
+    """What answers callers; see :class:`damaskdeck.coordination.pools.JobFrontend`."""
 
     async def submit(
         self, queue: Queue, identifier: str, spec: JobSpec, caller: Caller
-    ) -> Taken | NotTaken | Unsettled | Barred:
+    ) -> JobAccepted | JobNotAccepted | JobUnconfirmed | CallRejected:
         """Store a job."""
 
     async def read_state(
         self, identifier: str, caller: Caller
-    ) -> Told | NoJob | Untold:
+    ) -> JobStateFound | JobNotFound | JobStateUnavailable:
         """Tell the state of a job."""
 
-    async def cancel(self, identifier: str, caller: Caller) -> Told | NoJob | Untold:
+    async def cancel(
+        self, identifier: str, caller: Caller
+    ) -> JobStateFound | JobNotFound | JobStateUnavailable:
         """Cancel a job."""
 
-    async def count_waiting(self, queue: str) -> int | Untold:
+    async def count_waiting(self, queue: str) -> int | JobStateUnavailable:
         """Tell how many jobs of a queue have started nothing."""
 
 
-class Admitted(Protocol):
+class AuthorizedCall(Protocol):
     """A call that goes on."""
 
     queue: Queue
@@ -80,14 +82,19 @@
 
 
 class Gate(Protocol):
-    """Judges calls; see :class:`damaskdeck.coordination.pools.admitting.Admission`."""
+    """Judges calls.
+
+    See :class:`damaskdeck.coordination.pools.authorization.CallAuthorizer`.
+    """
 
-    def judge(self, host: str, path: str, key: bytes | None) -> Admitted | Barred:
+    def authorize(
+        self, host: str, path: str, key: bytes | None
+    ) -> AuthorizedCall | CallRejected:
         """Return the queue that a call means and who calls."""
 
 
 def build_callers_app(
-    desk: Desk,
+    frontend: Frontend,
     gate: Gate,
     is_ready: Callable[[], bool],
     is_turning_away: Callable[[], bool],
@@ -113,15 +120,15 @@
             await answer.give_text(read_metrics())
             return
         host = _read_header(scope, b"host") or b""
-        admitted = gate.judge(
+        admitted = gate.authorize(
             host.decode("latin-1").partition(":")[0],
             scope["path"],
             _read_header(scope, _KEY_HEADER),
         )
-        if isinstance(admitted, Barred):
+        if isinstance(admitted, CallRejected):
             await answer.bar(admitted)
         else:
-            await _serve(scope, receive, answer, desk, admitted)
+            await _serve(scope, receive, answer, frontend, admitted)
 
     return app
 
@@ -151,11 +158,11 @@
             headers.append((b"retry-after", str(seconds).encode()))
         await self._send_all(status, headers, data)
 
-    async def bar(self, barred: Barred) -> None:
+    async def bar(self, barred: CallRejected) -> None:
         """Turn a call away."""
         status = _BARS[barred.code]
         body = None if status == 404 else {"error": barred.code}
-        await self.give(status, body, COME_BACK if status == 503 else None)
+        await self.give(status, body, DEFAULT_RETRY_DELAY if status == 503 else None)
 
     async def _send_all(
         self, status: int, headers: list[tuple[bytes, bytes]], data: bytes
@@ -173,32 +180,36 @@
     scope: Scope,
     receive: Receive,
     answer: _Answer,
-    desk: Desk,
-    admitted: Admitted,
+    frontend: Frontend,
+    admitted: AuthorizedCall,
 ) -> None:
     method, queue = scope["method"], admitted.queue
     rest = scope["path"][len(queue.prefix) :]
     if method == "GET" and not rest:
-        count = await desk.count_waiting(queue.name)
-        if isinstance(count, Untold):
+        count = await frontend.count_waiting(queue.name)
+        if isinstance(count, JobStateUnavailable):
             await answer.give(503, retry=count.retry)
         else:
             await answer.give(200, {"pending": count})
     elif not _IDENTIFIER.match(rest):
         await answer.give(400 if method == "POST" else 410)
     elif method == "POST":
-        await _submit(receive, answer, desk, admitted, rest)
+        await _submit(receive, answer, frontend, admitted, rest)
     elif method in ("GET", "DELETE"):
-        ask = desk.read_state if method == "GET" else desk.cancel
+        ask = frontend.read_state if method == "GET" else frontend.cancel
         await _tell(answer, await ask(rest, admitted.caller), method)
     else:
         await answer.give(405)
 
 
-async def _tell(answer: _Answer, told: Told | NoJob | Untold, method: str) -> None:
-    if isinstance(told, Told):
+async def _tell(
+    answer: _Answer,
+    told: JobStateFound | JobNotFound | JobStateUnavailable,
+    method: str,
+) -> None:
+    if isinstance(told, JobStateFound):
         await answer.give(200, {"state": _STATES[told.state]})
-    elif isinstance(told, NoJob):
+    elif isinstance(told, JobNotFound):
         await answer.give(410)
     else:
         await answer.give(503, {"error": told.code}, told.retry)
@@ -207,8 +218,8 @@
 async def _submit(
     receive: Receive,
     answer: _Answer,
-    desk: Desk,
-    admitted: Admitted,
+    frontend: Frontend,
+    admitted: AuthorizedCall,
     identifier: str,
 ) -> None:
     body = await _read_body(receive, admitted.table.body_limit)
@@ -220,12 +231,12 @@
     except MessageError as error:
         await answer.give(400, {"error": str(error)})
         return
-    done = await desk.submit(admitted.queue, identifier, spec, admitted.caller)
-    if isinstance(done, Taken):
+    done = await frontend.submit(admitted.queue, identifier, spec, admitted.caller)
+    if isinstance(done, JobAccepted):
         await answer.give(200, {"state": "queued"})
-    elif isinstance(done, Barred):
+    elif isinstance(done, CallRejected):
         await answer.bar(done)
-    elif isinstance(done, NotTaken):
+    elif isinstance(done, JobNotAccepted):
         await answer.give(503, {"error": done.code}, done.retry)
     else:
         # It may be stored yet: an answer that promises nothing.
--- a/src/damaskdeck/platform/client.py
+++ b/src/damaskdeck/platform/client.py
@@ -58,7 +58,7 @@
         headers: Mapping[str, str] | None = None,
         silence: timedelta | None = None,
         keep: float = KEEPALIVE_SECONDS,
-        longest: int | None = None,
+        max_reply_bytes: int | None = None,
         within: timedelta | None = None,
     ) -> Reply | Oversized | Rejected | Lost:
         """Make a call; ``Rejected`` proves that it had no effect.
@@ -66,7 +66,7 @@
         :param timeout: for all of it.
         :param silence: given up when nothing comes for so long.
         :param keep: for how many seconds the channel is kept for another call.
-        :param longest: bytes of a body beyond which it isn't read.
+        :param max_reply_bytes: bytes of a body beyond which it isn't read.
         :param within: given up when no answer has begun by then.
         """
         data = None if body is None else _encoder.encode(body)
@@ -90,7 +90,7 @@
                 begun = await request
             async with begun as response:
                 size = response.content_length or 0
-                if longest is not None and size > longest:
+                if max_reply_bytes is not None and size > max_reply_bytes:
                     # Else the rest of it would still come.
                     response.close()
                     return Oversized(response.status, size)
--- a/src/damaskdeck/platform/declarations.py
+++ b/src/damaskdeck/platform/declarations.py
@@ -16,13 +16,13 @@
     read_duration,
     read_size,
 )
-from damaskdeck.protocol.accounts import (
+from damaskdeck.protocol.clientaccounts import (
     ClientAccount,
     ClientAccounts,
     build_quota,
     digest_key,
 )
-from damaskdeck.protocol.pools import Declared
+from damaskdeck.protocol.pools import DeclaredQueues
 from damaskdeck.protocol.ports import (
     Entry,
     Events,
@@ -30,11 +30,11 @@
     Lost,
     Missing,
     Rejected,
-    TooOld,
+    RevisionTooOld,
 )
-from damaskdeck.protocol.queues import AdviceTerms, Queue, QueueTable
+from damaskdeck.protocol.queues import AdvisorTiming, Queue, QueueTable
 from damaskdeck.protocol.transactions import (
-    TooLong,
+    ReplyTooLarge,
     TransactionalStore,
     Unchanged,
 )
@@ -111,28 +111,28 @@
         self._store = store
         self._needs_keys = needs_keys
 
-    async def read_queues(self, known: int = 0) -> Declared | Rejected | Lost:
+    async def read_queues(self, known: int = 0) -> DeclaredQueues | Rejected | Lost:
         """Read the newest document."""
         if known:
             found = await self._store.read_changed(_QUEUES, known)
         else:
             found = await self._store.read(_QUEUES)
         if isinstance(found, Unchanged):
-            return Declared(None, found.revision, known)
+            return DeclaredQueues(None, found.revision, known)
         if isinstance(found, Missing):
-            return Declared(None, found.revision)
+            return DeclaredQueues(None, found.revision)
         if not isinstance(found, Found):
             return found
         return self.decode(found.entry)
 
-    def decode(self, entry: Entry) -> Declared:
+    def decode(self, entry: Entry) -> DeclaredQueues:
         """Return what the document's entry says."""
         table = self._read_table(entry.value)
-        return Declared(table, entry.revision, entry.revision, len(entry.value))
+        return DeclaredQueues(table, entry.revision, entry.revision, len(entry.value))
 
     async def follow_queues(
         self, revision: int, wait: timedelta
-    ) -> Declared | TooOld | TooLong | Rejected | Lost:
+    ) -> DeclaredQueues | RevisionTooOld | ReplyTooLarge | Rejected | Lost:
         """Return the newest document after ``revision``."""
         found = await self._store.watch(_OPERATOR, revision, wait, _WATCHED_BYTES)
         if not isinstance(found, Events):
@@ -146,7 +146,7 @@
                 _log.error(
                     "An upkeep wave is not served.", code="unsupported", key=event.key
                 )
-        return Declared(table, found.revision, document, size)
+        return DeclaredQueues(table, found.revision, document, size)
 
     def _read_table(self, value: bytes) -> QueueTable | None:
         try:
@@ -227,10 +227,10 @@
     )
 
 
-def _read_terms(advice: Any) -> AdviceTerms | None:
+def _read_terms(advice: Any) -> AdvisorTiming | None:
     if not advice:
         return None
-    return AdviceTerms(
+    return AdvisorTiming(
         read_duration(advice.get("decide_ms", 0)),
         read_duration(advice.get("period_ms", 0)),
         read_duration(advice.get("valid_ms", 0)),
--- a/src/damaskdeck/platform/registry.py
+++ b/src/damaskdeck/platform/registry.py
@@ -18,7 +18,7 @@
 )
 from damaskdeck.protocol.pools import (
     PoolWorker,
-    Registered,
+    RegisteredWorkers,
     RegistryChange,
     RegistryChanges,
 )
@@ -26,7 +26,7 @@
     Events,
     Lost,
     Rejected,
-    TooOld,
+    RevisionTooOld,
 )
 from damaskdeck.protocol.transactions import TransactionalStore, read_all
 
@@ -60,7 +60,7 @@
         # Revisions of entries that can't be used and were told of, by key.
         self._told: dict[str, int] = {}
 
-    async def list_workers(self) -> Registered | Rejected | Lost:
+    async def list_workers(self) -> RegisteredWorkers | Rejected | Lost:
         """Read all workers."""
         found = await read_all(self._store, _WORKERS)
         if isinstance(found, Rejected | Lost):
@@ -68,7 +68,7 @@
         entries, revision = found
         changes = [self._read(e.key, e.value, e.revision) for e in entries]
         usable = [change for change in changes if change.worker is not None]
-        return Registered(
+        return RegisteredWorkers(
             tuple(change.worker for change in usable),
             revision,
             tuple(change.revision for change in usable),
@@ -76,7 +76,7 @@
 
     async def follow_workers(
         self, revision: int, wait: timedelta
-    ) -> RegistryChanges | TooOld | Rejected | Lost:
+    ) -> RegistryChanges | RevisionTooOld | Rejected | Lost:
         """Return the changes after ``revision``."""
         found = await self._store.watch(_WORKERS, revision, wait)
         if not isinstance(found, Events):
--- a/src/damaskdeck/platform/store.py
+++ b/src/damaskdeck/platform/store.py
@@ -27,14 +27,14 @@
     Lost,
     Missing,
     Rejected,
-    TooOld,
+    RevisionTooOld,
     Written,
 )
 from damaskdeck.protocol.transactions import (
     CommitResult,
     Mismatch,
     Page,
-    TooLong,
+    ReplyTooLarge,
     Transaction,
     Unchanged,
 )
@@ -130,7 +130,7 @@
         timeout: timedelta,
         body: Any = None,
         silence: timedelta | None = None,
-        longest: int | None = None,
+        max_reply_bytes: int | None = None,
         within: timedelta | None = None,
     ) -> Reply | Oversized | Rejected | Lost:
         count_store_call(kind)
@@ -141,7 +141,7 @@
             timeout,
             body,
             silence=silence,
-            longest=longest,
+            max_reply_bytes=max_reply_bytes,
             within=within,
         )
 
@@ -211,8 +211,8 @@
         self,
         transaction: Transaction,
         timeout: timedelta | None = None,
-        longest: int | None = None,
-    ) -> CommitResult | TooLong:
+        max_reply_bytes: int | None = None,
+    ) -> CommitResult | ReplyTooLarge:
         """Make changes that take effect together or not at all."""
         body = {
             "expected": [
@@ -224,11 +224,11 @@
         }
         limit = min(timeout or COMMIT_TIMEOUT, COMMIT_TIMEOUT)
         reply = await self._call(
-            "commit", "POST", "/kv-txn", limit, body, longest=longest
+            "commit", "POST", "/kv-txn", limit, body, max_reply_bytes=max_reply_bytes
         )
         if isinstance(reply, Oversized):
             is_refused = reply.status == 412
-            return TooLong(reply.size) if is_refused else Lost("unexpected_size")
+            return ReplyTooLarge(reply.size) if is_refused else Lost("unexpected_size")
         if not isinstance(reply, Reply):
             return reply
         if reply.status == 404:
@@ -239,8 +239,12 @@
         return done if isinstance(done, Lost) else Written(done["revision"])
 
     async def watch(
-        self, prefix: str, revision: int, wait: timedelta, longest: int | None = None
-    ) -> Events | TooOld | TooLong | Rejected | Lost:
+        self,
+        prefix: str,
+        revision: int,
+        wait: timedelta,
+        max_reply_bytes: int | None = None,
+    ) -> Events | RevisionTooOld | ReplyTooLarge | Rejected | Lost:
         """Return the changes after ``revision``."""
         path = (
             f"/kv-watch?path_prefix={quote(prefix, safe='/')}"
@@ -252,15 +256,15 @@
             path,
             wait + TRANSFER_TIMEOUT,
             silence=wait + WATCH_SLACK,
-            longest=longest,
+            max_reply_bytes=max_reply_bytes,
         )
         if isinstance(reply, Oversized):
             is_told = reply.status == 200
-            return TooLong(reply.size) if is_told else Lost("unexpected_size")
+            return ReplyTooLarge(reply.size) if is_told else Lost("unexpected_size")
         if not isinstance(reply, Reply):
             return reply
         if reply.status == 410:
-            return TooOld(0)
+            return RevisionTooOld(0)
         found = _decode(reply, 200, _watched)
         if isinstance(found, Lost):
             return found
--- a/src/damaskdeck/platform/workers.py
+++ b/src/damaskdeck/platform/workers.py
@@ -17,7 +17,6 @@
 from damaskdeck.platform.fields import Moment, read_duration
 from damaskdeck.platform.tasks import format_task, parse_task
 from damaskdeck.protocol.pools import (
-    Contents,
     Declined,
     Done,
     EndedTask,
@@ -28,6 +27,7 @@
     RunningTask,
     StartResult,
     TaskStart,
+    WorkerTasks,
 )
 from damaskdeck.protocol.ports import Lost, Rejected
 from damaskdeck.protocol.queues import TaskName
@@ -154,14 +154,14 @@
             return answer
         return Done(read_duration(answer.get("clock_ms", 0)))
 
-    async def hold(
+    async def poll(
         self,
         worker: PoolWorker,
         epoch: int,
         observed: int,
         deadline: timedelta | None,
         wait: timedelta,
-    ) -> Contents | Declined | Replaced | Rejected | Lost:
+    ) -> WorkerTasks | Declined | Replaced | Rejected | Lost:
         """Extend the lease and list what the worker runs."""
         body: dict[str, Any] = {"fencing_token": epoch, "observed": observed}
         if deadline is not None:
@@ -185,7 +185,7 @@
         return read_inventory(reply)
 
 
-def read_inventory(reply: Reply) -> Contents | Lost:
+def read_inventory(reply: Reply) -> WorkerTasks | Lost:
     """Read what a worker runs and what has ended there."""
     answer = decode_body(reply, _held)
     if isinstance(answer, Lost):
@@ -217,7 +217,7 @@
     return Lost("unexpected_status", str(reply.status))
 
 
-def _read_contents(answer: _Held) -> Contents:
+def _read_contents(answer: _Held) -> WorkerTasks:
     running = tuple(
         RunningTask(
             parse_task(row[0]),
@@ -238,7 +238,7 @@
         )
         for row in answer["finished"]
     )
-    return Contents(read_duration(answer["clock_ms"]), running, ended)
+    return WorkerTasks(read_duration(answer["clock_ms"]), running, ended)
 
 
 def _read_text(value: Any) -> str:
--- a/src/damaskdeck/pooldaemon.py
+++ b/src/damaskdeck/pooldaemon.py
@@ -7,18 +7,18 @@
 from datetime import timedelta
 
 from damaskdeck.clock import Clock, SystemClock, wait_for_event
-from damaskdeck.coordination.pools.admitting import Admission
+from damaskdeck.coordination.pools.authorization import CallAuthorizer
 from damaskdeck.coordination.pools.declarations import Declarations
-from damaskdeck.coordination.pools.desk import JobDesk
-from damaskdeck.coordination.pools.health import HealthyStore
-from damaskdeck.coordination.pools.helpers import Helpers
+from damaskdeck.coordination.pools.delegatedcommits import DelegatingStore
+from damaskdeck.coordination.pools.delegates import Delegates
+from damaskdeck.coordination.pools.jobfrontend import JobFrontend
 from damaskdeck.coordination.pools.leadership import Leadership
-from damaskdeck.coordination.pools.owner import OwnerParts, PoolOwner
-from damaskdeck.coordination.pools.relaying import RelayedStore
+from damaskdeck.coordination.pools.monitoredstore import MonitoredStore
+from damaskdeck.coordination.pools.owner import OwnerDependencies, PoolOwner
+from damaskdeck.coordination.pools.ownermonitor import OwnerMonitor
 from damaskdeck.coordination.pools.times import derive_times
-from damaskdeck.coordination.pools.transfers import Mandate
-from damaskdeck.coordination.pools.watching import OwnerWatch
-from damaskdeck.coordination.pools.workforce import WorkforceParts
+from damaskdeck.coordination.pools.transfers import OwnerTerm
+from damaskdeck.coordination.pools.workerfleet import FleetDependencies
 from damaskdeck.delays import LoopDelay
 from damaskdeck.errors import SettingsError
 from damaskdeck.lines import LineHandler, LineWriter
@@ -99,15 +99,15 @@
         self._client = PlatformClient()
         self._platform_store = PlatformStore(self._client, settings.store_address)
         self._advisor = PlatformAdvisor(self._client, settings.advisor_address)
-        self._store = HealthyStore(self._platform_store, clock)
+        self._store = MonitoredStore(self._platform_store, clock)
         self.declarations = Declarations(
             PlatformQueues(self._store, settings.needs_keys),
             clock,
-            self._times.keys_sure,
-            self._times.document_sure,
+            self._times.keys_max_age,
+            self._times.document_max_age,
             self._store.measure_silence,
         )
-        self._admission = Admission(self.declarations)
+        self._admission = CallAuthorizer(self.declarations)
         member = MemberRecord(
             settings.instance,
             uuid.uuid4().hex,
@@ -119,7 +119,7 @@
         self.leadership = Leadership(
             member, self._store, clock, self._times, self._begin_mandate, self._end
         )
-        self.desk = JobDesk(
+        self.frontend = JobFrontend(
             settings.instance,
             self._store,
             self._network,
@@ -129,20 +129,20 @@
             self._times,
             self.declarations,
             lambda: self._owner,
-            lambda epoch: self.watch.note_sign(epoch),
+            lambda epoch: self.watch.record_heartbeat(epoch),
         )
-        self.watch = OwnerWatch(
+        self.watch = OwnerMonitor(
             settings.instance,
             self._network,
             self.leadership,
             clock,
             self.get_epoch,
         )
-        self._commits = RelayedStore(
+        self._commits = DelegatingStore(
             self._store,
             self._network,
             clock,
-            Helpers(settings.instance, self.leadership, clock),
+            Delegates(settings.instance, self.leadership, clock),
         )
         self._server = self._build_server()
         await self._server.start()
@@ -176,7 +176,7 @@
         shown = tuple(map(show_address, listeners))
         self.callers_address, self.ready_address, self.metrics_address = shown
         app = build_callers_app(
-            self.desk,
+            self.frontend,
             self._admission,
             self.is_ready,
             lambda: not self.is_ready(),
@@ -192,22 +192,22 @@
         """Whether the balancer may send callers here."""
         is_informed = self.declarations.table is not None and self.leadership.is_synced
         is_cut_off = self._store.measure_outage() > self._times.unready_after
-        is_sure = self.declarations.may_serve
+        is_sure = self.declarations.can_verify_keys
         return is_informed and is_sure and not is_cut_off and not self._is_leaving
 
     def get_epoch(self) -> int:
         """Return the epoch that this daemon decides under, 0 if it doesn't."""
         owner = self._owner
         is_deciding = owner is not None and owner.may_decide()
-        return owner.mandate.epoch if owner is not None and is_deciding else 0
+        return owner.term.epoch if owner is not None and is_deciding else 0
 
     # Mandate -----------------------------------------------------------------
 
-    def _begin_mandate(self, mandate: Mandate) -> None:
+    def _begin_mandate(self, term: OwnerTerm) -> None:
         owner = PoolOwner(
-            mandate,
-            OwnerParts(
-                WorkforceParts(
+            term,
+            OwnerDependencies(
+                FleetDependencies(
                     self.leadership,
                     self._store,
                     PlatformWorkers(
@@ -216,9 +216,9 @@
                     PlatformRegistry(self._store),
                     self._clock,
                     self._times,
-                    self.declarations.knows_pool,
+                    self.declarations.is_pool_declared,
                     self._delay,
-                    self._store.dates.date,
+                    self._store.write_times.find_write_time,
                 ),
                 self._network,
                 self.declarations,
@@ -244,9 +244,9 @@
         """Hand over to a stronger instance once it has been up for a while."""
         while True:
             await self._clock.sleep(STRENGTH_INTERVAL)
-            owner, heir = self._owner, self.leadership.find_stronger()
-            if owner is not None and heir and not self._is_leaving:
-                _log.info("Handing over to a stronger instance.", heir=heir)
+            owner, successor = self._owner, self.leadership.find_stronger_member()
+            if owner is not None and successor and not self._is_leaving:
+                _log.info("Handing over to a stronger instance.", heir=successor)
                 await self._finish(owner.drain())
                 await self._finish(
                     self.leadership.release(owner.fence, is_leaving=False)
@@ -258,13 +258,13 @@
             await self._clock.sleep(AWAY_INTERVAL)
             owner = self._owner
             is_away = self._store.measure_outage() > self._times.unready_after
-            if owner is None or not is_away or not self._commits.is_helped:
+            if owner is None or not is_away or not self._commits.is_delegating:
                 continue
             _log.info("Handing over, as the store turns this daemon away.")
             await self._finish(owner.drain())
             await self._finish(
-                self.leadership.release_through(
-                    owner.fence, self._commits.commit_through
+                self.leadership.release_via_delegate(
+                    owner.fence, self._commits.commit_via_delegate
                 )
             )
 
--- a/src/damaskdeck/protocol/callers.py
+++ b/src/damaskdeck/protocol/callresults.py
@@ -4,11 +4,11 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from damaskdeck.protocol.queues import QueuedState
+from damaskdeck.protocol.queues import QueueJobState
 from damaskdeck.protocol.values import distinct
 
 # When to ask again where nothing says better: outages of the store last for seconds.
-COME_BACK = timedelta(seconds=1)
+DEFAULT_RETRY_DELAY = timedelta(seconds=1)
 
 
 class Caller(NamedTuple):
@@ -32,10 +32,10 @@
         return self.account == account or is_shared
 
 
-ANYONE = Caller()
+ANONYMOUS = Caller()
 
 
-class BarCode(StrEnum):
+class CallRejectionCode(StrEnum):
     """Why a call goes no further."""
 
     NO_DOCUMENT = "no_document"
@@ -47,47 +47,47 @@
 
 
 @distinct
-class Barred(NamedTuple):
+class CallRejected(NamedTuple):
     """The call goes no further; nothing was done."""
 
-    code: BarCode
+    code: CallRejectionCode
 
 
 @distinct
-class Taken(NamedTuple):
+class JobAccepted(NamedTuple):
     """The job is stored, now or before."""
 
 
 @distinct
-class NotTaken(NamedTuple):
+class JobNotAccepted(NamedTuple):
     """The job was not stored and never will be; come back after ``retry``."""
 
     code: str
-    retry: timedelta = COME_BACK
+    retry: timedelta = DEFAULT_RETRY_DELAY
 
 
 @distinct
-class Unsettled(NamedTuple):
+class JobUnconfirmed(NamedTuple):
     """The job may have been stored, or may yet be."""
 
     code: str
 
 
 @distinct
-class Told(NamedTuple):
+class JobStateFound(NamedTuple):
     """The state of a job."""
 
-    state: QueuedState
+    state: QueueJobState
 
 
 @distinct
-class NoJob(NamedTuple):
+class JobNotFound(NamedTuple):
     """There is no such job."""
 
 
 @distinct
-class Untold(NamedTuple):
+class JobStateUnavailable(NamedTuple):
     """Nobody who knows could be asked."""
 
     code: str
-    retry: timedelta = COME_BACK
+    retry: timedelta = DEFAULT_RETRY_DELAY
--- a/src/damaskdeck/protocol/relays.py
+++ b/src/damaskdeck/protocol/configurationmessages.py
@@ -5,7 +5,7 @@
 from damaskdeck.protocol.messages import message
 
 
-class RelayedEntry(TypedDict):
+class ConfigurationEntry(TypedDict):
     """A key of the store as of ``revision``; no ``value``: it was deleted."""
 
     key: str
@@ -19,18 +19,18 @@
 
     base: int
     revision: int
-    entries: list[RelayedEntry]
+    entries: list[ConfigurationEntry]
 
 
 @message("configuration/accepted")
 class ConfigurationAccepted(TypedDict):
     """A write that the store has just accepted from the sender."""
 
-    entry: RelayedEntry
+    entry: ConfigurationEntry
 
 
 @message("configuration/pull", reply="configuration/reply")
-class ConfigurationPull(TypedDict):
+class PullConfiguration(TypedDict):
     """Asks for what came after ``revision``.
 
     ``after`` is the last key of the part of a snapshot that has come.
@@ -41,7 +41,7 @@
 
 
 @message("configuration/reply")
-class ConfigurationReply(TypedDict):
+class PullConfigurationReply(TypedDict):
     """Answers a pull: the changes asked for, or a part of a whole snapshot.
 
     ``more`` tells that further parts follow; ask with the last key. ``ahead``
@@ -49,14 +49,14 @@
     """
 
     revision: int
-    entries: list[RelayedEntry]
+    entries: list[ConfigurationEntry]
     is_snapshot: NotRequired[bool]
     more: NotRequired[bool]
-    ahead: NotRequired[list[RelayedEntry]]
+    ahead: NotRequired[list[ConfigurationEntry]]
 
 
 @message("configuration/ask", reply="configuration/report")
-class ConfigurationAsk(TypedDict):
+class ReadConfigurationReport(TypedDict):
     """Asks for the receiver's report."""
 
 
--- a/src/damaskdeck/protocol/replies.py
+++ b/src/damaskdeck/protocol/conversions.py
@@ -20,7 +20,7 @@
 }
 
 
-def show_outcome(outcome: Outcome) -> OutcomeData:
+def build_outcome_data(outcome: Outcome) -> OutcomeData:
     """Turn an outcome into data."""
     data = OutcomeData(kind=type(outcome).__name__.lower())
     if isinstance(outcome, Completed):
@@ -34,7 +34,7 @@
     return data
 
 
-def read_outcome(data: OutcomeData) -> Outcome:
+def parse_outcome(data: OutcomeData) -> Outcome:
     """Turn data into an outcome; a kind not known here counts as unknown."""
     kind = _KINDS.get(data["kind"])
     if kind is Completed:
@@ -49,7 +49,7 @@
     return Unknown(code or "answer_lost", detail)
 
 
-def show_job(view: JobView) -> JobData:
+def build_job_data(view: JobView) -> JobData:
     """Turn a view of a job into data."""
     return JobData(
         name=view.name,
@@ -65,7 +65,7 @@
     )
 
 
-def read_job(data: JobData) -> JobView:
+def parse_job(data: JobData) -> JobView:
     """Turn data into a view of a job."""
     return JobView(
         name=data["name"],
@@ -81,23 +81,23 @@
     )
 
 
-def show_reply(answer: JobView | Refused | Unknown) -> JobReply:
+def build_job_reply(answer: JobView | Refused | Unknown) -> JobReply:
     """Turn an answer about a job into a message."""
     if isinstance(answer, JobView):
-        return JobReply(job=show_job(answer))
-    return JobReply(outcome=show_outcome(answer))
+        return JobReply(job=build_job_data(answer))
+    return JobReply(outcome=build_outcome_data(answer))
 
 
-def read_reply(reply: JobReply) -> JobView | Refused | Unknown:
+def parse_job_reply(reply: JobReply) -> JobView | Refused | Unknown:
     """Turn a message into an answer about a job."""
     if "job" in reply:
-        return read_job(reply["job"])
-    return read_refusal(reply)
+        return parse_job(reply["job"])
+    return parse_refusal(reply)
 
 
-def read_refusal(reply: JobReply | JobsReply | KeyReply) -> Refused | Unknown:
+def parse_refusal(reply: JobReply | JobsReply | KeyReply) -> Refused | Unknown:
     """Return why a keeper's reply has no result."""
-    outcome = read_outcome(reply["outcome"]) if "outcome" in reply else None
+    outcome = parse_outcome(reply["outcome"]) if "outcome" in reply else None
     if isinstance(outcome, Refused | Unknown):
         return outcome
     return Unknown("answer_lost", "a keeper's answer made no sense")
--- a/src/damaskdeck/protocol/forwarding.py
+++ b/src/damaskdeck/protocol/forwarding.py
@@ -7,7 +7,7 @@
 from damaskdeck.protocol.quantities import Count, Seconds, SignedSeconds
 
 
-class Load(TypedDict):
+class ServiceLoad(TypedDict):
     """How busy a daemon's own targets of one service are.
 
     ``service_time`` is the mean time in a slot, in seconds; ``targets`` and
@@ -44,17 +44,17 @@
 
 
 @message("forward_outcome")
-class ForwardOutcome(TypedDict):
+class ForwardRequestReply(TypedDict):
     """What became of a forwarded request; ``load`` is the owner's at the reply."""
 
     identifier: str
     attempt: Count
     outcome: OutcomeData
-    load: NotRequired[Load]
+    load: NotRequired[ServiceLoad]
 
 
 @message("cancel_forward")
-class CancelForward(TypedDict):
+class CancelForwardedRequest(TypedDict):
     """The caller of a forwarded request has gone; its queue place is free."""
 
     identifier: str
@@ -62,7 +62,7 @@
 
 
 @message("requests_waiting")
-class RequestsWaiting(TypedDict):
+class ReportWaitingRequests(TypedDict):
     """The sender has no free slot for ``count`` requests of a service."""
 
     service: str
@@ -70,7 +70,7 @@
 
 
 @message("slots_offered")
-class SlotsOffered(TypedDict):
+class OfferSlots(TypedDict):
     """The sender can take ``count`` requests of a service; nothing is reserved."""
 
     service: str
@@ -86,7 +86,7 @@
 
 
 @message("slots_read")
-class SlotsRead(TypedDict):
+class ReadSlotsReply(TypedDict):
     """Slots that an earlier owner's requests may still fill.
 
     ``epoch`` is the last one at which the sender was the owner, 0 if never;
--- a/src/damaskdeck/protocol/handlers.py
+++ b/src/damaskdeck/protocol/handlers.py
@@ -117,23 +117,23 @@
 
 
 @distinct
-class Claimed(NamedTuple):
+class ClaimedKey(NamedTuple):
     """A key was used for the first time and is durable; run the request now."""
 
 
 @distinct
-class Known(NamedTuple):
+class KnownKey(NamedTuple):
     """A key was used before; this is what became of its request."""
 
     outcome: Outcome
 
 
-class KeyMemory(Protocol):
+class IdempotencyKeys(Protocol):
     """Remembers idempotency keys of requests durably, in the team's ledger."""
 
     async def claim_key(
         self, team: str, service: str, key: str, digest: bytes, timeout: timedelta
-    ) -> Claimed | Known | Refused | Unknown:
+    ) -> ClaimedKey | KnownKey | Refused | Unknown:
         """Claim a key before its request is sent anywhere.
 
         :param digest: of the request; another one under the same key is
--- a/src/damaskdeck/protocol/jobs.py
+++ b/src/damaskdeck/protocol/jobs.py
@@ -157,7 +157,7 @@
     count: Count
 
 
-class Request(TypedDict):
+class ReservationRequest(TypedDict):
     """Room asked for an attempt, wherever its owner finds it best.
 
     ``avoid`` names workers that it failed on; with ``is_pressed`` the owner may
@@ -186,7 +186,7 @@
 
     ledger: str
     epoch: Count
-    tasks: list[Request]
+    tasks: list[ReservationRequest]
 
 
 class Refusal(TypedDict):
@@ -197,7 +197,7 @@
     code: str
 
 
-class Grant(TypedDict):
+class ReservationGrant(TypedDict):
     """Room that is held for an attempt; ``epoch`` is that of the worker's owner."""
 
     task: str
@@ -207,14 +207,14 @@
 
 
 @message("tasks_reserved")
-class TasksReserved(TypedDict):
+class ReserveTasksReply(TypedDict):
     """What was granted and what not."""
 
-    granted: list[Grant]
+    granted: list[ReservationGrant]
     refused: list[Refusal]
 
 
-class Start(TaskAttempt):
+class TaskToStart(TaskAttempt):
     """A task to start in the room reserved for it; sent once for each attempt."""
 
     payload: bytes
@@ -223,15 +223,15 @@
 
 @message("start_tasks", reply="tasks_taken")
 class StartTasks(TypedDict):
-    """Start tasks; answered by :class:`TasksTaken`."""
+    """Start tasks; answered by :class:`TaskOrdersReply`."""
 
     ledger: str
     epoch: Count
-    tasks: list[Start]
+    tasks: list[TaskToStart]
 
 
 @message("tasks_taken")
-class TasksTaken(TypedDict):
+class TaskOrdersReply(TypedDict):
     """The rest was taken and will be reported; refused ones never started."""
 
     refused: list[Refusal]
@@ -261,7 +261,7 @@
 
 @message("check_tasks", reply="task_reports")
 class CheckTasks(TypedDict):
-    """Tell what became of attempts; answered by :class:`TaskReports`."""
+    """Tell what became of attempts; answered by :class:`TaskUpdates`."""
 
     ledger: str
     epoch: Count
@@ -271,7 +271,7 @@
 # Owner of workers to keeper -----------------------------------------------------
 
 
-class TaskNews(TypedDict):
+class TaskUpdate(TypedDict):
     """What is known of an attempt.
 
     ``state`` is ``running``, ``succeeded``, ``failed``, ``stopped`` or
@@ -290,15 +290,15 @@
 
 
 @message("task_reports", reply="tasks_noted")
-class TaskReports(TypedDict):
-    """News of tasks of one ledger; answered by :class:`TasksNoted`."""
+class TaskUpdates(TypedDict):
+    """News of tasks of one ledger; answered by :class:`TaskUpdatesReply`."""
 
     ledger: str
-    tasks: list[TaskNews]
+    tasks: list[TaskUpdate]
 
 
 @message("tasks_noted")
-class TasksNoted(TypedDict):
+class TaskUpdatesReply(TypedDict):
     """News that are durable now, and attempts that must not run."""
 
     noted: list[TaskAttempt]
--- a/src/damaskdeck/protocol/members.py
+++ b/src/damaskdeck/protocol/members.py
@@ -73,29 +73,29 @@
     (``worker/rack-1-w7``).
     """
 
-    def get_epoch(self, thing: str) -> int | None:
-        """Return the epoch when this daemon may decide about ``thing`` now.
+    def get_epoch(self, shard: str) -> int | None:
+        """Return the epoch when this daemon may decide about ``shard`` now.
 
         Checks the lease by the monotonic clock at each call.
         """
 
-    def find_owner(self, thing: str) -> Owner | None:
-        """Return the last known owner of ``thing``, in whatever zone."""
+    def find_owner(self, shard: str) -> Owner | None:
+        """Return the last known owner of ``shard``, in whatever zone."""
 
-    def list_held(self, scope: str) -> tuple[str, ...]:
+    def list_owned(self, scope: str) -> tuple[str, ...]:
         """List the things of ``scope`` that this daemon may decide about."""
 
-    def set_things(self, scope: str, names: tuple[str, ...]) -> None:
+    def set_shards(self, scope: str, names: tuple[str, ...]) -> None:
         """Say which things of ``scope`` exist and need an owner."""
 
     def on_gain(self, scope: str, handler: OwnershipHandler) -> None:
-        """Call ``handler(thing, epoch)`` once a thing of ``scope`` was gained.
+        """Call ``handler(shard, epoch)`` once a shard of ``scope`` was gained.
 
         Until it returns, :meth:`get_epoch` still says ``None``.
         """
 
     def on_loss(self, scope: str, handler: OwnershipHandler) -> None:
-        """Call ``handler(thing, epoch)`` when a thing is lost or handed over.
+        """Call ``handler(shard, epoch)`` when a thing is lost or handed over.
 
         At a handover it runs before the successor may decide.
         """
--- a/src/damaskdeck/protocol/observations.py
+++ b/src/damaskdeck/protocol/observations.py
@@ -6,7 +6,7 @@
 
 
 @message("list_observed", reply="observed")
-class ListObserved(TypedDict):
+class ListObservedResources(TypedDict):
     """Asks for the resources of ``kind`` that the receiver decides about."""
 
     kind: str
@@ -30,7 +30,7 @@
 
 
 @message("observed")
-class Observed(TypedDict):
+class ListObservedReply(TypedDict):
     """The resources asked for, as the API shows them."""
 
     items: list[ObservedItem]
--- a/src/damaskdeck/protocol/poolcalls.py
+++ b/src/damaskdeck/protocol/poolmessages.py
@@ -7,14 +7,14 @@
 
 
 @message("pool.submitted")
-class Submitted(TypedDict):
+class AnnounceJob(TypedDict):
     """A job has been stored; ``record`` is as stored."""
 
     record: bytes
 
 
 @message("pool.state")
-class StateReply(TypedDict):
+class JobStateReply(TypedDict):
     """What the owner knows of a job; an empty state is not to be believed.
 
     :ivar epoch: of the owner, 0 from a daemon that owns nothing.
@@ -26,7 +26,7 @@
     is_hidden: NotRequired[bool]
 
 
-class _Asked(TypedDict):
+class _JobRequest(TypedDict):
     """A job, and for whom it is asked: account and queue of the caller."""
 
     job: str
@@ -35,17 +35,17 @@
 
 
 @message("pool.ask_state", reply="pool.state")
-class AskState(_Asked):
+class ReadJobState(_JobRequest):
     """Ask for the state of a job."""
 
 
 @message("pool.cancel", reply="pool.state")
-class AskCancel(_Asked):
+class CancelPoolJob(_JobRequest):
     """Cancel a job; the reply comes once that is durable."""
 
 
 @message("pool.waiting")
-class WaitingReply(TypedDict):
+class CountWaitingJobsReply(TypedDict):
     """How many jobs of a queue have started nothing; ``epoch`` as above."""
 
     epoch: Count
@@ -53,14 +53,14 @@
 
 
 @message("pool.ask_waiting", reply="pool.waiting")
-class AskWaiting(TypedDict):
+class CountWaitingJobs(TypedDict):
     """Ask how many jobs of a queue have started nothing."""
 
     queue: str
 
 
 @message("pool.advice")
-class AdviceReply(TypedDict):
+class GetAdviceReply(TypedDict):
     """Worker and ticket of each consent.
 
     :ivar code: why there is no answer, or an empty string.
@@ -71,7 +71,7 @@
 
 
 @message("pool.ask_advice", reply="pool.advice")
-class AskAdvice(TypedDict):
+class GetAdvice(TypedDict):
     """Ask the advisor from the receiver's instance.
 
     :ivar timeout: in milliseconds.
@@ -83,7 +83,7 @@
 
 
 @message("pool.taken")
-class TakeReply(TypedDict):
+class StoreJobReply(TypedDict):
     """What became of a job that was passed on.
 
     :ivar outcome: ``taken``, ``not_taken`` or ``unsettled``.
@@ -95,7 +95,7 @@
 
 
 @message("pool.take", reply="pool.taken")
-class TakeJob(TypedDict):
+class StoreJob(TypedDict):
     """Store a job for a daemon that the store doesn't answer.
 
     :ivar record: the record; its epoch and time are the receiver's to fill in.
@@ -108,7 +108,7 @@
 
 
 @message("pool.told")
-class ToldReply(TypedDict):
+class DelegateJobOperationReply(TypedDict):
     """What a daemon tells of a job on behalf of another.
 
     :ivar answer: ``state``, ``no_job`` or ``untold``.
@@ -120,14 +120,14 @@
 
 
 @message("pool.ask_for", reply="pool.told")
-class AskFor(_Asked):
+class DelegateJobOperation(_JobRequest):
     """Tell the state of a job, or cancel it, for a daemon without the store."""
 
     wish: Literal["state", "cancel"]
 
 
 @message("pool.heard")
-class HeardReply(TypedDict):
+class CheckOwnerReply(TypedDict):
     """Whether a daemon hears the owner of an epoch.
 
     :ivar hears: it answered lately, or another owner has been seen since.
@@ -137,14 +137,14 @@
 
 
 @message("pool.ask_heard", reply="pool.heard")
-class AskHeard(TypedDict):
+class CheckOwner(TypedDict):
     """Ask whether the owner of an epoch is heard."""
 
     epoch: Count
 
 
 @message("pool.beat")
-class BeatReply(TypedDict):
+class HeartbeatReply(TypedDict):
     """The epoch that a daemon owns the pools under, 0 if it doesn't."""
 
     epoch: Count
@@ -152,14 +152,14 @@
 
 
 @message("pool.ask_beat", reply="pool.beat")
-class AskBeat(TypedDict):
+class RequestHeartbeat(TypedDict):
     """Ask the owner for a sign of life."""
 
     epoch: Count
 
 
 @message("pool.room")
-class TellRoom(TypedDict):
+class ReportCapacity(TypedDict):
     """Free room of the workers that get orders, as the owner knows it.
 
     :ivar epoch: of the owner.
@@ -171,7 +171,7 @@
 
 
 @message("pool.stand")
-class StandFor(TypedDict):
+class RequestTakeover(TypedDict):
     """Nobody hears the owner of that epoch; the receiver should succeed it.
 
     :ivar absent: daemons that did not answer when they were asked.
@@ -182,7 +182,7 @@
 
 
 @message("pool.relayed")
-class RelayedReply(TypedDict):
+class DelegateCommitReply(TypedDict):
     """What became of a commit that was passed on.
 
     :ivar code: why, where it was rejected or its answer was lost.
@@ -197,7 +197,7 @@
 
 
 @message("pool.relay", reply="pool.relayed")
-class RelayCommit(TypedDict):
+class DelegateCommit(TypedDict):
     """Make a commit for an owner that the store turns away.
 
     :ivar transaction: a :class:`~damaskdeck.protocol.transactions.Transaction`.
--- a/src/damaskdeck/protocol/pools.py
+++ b/src/damaskdeck/protocol/pools.py
@@ -8,10 +8,10 @@
 from enum import StrEnum
 from typing import NamedTuple, Protocol
 
-from damaskdeck.protocol.ports import Entry, Lost, Rejected, TooOld
+from damaskdeck.protocol.ports import Entry, Lost, Rejected, RevisionTooOld
 from damaskdeck.protocol.queues import QueueTable, TaskName
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.protocol.transactions import TooLong
+from damaskdeck.protocol.transactions import ReplyTooLarge
 from damaskdeck.protocol.values import distinct
 
 
@@ -97,7 +97,7 @@
 
 
 @distinct
-class Contents(NamedTuple):
+class WorkerTasks(NamedTuple):
     """All that a worker runs, and the ends that were not observed."""
 
     clock: timedelta
@@ -149,14 +149,14 @@
     ) -> StartResult:
         """Stop a run; one that is not there yet never starts there."""
 
-    async def hold(
+    async def poll(
         self,
         worker: PoolWorker,
         epoch: int,
         observed: int,
         deadline: timedelta | None,
         wait: timedelta,
-    ) -> Contents | Declined | Replaced | Rejected | Lost:
+    ) -> WorkerTasks | Declined | Replaced | Rejected | Lost:
         """Extend the lease to ``deadline`` on the worker's clock; list its tasks.
 
         :param observed: ends up to this number are forgotten.
@@ -188,7 +188,7 @@
 
 
 @distinct
-class Registered(NamedTuple):
+class RegisteredWorkers(NamedTuple):
     """All workers as registered, and the revision to follow from.
 
     :param revisions: of each worker's registration, in the same order.
@@ -221,17 +221,17 @@
 class WorkerRegistry(Protocol):
     """Where workers register themselves; it lags, and forgets silent ones."""
 
-    async def list_workers(self) -> Registered | Rejected | Lost:
+    async def list_workers(self) -> RegisteredWorkers | Rejected | Lost:
         """Read all workers."""
 
     async def follow_workers(
         self, revision: int, wait: timedelta
-    ) -> RegistryChanges | TooOld | Rejected | Lost:
+    ) -> RegistryChanges | RevisionTooOld | Rejected | Lost:
         """Return the changes after ``revision``, waiting up to ``wait`` for one."""
 
 
 @distinct
-class Declared(NamedTuple):
+class DeclaredQueues(NamedTuple):
     """The declared queues as of the store's ``revision``; ``None`` before any.
 
     :param document: revision of the document itself, 0 where it isn't told.
@@ -252,7 +252,7 @@
 
     key: str
 
-    async def read_queues(self, known: int = 0) -> Declared | Rejected | Lost:
+    async def read_queues(self, known: int = 0) -> DeclaredQueues | Rejected | Lost:
         """Read the newest document; the answer is linearizable.
 
         :param known: revision of a document whose table isn't asked for again.
@@ -260,12 +260,12 @@
 
     async def follow_queues(
         self, revision: int, wait: timedelta
-    ) -> Declared | TooOld | TooLong | Rejected | Lost:
+    ) -> DeclaredQueues | RevisionTooOld | ReplyTooLarge | Rejected | Lost:
         """Return the newest document after ``revision``, waiting for one.
 
         The table is ``None`` when nothing has changed; a wide document is left to
         be read.
         """
 
-    def decode(self, entry: Entry) -> Declared:
+    def decode(self, entry: Entry) -> DeclaredQueues:
         """Return what the document's entry says, as a refused commit shows it."""
--- a/src/damaskdeck/protocol/ports.py
+++ b/src/damaskdeck/protocol/ports.py
@@ -122,7 +122,7 @@
 
 
 @distinct
-class TooOld(NamedTuple):
+class RevisionTooOld(NamedTuple):
     """The asked revision is no longer kept; list again."""
 
     oldest: int
@@ -166,7 +166,7 @@
 
     async def watch(
         self, prefix: str, revision: int, wait: timedelta
-    ) -> Events | TooOld | Rejected | Lost:
+    ) -> Events | RevisionTooOld | Rejected | Lost:
         """Return the changes after ``revision``, waiting up to ``wait`` for one."""
 
 
--- a/src/damaskdeck/protocol/queues.py
+++ b/src/damaskdeck/protocol/queues.py
@@ -4,21 +4,21 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from damaskdeck.protocol.accounts import NO_ACCOUNTS, ClientAccounts
+from damaskdeck.protocol.clientaccounts import NO_ACCOUNTS, ClientAccounts
 from damaskdeck.protocol.sizes import ZERO_SIZE, Size
 
 
-class AdviceTerms(NamedTuple):
+class AdvisorTiming(NamedTuple):
     """What a call to the advisor costs on a queue that needs its consent.
 
     :param base: time of a call that names no worker.
-    :param each: more for each worker named.
-    :param validity: how long a ticket is accepted.
+    :param per_worker: more for each worker named.
+    :param ticket_validity: how long a ticket is accepted.
     """
 
     base: timedelta
-    each: timedelta
-    validity: timedelta
+    per_worker: timedelta
+    ticket_validity: timedelta
 
 
 class Queue(NamedTuple):
@@ -43,7 +43,7 @@
     attempts: int
     slack: float
     allowance: timedelta
-    advice: AdviceTerms | None = None
+    advice: AdvisorTiming | None = None
     is_public: bool = True
 
 
@@ -97,9 +97,9 @@
     :param label: a worker must carry it, or an empty string.
     :param near: the rack where the data lies, or an empty string.
     :param spread: at most so many tasks on one worker; 0 sets no limit.
-    :param is_lasting: tasks run until the job is cancelled.
+    :param is_long_running: tasks run until the job is cancelled.
     :param image: tasks of one image behave alike.
-    :param may_miss: so many tasks of a lasting step may be away by our doing.
+    :param max_missing: so many tasks of a lasting step may be away by our doing.
     """
 
     tasks: int
@@ -109,13 +109,13 @@
     is_gang: bool = False
     is_checkpointing: bool = False
     is_speculative: bool = False
-    is_lasting: bool = False
+    is_long_running: bool = False
     needs_one_rack: bool = False
     label: str = ""
     near: str = ""
     spread: int = 0
     image: str = ""
-    may_miss: int = 0
+    max_missing: int = 0
 
 
 class JobSpec(NamedTuple):
@@ -134,7 +134,7 @@
     interval: timedelta = timedelta()
 
 
-class QueuedState(StrEnum):
+class QueueJobState(StrEnum):
     """State of a job on a queue; the last three are final."""
 
     QUEUED = "queued"
@@ -145,7 +145,7 @@
 
 
 FINAL_STATES = frozenset(
-    {QueuedState.COMPLETED, QueuedState.FAILED, QueuedState.CANCELLED}
+    {QueueJobState.COMPLETED, QueueJobState.FAILED, QueueJobState.CANCELLED}
 )
 
 
--- a/src/damaskdeck/protocol/resources.py
+++ b/src/damaskdeck/protocol/resources.py
@@ -121,7 +121,7 @@
     status: NotRequired[dict[str, Any]]
 
 
-def read_size(spec: SizeSpec) -> Size:
+def parse_size(spec: SizeSpec) -> Size:
     """Turn an operator's size into exact units.
 
     :param spec: missing dimensions are zero.
@@ -133,7 +133,7 @@
     )
 
 
-def show_size(size: Size) -> SizeSpec:
+def format_size(size: Size) -> SizeSpec:
     """Turn exact units into an operator's size."""
     return SizeSpec(
         processors=size.millicores / 1000,
--- a/src/damaskdeck/protocol/sizes.py
+++ b/src/damaskdeck/protocol/sizes.py
@@ -29,7 +29,7 @@
     return Size(a[0] - b[0], a[1] - b[1], a[2] - b[2])
 
 
-def join_sizes(a: Size, b: Size) -> Size:
+def compute_max_size(a: Size, b: Size) -> Size:
     """Return the larger of both in every dimension."""
     return Size(max(a[0], b[0]), max(a[1], b[1]), max(a[2], b[2]))
 
@@ -39,7 +39,7 @@
     return need[0] <= room[0] and need[1] <= room[1] and need[2] <= room[2]
 
 
-def name_shortfall(need: Size, room: Size) -> str | None:
+def find_exceeded_dimension(need: Size, room: Size) -> str | None:
     """Return the name of the first dimension in which ``need`` exceeds ``room``."""
     for name, wanted, free in zip(Size._fields, need, room, strict=True):
         if wanted > free:
--- a/src/damaskdeck/protocol/transactions.py
+++ b/src/damaskdeck/protocol/transactions.py
@@ -1,7 +1,7 @@
 """The port to a store with transactions over several keys and paged lists.
 
 It answers with the values of :mod:`damaskdeck.protocol.ports`; what it adds are
-:class:`Mismatch`, :class:`Page`, :class:`Unchanged` and :class:`TooLong`.
+:class:`Mismatch`, :class:`Page`, :class:`Unchanged` and :class:`ReplyTooLarge`.
 """
 
 from datetime import timedelta
@@ -16,7 +16,7 @@
     Lost,
     Missing,
     Rejected,
-    TooOld,
+    RevisionTooOld,
     Written,
 )
 from damaskdeck.protocol.values import distinct
@@ -63,7 +63,7 @@
 
 
 @distinct
-class TooLong(NamedTuple):
+class ReplyTooLarge(NamedTuple):
     """There is an answer of that many bytes, which was not read.
 
     To a watch it says that there are changes, to a commit that nothing was changed.
@@ -114,20 +114,24 @@
         self,
         transaction: Transaction,
         timeout: timedelta | None = None,
-        longest: int | None = None,
-    ) -> CommitResult | TooLong:
+        max_reply_bytes: int | None = None,
+    ) -> CommitResult | ReplyTooLarge:
         """Change up to :attr:`entry_limit` keys; ``Lost`` may still take effect.
 
         :param timeout: how long to wait for the answer, if less than usual.
-        :param longest: bytes of an answer beyond which it isn't read.
+        :param max_reply_bytes: bytes of an answer beyond which it isn't read.
         """
 
     async def watch(
-        self, prefix: str, revision: int, wait: timedelta, longest: int | None = None
-    ) -> Events | TooOld | TooLong | Rejected | Lost:
+        self,
+        prefix: str,
+        revision: int,
+        wait: timedelta,
+        max_reply_bytes: int | None = None,
+    ) -> Events | RevisionTooOld | ReplyTooLarge | Rejected | Lost:
         """Return the changes after ``revision``, waiting up to ``wait`` for one.
 
-        :param longest: bytes of an answer beyond which it isn't read.
+        :param max_reply_bytes: bytes of an answer beyond which it isn't read.
         """
 
     async def grant_lease(self, ttl: timedelta) -> Granted | Rejected | Lost:
--- a/src/damaskdeck/state/watches.py
+++ b/src/damaskdeck/state/changehistory.py
@@ -11,7 +11,7 @@
 from damaskdeck.protocol.resources import Kind, Resource
 
 
-class Change(NamedTuple):
+class ResourceChange(NamedTuple):
     """A change of one declared resource.
 
     :param resource: as it is from ``revision`` on; ``None`` once deleted.
@@ -25,33 +25,33 @@
     previous: Resource | None = None
 
 
-class Changes(NamedTuple):
+class ResourceChanges(NamedTuple):
     """All changes after the asked revision and up to ``revision``; may be empty."""
 
-    changes: tuple[Change, ...]
+    changes: tuple[ResourceChange, ...]
     revision: int
 
 
-class Expired(NamedTuple):
+class HistoryExpired(NamedTuple):
     """The asked revision is no longer kept; list again."""
 
     oldest: int
 
 
-class Lagging(NamedTuple):
+class ReaderTooSlow(NamedTuple):
     """The reader is too slow; it may come back with ``revision``."""
 
     revision: int
 
 
-class History:
+class ChangeHistory:
     """Changes in order of revision; readers keep a cursor and cost no memory.
 
     :param limit: how many changes are kept.
     """
 
     def __init__(self, limit: int = defaults.HISTORY_LIMIT) -> None:
-        self._changes: deque[Change] = deque()
+        self._changes: deque[ResourceChange] = deque()
         self._limit = limit
         self._oldest = 0
         self._revision = 0
@@ -67,7 +67,7 @@
         """The lowest revision that a reader may start after."""
         return self._oldest
 
-    def record(self, changes: tuple[Change, ...], revision: int) -> None:
+    def record(self, changes: tuple[ResourceChange, ...], revision: int) -> None:
         """Append changes in order of revision, which are all up to ``revision``."""
         self._changes.extend(changes)
         while len(self._changes) > self._limit:
@@ -81,12 +81,12 @@
         self._oldest = self._revision = revision
         self._wake()
 
-    def read(self, after: int) -> Changes | Expired:
+    def read(self, after: int) -> ResourceChanges | HistoryExpired:
         """Return all changes after a revision."""
         if after < self._oldest:
-            return Expired(self._oldest)
+            return HistoryExpired(self._oldest)
         changes = tuple(islice(self._changes, self._find(after), None))
-        return Changes(changes, max(after, self._revision))
+        return ResourceChanges(changes, max(after, self._revision))
 
     async def wait(self, after: int, timeout: timedelta, clock: Clock) -> None:
         """Wait until there is more than ``after``, at most for ``timeout``."""
@@ -105,7 +105,7 @@
         self._changed = asyncio.Event()
 
 
-class Reader:
+class HistoryReader:
     """One watcher's place in the history.
 
     :param after: the revision that the watcher has already seen.
@@ -114,7 +114,7 @@
 
     def __init__(
         self,
-        history: History,
+        history: ChangeHistory,
         after: int,
         clock: Clock,
         lag_limit: int = defaults.READER_LAG_LIMIT,
@@ -125,7 +125,9 @@
         self._started = False
         self.revision = after
 
-    async def read(self, timeout: timedelta) -> Changes | Expired | Lagging:
+    async def read(
+        self, timeout: timedelta
+    ) -> ResourceChanges | HistoryExpired | ReaderTooSlow:
         """Return what came since the last call, waiting at most ``timeout``.
 
         The first call may return any number of kept changes; later ones only
@@ -134,10 +136,10 @@
         history = self._history
         await history.wait(self.revision, timeout, self._clock)
         found = history.read(self.revision)
-        if isinstance(found, Expired):
+        if isinstance(found, HistoryExpired):
             return found
         if self._started and len(found.changes) > self._lag_limit:
-            return Lagging(self.revision)
+            return ReaderTooSlow(self.revision)
         self._started = True
         self.revision = found.revision
         return found
--- a/src/damaskdeck/state/configuration.py
+++ b/src/damaskdeck/state/configuration.py
@@ -7,19 +7,19 @@
 from damaskdeck.protocol.handlers import ConfigurationHandler
 from damaskdeck.protocol.ports import Event
 from damaskdeck.protocol.resources import DECLARED_KINDS, Kind, Resource
+from damaskdeck.state.changehistory import ChangeHistory, ResourceChange
 from damaskdeck.state.versions import (
-    Version,
+    ResourceVersion,
     encode_version,
     make_key,
     read_version,
 )
-from damaskdeck.state.watches import Change, History
 
-PART = "configuration"
+COMPONENT = "configuration"
 
-_Versions = list[Version]  # Where the method of that name hides the type.
+_Versions = list[ResourceVersion]  # Where the method of that name hides the type.
 
-_log = get_logger(PART)
+_log = get_logger(COMPONENT)
 
 
 class Configuration:
@@ -35,12 +35,14 @@
     :param history: takes the changes of the base in order.
     """
 
-    def __init__(self, history: History | None = None) -> None:
-        self.history = history or History()
+    def __init__(self, history: ChangeHistory | None = None) -> None:
+        self.history = history or ChangeHistory()
         self._is_loaded = False
         self._revision = 0
-        self._base: dict[Kind, dict[str, Version]] = {k: {} for k in DECLARED_KINDS}
-        self._ahead: dict[tuple[Kind, str], Version] = {}
+        self._base: dict[Kind, dict[str, ResourceVersion]] = {
+            k: {} for k in DECLARED_KINDS
+        }
+        self._ahead: dict[tuple[Kind, str], ResourceVersion] = {}
         self._sorted: dict[Kind, tuple[Resource, ...]] = {}
         self._handlers: list[ConfigurationHandler] = []
 
@@ -108,7 +110,7 @@
         """
         if self._is_loaded and revision <= self._revision:
             if revision < self._revision:
-                count_drop(PART, "older_read")
+                count_drop(COMPONENT, "older_read")
             return revision == self._revision
         known = self._revision if self._is_loaded else -1
         listed = {event.key: event for event in events}
@@ -123,7 +125,7 @@
         self._notify(notices)
         return True
 
-    def apply_ahead(self, version: Version) -> None:
+    def apply_ahead(self, version: ResourceVersion) -> None:
         """Apply one version without knowing all those below it."""
         key = (version.kind, version.name)
         known = self._ahead.get(key) or self._base[version.kind].get(version.name)
@@ -146,14 +148,14 @@
         }
         held.update(k for k, v in self._ahead.items() if v.revision <= revision)
         return [
-            Version(kind, name, revision, None)
+            ResourceVersion(kind, name, revision, None)
             for kind, name in sorted(held)
             if make_key(kind, name) not in listed
         ]
 
     def _replace_all(
-        self, versions: Iterable[Version]
-    ) -> tuple[tuple[Change, ...], _Versions]:
+        self, versions: Iterable[ResourceVersion]
+    ) -> tuple[tuple[ResourceChange, ...], _Versions]:
         """Return the changes of the base and what is news to subscribers."""
         changes, notices = [], []
         for version in versions:
@@ -165,7 +167,7 @@
                 notices.append(version)
         return tuple(changes), notices
 
-    def _replace(self, version: Version) -> Change:
+    def _replace(self, version: ResourceVersion) -> ResourceChange:
         names = self._base[version.kind]
         previous = names.get(version.name)
         if version.resource is None:
@@ -173,9 +175,9 @@
         else:
             names[version.name] = version
         before = previous.resource if previous else None
-        return Change(*version, previous=before)
+        return ResourceChange(*version, previous=before)
 
-    def _settle(self, version: Version, is_change: bool) -> bool:
+    def _settle(self, version: ResourceVersion, is_change: bool) -> bool:
         """Drop what lay ahead of ``version``; return whether it is news."""
         self._sorted.pop(version.kind, None)
         key = (version.kind, version.name)
@@ -186,15 +188,15 @@
             del self._ahead[key]
         return ahead.revision < version.revision
 
-    def _notify(self, versions: Iterable[Version]) -> None:
+    def _notify(self, versions: Iterable[ResourceVersion]) -> None:
         for version in versions:
             for handler in self._handlers:
                 handler(version.kind, version.name, version.resource)
 
 
-def _read(event: Event) -> Version | None:
+def _read(event: Event) -> ResourceVersion | None:
     version = read_version(event)
     if version is None:
         _log.error("Ignored a value that can't be read.", key=event.key)
-        count_drop(PART, "invalid_value")
+        count_drop(COMPONENT, "invalid_value")
     return version
--- a/src/damaskdeck/state/work.py
+++ b/src/damaskdeck/state/jobmodel.py
@@ -86,7 +86,7 @@
         return bool(self.code) or self.cancelled
 
 
-class Key(NamedTuple):
+class IdempotencyKey(NamedTuple):
     """An idempotency key of a request.
 
     :param digest: of the request, to recognise another one under the same key.
--- a/src/damaskdeck/state/jobrecords.py
+++ b/src/damaskdeck/state/jobrecords.py
@@ -16,19 +16,19 @@
 
 T = TypeVar("T")
 
-ROOT = "damaskdeck/"
-CONTROL = f"{ROOT}control/"
-OWNER_KEY = f"{CONTROL}owner"
-LEAD_KEY = f"{CONTROL}lead"
-MEMBERS = f"{CONTROL}members/"
-FENCE_KEY = f"{ROOT}fence"
-ROSTER_KEY = f"{ROOT}roster"
-INBOX = f"{ROOT}inbox/"
-JOBS = f"{INBOX}jobs/"
-CANCELS = f"{INBOX}cancels/"
-PROGRESS = f"{ROOT}progress/"
-CORDONS_KEY = f"{ROOT}cordons"
-CEILINGS_KEY = f"{ROOT}ceilings"
+ROOT_PREFIX = "damaskdeck/"
+CONTROL_PREFIX = f"{ROOT_PREFIX}control/"
+OWNER_KEY = f"{CONTROL_PREFIX}owner"
+LEAD_KEY = f"{CONTROL_PREFIX}lead"
+MEMBERS_PREFIX = f"{CONTROL_PREFIX}members/"
+FENCE_KEY = f"{ROOT_PREFIX}fence"
+ROSTER_KEY = f"{ROOT_PREFIX}roster"
+INBOX_PREFIX = f"{ROOT_PREFIX}inbox/"
+JOBS_PREFIX = f"{INBOX_PREFIX}jobs/"
+CANCELS_PREFIX = f"{INBOX_PREFIX}cancels/"
+PROGRESS_PREFIX = f"{ROOT_PREFIX}progress/"
+CORDONS_KEY = f"{ROOT_PREFIX}cordons"
+CEILINGS_KEY = f"{ROOT_PREFIX}ceilings"
 
 _encoder = msgspec.msgpack.Encoder()
 
@@ -39,7 +39,7 @@
     :param epoch: rises with each owner; workers refuse a lower one.
     :param incarnation: of the owner's process; a new one proves the old one dead.
     :param is_released: the owner has handed over and orders nothing any more.
-    :param heir: who should take over first, once released.
+    :param successor: who should take over first, once released.
     :param fence: revision of the fence key when it was released, 0 if not known.
     """
 
@@ -47,7 +47,7 @@
     instance: str
     incarnation: str
     is_released: bool = False
-    heir: str = ""
+    successor: str = ""
     fence: int = 0
 
 
@@ -119,7 +119,7 @@
     :param queue: as declared when the job was taken.
     :param epoch: of the owner that the job was stored for: only that owner and
         later ones can have started it.
-    :param taken_at: seconds since 1970 by the clock of the daemon that took it.
+    :param accepted_at: seconds since 1970 by the clock of the daemon that took it.
     :param zones: availability zones whose workers alone may run it, until its
         progress names more; all where none is named.
     :param account: whose key handed it in, an empty string on a public queue.
@@ -129,7 +129,7 @@
     queue: Queue
     spec: JobSpec
     epoch: int
-    taken_at: float
+    accepted_at: float
     zones: tuple[str, ...] = ()
     account: str = ""
 
--- a/src/damaskdeck/state/jobs.py
+++ b/src/damaskdeck/state/jobtable.py
@@ -5,16 +5,16 @@
 from typing import Any
 
 from damaskdeck.state import records
-from damaskdeck.state.names import name_task
-from damaskdeck.state.work import (
+from damaskdeck.state.jobmodel import (
     FINAL_TASK_STATES,
+    IdempotencyKey,
     Job,
-    Key,
     KeyIndex,
     Task,
     TaskState,
     judge_job,
 )
+from damaskdeck.state.names import build_task_name
 
 REASON_LIMIT = 8
 
@@ -22,7 +22,7 @@
 class JobTable:
     """The jobs, tasks and keys of one ledger.
 
-    :func:`damaskdeck.state.changes.apply_record` changes it. Applying the same
+    :func:`damaskdeck.state.replay.apply_record` changes it. Applying the same
     records in the same order gives the same table, on whichever daemon: nothing
     here reads a clock or a random number.
     """
@@ -30,12 +30,12 @@
     def __init__(self) -> None:
         self.jobs: dict[str, Job] = {}
         self.tasks: dict[str, Task] = {}
-        self.keys: dict[KeyIndex, Key] = {}
-        self.forgotten: OrderedDict[str, None] = OrderedDict()
+        self.keys: dict[KeyIndex, IdempotencyKey] = {}
+        self.removed_jobs: OrderedDict[str, None] = OrderedDict()
         self.revision = 0
         self.touched: dict[str, None] = {}
 
-    def take_touched(self) -> tuple[str, ...]:
+    def take_changed_tasks(self) -> tuple[str, ...]:
         """Return the tasks changed since the last call, in order."""
         touched = tuple(self.touched)
         self.touched.clear()
@@ -44,7 +44,7 @@
     def list_tasks(self, job: Job) -> Iterator[Task]:
         """Yield the tasks of a job in order."""
         for index in range(job.spec.get("tasks", 1)):
-            task = self.tasks.get(name_task(job.name, index))
+            task = self.tasks.get(build_task_name(job.name, index))
             if task is not None:
                 yield task
 
@@ -59,19 +59,19 @@
 
     def snapshot(self) -> Iterator[bytes]:
         """Yield records that rebuild this table."""
-        for name in self.forgotten:
-            forgotten = records.Forgotten(jobs=[name], keys=[])
-            yield records.encode_record(forgotten, records.Forgotten)
+        for name in self.removed_jobs:
+            removed_jobs = records.RemovedJobs(jobs=[name], keys=[])
+            yield records.encode_record(removed_jobs, records.RemovedJobs)
         for index, key in self.keys.items():
-            yield records.encode_record(_image_key(index, key), records.KeyImage)
+            yield records.encode_record(_image_key(index, key), records.KeySnapshot)
         for job in self.jobs.values():
-            image = records.JobImage(fields=job._asdict())
-            yield records.encode_record(image, records.JobImage)
+            image = records.JobSnapshot(fields=job._asdict())
+            yield records.encode_record(image, records.JobSnapshot)
         for task in self.tasks.values():
             if task == Task(task.name, task.job):
                 continue
-            image = records.TaskImage(fields=task._asdict())
-            yield records.encode_record(image, records.TaskImage)
+            image = records.TaskSnapshot(fields=task._asdict())
+            yield records.encode_record(image, records.TaskSnapshot)
 
     def change_job(self, job: Job, reason: str = "", **fields: Any) -> Job:
         """Replace fields of a job and remember why."""
@@ -114,9 +114,9 @@
         self.change_job(job, f"ended: {state}", state=state, code=code, ended=at)
 
 
-def _image_key(index: KeyIndex, key: Key) -> records.KeyImage:
+def _image_key(index: KeyIndex, key: IdempotencyKey) -> records.KeySnapshot:
     team, service, name = index
-    image = records.KeyImage(
+    image = records.KeySnapshot(
         team=team,
         service=service,
         key=name,
--- a/src/damaskdeck/state/names.py
+++ b/src/damaskdeck/state/names.py
@@ -8,20 +8,20 @@
 _SUFFIX_BYTES = 6
 
 
-def name_ledger(number: int) -> str:
+def format_ledger_name(number: int) -> str:
     """Name a ledger by its number from 0 on, as in ``03``."""
     return f"{number:02d}"
 
 
-def pick_ledger(team: str, count: int) -> str:
+def select_ledger(team: str, count: int) -> str:
     """Return the ledger of a team, as in ``03``.
 
     :param count: how many ledgers there are.
     """
-    return name_ledger(xxhash.xxh3_64_intdigest(team.encode()) % count)
+    return format_ledger_name(xxhash.xxh3_64_intdigest(team.encode()) % count)
 
 
-def name_job(workload: str, team: str, ledger: str, key: str) -> str:
+def build_job_name(workload: str, team: str, ledger: str, key: str) -> str:
     """Name a job; the same key of the same workload gives the same name."""
     if key:
         seed = "\0".join((team, workload, key)).encode()
@@ -32,12 +32,12 @@
     return f"{prefix}-{ledger}-{suffix}"
 
 
-def name_task(job: str, index: int) -> str:
+def build_task_name(job: str, index: int) -> str:
     """Name a task of a job."""
     return f"{job}-{index}"
 
 
-def read_ledger(job: str) -> str | None:
+def parse_ledger_name(job: str) -> str | None:
     """Return the ledger that a job's name tells, if it can be one."""
     parts = job.rsplit("-", 2)
     if len(parts) != 3 or not parts[1].isdecimal():
@@ -45,16 +45,16 @@
     return parts[1]
 
 
-def read_job(task: str) -> str:
+def parse_job_name(task: str) -> str:
     """Return the job of a task."""
     return task.rpartition("-")[0]
 
 
-def read_workload(task: str) -> str:
+def parse_workload_name(task: str) -> str:
     """Return the workload of a task, shortened if its name is long."""
-    return read_job(task).rsplit("-", 2)[0]
+    return parse_job_name(task).rsplit("-", 2)[0]
 
 
-def digest(payload: bytes) -> bytes:
+def compute_digest(payload: bytes) -> bytes:
     """Return a digest that tells payloads apart."""
     return xxhash.xxh3_128_digest(payload)
--- a/src/damaskdeck/state/board.py
+++ b/src/damaskdeck/state/pooljobs.py
@@ -10,7 +10,7 @@
 
 from damaskdeck.errors import MessageError
 from damaskdeck.protocol.queues import (
-    QueuedState,
+    QueueJobState,
     StepSpec,
     TaskName,
 )
@@ -64,12 +64,12 @@
     :ivar stopping_since: when it was first told to stop, ``None`` if never.
     :ivar stopped_at: when the worker first confirmed a stop; later ones don't count.
     :ivar percent: of its work, as last reported.
-    :ivar moved_at: when that percent last rose.
+    :ivar progressed_at: when that percent last rose.
     :ivar first_percent: as it was first reported, at ``first_at``.
     :ivar mark: percent and time that the next pace is taken from.
     :ivar pace: what it has gained lately, ``None`` while that isn't known.
     :ivar best_pace: the most percent in a second that it gained before.
-    :ivar is_found: an owner found it running, ``ordered_at`` tells when.
+    :ivar is_adopted: an owner found it running, ``ordered_at`` tells when.
     """
 
     __slots__ = (
@@ -78,9 +78,9 @@
         "checkpoint",
         "first_at",
         "first_percent",
-        "is_found",
+        "is_adopted",
         "mark",
-        "moved_at",
+        "progressed_at",
         "ordered_at",
         "pace",
         "percent",
@@ -98,7 +98,7 @@
         self.worker = worker
         self.attempt = attempt
         self.phase = RunPhase.ORDERED
-        self.ordered_at = self.settled_at = self.moved_at = now
+        self.ordered_at = self.settled_at = self.progressed_at = now
         self.stopping_since: float | None = None
         self.stop_sent_at: float | None = None
         self.stopped_at: float | None = None
@@ -109,9 +109,9 @@
         self.pace: Pace | None = None
         self.best_pace = 0.0
         self.checkpoint = ""
-        self.is_found = False
+        self.is_adopted = False
 
-    def note_percent(self, percent: int, now: float) -> None:
+    def record_progress(self, percent: int, now: float) -> None:
         """Take note of the progress that the worker tells."""
         if self.first_percent is None:
             self.first_percent, self.first_at = percent, now
@@ -124,7 +124,7 @@
             self.mark = percent, now
         if percent != self.percent:
             self.percent = percent
-            self.moved_at = now
+            self.progressed_at = now
 
 
 class Task:
@@ -169,7 +169,7 @@
     :ivar failures: the attempts that failed, by index; :data:`GANG` for a gang.
     :ivar crashes: the attempts whose workers crashed, by index.
     :ivar suspected: those of them that were the likely cause.
-    :ivar pinched_at: since when it has had no room where it runs best, ``None``
+    :ivar constrained_since: since when it has had no room where it runs best, ``None``
         if it has.
     :ivar not_before: monotonic seconds; a gang that could not start waits so long.
     """
@@ -185,7 +185,7 @@
         "not_before",
         "number",
         "occurrence",
-        "pinched_at",
+        "constrained_since",
         "spec",
         "tasks",
     )
@@ -199,7 +199,7 @@
         self.name = f"{job.identifier}.{occurrence}.{number}"
         self.spec = spec
         self.due_at = job.arrived_at
-        self.pinched_at: float | None = None
+        self.constrained_since: float | None = None
         self.completed = 0
         self.failures: dict[int, set[int]] = {}
         self.crashes: dict[int, set[int]] = {}
@@ -216,7 +216,7 @@
         return self.completed == len(self.tasks)
 
     @property
-    def is_suspect(self) -> bool:
+    def has_crashes(self) -> bool:
         """Whether workers have crashed under tasks of it."""
         return bool(self.crashes)
 
@@ -253,7 +253,7 @@
         attempts.add(attempt)
         return len(attempts)
 
-    def note_crash(self, task: Task, attempt: int, is_suspected: bool) -> None:
+    def record_crash(self, task: Task, attempt: int, is_suspected: bool) -> None:
         """Take note of an attempt that was lost as its worker crashed.
 
         Of a gang only the members that ran there: others end with them, but crash
@@ -269,13 +269,13 @@
         key = task.name.index
         return len(self.crashes.get(key, ())), len(self.suspected.get(key, ()))
 
-    def forget_crashes(self, task: Task) -> None:
+    def clear_crashes(self, task: Task) -> None:
         """Hold nothing against a task that has been at work."""
         key = task.name.index
         self.crashes.pop(key, None)
         self.suspected.pop(key, None)
 
-    def keep_checkpoint(self, task: Task, checkpoint: str) -> None:
+    def store_checkpoint(self, task: Task, checkpoint: str) -> None:
         """Remember a checkpoint; any member's is valid for its gang."""
         if checkpoint:
             for member in self.tasks if self.spec.is_gang else (task,):
@@ -326,10 +326,10 @@
 class Job:
     """A job with the steps of its occurrences.
 
-    :ivar shown: the state that callers may be told: final only once durable.
+    :ivar visible_state: the state that callers may be told: final only once durable.
     :ivar final: the final state, durable or not.
     :ivar arrived_at: monotonic seconds when it was taken, as far as known.
-    :ivar is_unsure: an earlier owner may have started some of its tasks on a
+    :ivar has_unconfirmed_runs: an earlier owner may have started some of its tasks on a
         worker that has not answered yet.
     :ivar zones: whose workers may run it, durably; all when empty.
     :ivar wider_zones: what those shall become, ``None`` when nothing is asked for.
@@ -340,13 +340,13 @@
         self.record = record
         self.queue = record.queue
         self.arrived_at = arrived_at
-        self.is_unsure = False
+        self.has_unconfirmed_runs = False
         self.zones = frozenset(record.zones)
         self.wider_zones: frozenset[str] | None = None
         self.has_started = False
-        self.final: QueuedState | None = None
+        self.final: QueueJobState | None = None
         self.final_at = 0.0
-        self.shown = QueuedState.QUEUED
+        self.visible_state = QueueJobState.QUEUED
         self.occurrences: dict[int, tuple[Step, ...]] = {}
         if not record.spec.repeats:
             self.open_occurrence(0)
@@ -374,7 +374,7 @@
         return self.occurrences[number]
 
     @property
-    def can_widen(self) -> bool:
+    def can_widen_zones(self) -> bool:
         """Whether it is confined, and not being let into more zones already."""
         return bool(self.zones) and self.wider_zones is None
 
@@ -397,7 +397,7 @@
         step = self.open_occurrence(name.occurrence)[name.step]
         return step.tasks[name.index] if 0 <= name.index < len(step.tasks) else None
 
-    def close(self, state: QueuedState, now: float) -> None:
+    def close(self, state: QueueJobState, now: float) -> None:
         """Take note of the final state; it may be shown once it is durable."""
         if self.final is None:
             self.final = state
@@ -409,15 +409,15 @@
         if len(self.occurrences) < expected:
             return False
         if all(step.is_completed for step in self.list_steps()):
-            self.close(QueuedState.COMPLETED, now)
+            self.close(QueueJobState.COMPLETED, now)
             return True
         return False
 
-    def note_start(self) -> None:
+    def record_start(self) -> None:
         """Take note that a task has started."""
         self.has_started = True
-        if self.shown is QueuedState.QUEUED:
-            self.shown = QueuedState.RUNNING
+        if self.visible_state is QueueJobState.QUEUED:
+            self.visible_state = QueueJobState.RUNNING
 
     def summarize(self) -> ProgressRecord:
         """Return what must last."""
@@ -444,10 +444,10 @@
         if progress.zones is not None:
             self.zones = frozenset(progress.zones)
         if progress.has_started:
-            self.note_start()
+            self.record_start()
         if progress.final:
-            self.close(QueuedState(progress.final), now)
-            self.shown = QueuedState(progress.final)
+            self.close(QueueJobState(progress.final), now)
+            self.visible_state = QueueJobState(progress.final)
 
     def _find_step(self, kept: StepProgress) -> Step:
         indexes = (*kept.completed, *kept.checkpoints) or (0,)
@@ -462,27 +462,27 @@
         return highest.step
 
 
-class Board:
+class JobIndex:
     """All jobs of an owner, by identifier."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, Job] = {}
-        self.open: dict[str, Job] = {}
+        self.open_jobs: dict[str, Job] = {}
 
     def add(self, job: Job) -> None:
         """Take a job in."""
         self.jobs[job.identifier] = job
         if not job.is_final:
-            self.open[job.identifier] = job
+            self.open_jobs[job.identifier] = job
 
     def close(self, job: Job) -> None:
         """Take a job off the open ones."""
-        self.open.pop(job.identifier, None)
+        self.open_jobs.pop(job.identifier, None)
 
     def remove(self, job: Job) -> None:
         """Forget a job."""
         self.jobs.pop(job.identifier, None)
-        self.open.pop(job.identifier, None)
+        self.open_jobs.pop(job.identifier, None)
 
     def find_task(self, name: TaskName) -> Task | None:
         """Return a task by its name."""
@@ -493,5 +493,5 @@
         """Count the open jobs of a queue of which nothing has started."""
         return sum(
             not job.has_started and job.queue.name == queue
-            for job in self.open.values()
+            for job in self.open_jobs.values()
         )
--- a/src/damaskdeck/state/quotas.py
+++ b/src/damaskdeck/state/quotas.py
@@ -106,7 +106,7 @@
         record.weight = weight
         self._update_claim(record)
 
-    def drop_team(self, team: str) -> None:
+    def remove_quota(self, team: str) -> None:
         """Take away a team's quota; what it still uses counts as borrowed."""
         self.set_quota(team, ZERO_SIZE)
 
@@ -117,7 +117,7 @@
             return TeamState(ZERO_SIZE, 1.0, ZERO_SIZE, ZERO_SIZE)
         return TeamState(record.quota, record.weight, record.use, record.wants[-1])
 
-    def read_use(self, team: str) -> tuple[Size, float]:
+    def get_usage(self, team: str) -> tuple[Size, float]:
         """Return what a team uses, and its weight."""
         record = self._get(team)
         return record.use, record.weight
@@ -147,19 +147,21 @@
         self._use = subtract_sizes(self._use, size)
         self._update_claim(record)
 
-    def add_want(self, team: str, size: Size, rank: int = PREEMPTING_RANKS) -> None:
+    def add_demand(self, team: str, size: Size, rank: int = PREEMPTING_RANKS) -> None:
         """Count ``size`` as wanted by waiting work of ``team``."""
         record = self._get(team)
         _add_up(record.wants, size, rank)
         self._update_claim(record)
 
-    def drop_want(self, team: str, size: Size, rank: int = PREEMPTING_RANKS) -> None:
+    def remove_demand(
+        self, team: str, size: Size, rank: int = PREEMPTING_RANKS
+    ) -> None:
         """Count ``size`` as no longer wanted."""
         record = self._get(team)
         _take_off(record.wants, size, rank, team)
         self._update_claim(record)
 
-    def charge_wanted(
+    def charge_demand(
         self, team: str, size: Size, rank: int = PREEMPTING_RANKS
     ) -> None:
         """Count ``size`` as used instead of wanted, as a waiting job starts."""
--- a/src/damaskdeck/state/records.py
+++ b/src/damaskdeck/state/records.py
@@ -95,7 +95,7 @@
     tasks: list[Attempt]
 
 
-class Return(TypedDict):
+class RequeuedAttempt(TypedDict):
     """An attempt is over and its task waits again.
 
     ``ran`` is false when it is proved that the attempt never started;
@@ -116,12 +116,12 @@
 class Requeued(TypedDict):
     """Tasks wait again for a worker, unless their job is being stopped."""
 
-    tasks: list[Return]
+    tasks: list[RequeuedAttempt]
     at: float
 
 
-class End(TypedDict):
-    """The final state of a task, as in :class:`~damaskdeck.state.jobs.Task`."""
+class TaskEnd(TypedDict):
+    """The final state of a task, as in :class:`~damaskdeck.state.jobtable.Task`."""
 
     task: str
     attempt: int
@@ -134,7 +134,7 @@
 class Ended(TypedDict):
     """Tasks ended for good."""
 
-    tasks: list[End]
+    tasks: list[TaskEnd]
     at: float
 
 
@@ -181,7 +181,7 @@
 
 
 @record("forgotten")
-class Forgotten(TypedDict):
+class RemovedJobs(TypedDict):
     """Jobs and keys are older than results are kept."""
 
     jobs: list[str]
@@ -189,21 +189,21 @@
 
 
 @record("job")
-class JobImage(TypedDict):
+class JobSnapshot(TypedDict):
     """A job in a snapshot, its fields by name."""
 
     fields: dict[str, Any]
 
 
 @record("task")
-class TaskImage(TypedDict):
+class TaskSnapshot(TypedDict):
     """A task in a snapshot, its fields by name."""
 
     fields: dict[str, Any]
 
 
 @record("key")
-class KeyImage(KeyName):
+class KeySnapshot(KeyName):
     """A key in a snapshot."""
 
     digest: bytes
--- a/src/damaskdeck/state/changes.py
+++ b/src/damaskdeck/state/replay.py
@@ -5,9 +5,9 @@
 
 from damaskdeck.protocol.handlers import FINAL_JOB_STATES, JobState
 from damaskdeck.state import records
-from damaskdeck.state.jobs import JobTable
-from damaskdeck.state.names import name_task, read_job
-from damaskdeck.state.work import Job, Key, Task, TaskState
+from damaskdeck.state.jobmodel import IdempotencyKey, Job, Task, TaskState
+from damaskdeck.state.jobtable import JobTable
+from damaskdeck.state.names import build_task_name, parse_job_name
 
 FORGOTTEN_LIMIT = 10_000
 AVOID_LIMIT = 8
@@ -56,7 +56,7 @@
     )
     table.jobs[job.name] = job
     for index in range(count):
-        name = name_task(job.name, index)
+        name = build_task_name(job.name, index)
         table.tasks[name] = Task(name, job.name)
     table.touch_job(job)
 
@@ -167,7 +167,7 @@
 def _claim(table: JobTable, value: records.KeyClaimed) -> None:
     index = (value["team"], value["service"], value["key"])
     if index not in table.keys:
-        table.keys[index] = Key(value["digest"], value["deadline"])
+        table.keys[index] = IdempotencyKey(value["digest"], value["deadline"])
 
 
 @applies(records.KeySettled)
@@ -178,36 +178,36 @@
         table.keys[index] = key._replace(outcome=value["outcome"])
 
 
-@applies(records.Forgotten)
-def _forget(table: JobTable, value: records.Forgotten) -> None:
+@applies(records.RemovedJobs)
+def _forget(table: JobTable, value: records.RemovedJobs) -> None:
     for name in value["jobs"]:
         job = table.jobs.pop(name, None)
         if job is not None:
             table.touch_job(job)
             for task in list(table.list_tasks(job)):
                 del table.tasks[task.name]
-        table.forgotten[name] = None
+        table.removed_jobs[name] = None
     for key in value["keys"]:
         table.keys.pop((key["team"], key["service"], key["key"]), None)
-    while len(table.forgotten) > FORGOTTEN_LIMIT:
-        table.forgotten.popitem(last=False)
+    while len(table.removed_jobs) > FORGOTTEN_LIMIT:
+        table.removed_jobs.popitem(last=False)
 
 
-@applies(records.JobImage)
-def _restore_job(table: JobTable, value: records.JobImage) -> None:
+@applies(records.JobSnapshot)
+def _restore_job(table: JobTable, value: records.JobSnapshot) -> None:
     fields = _keep_known(value["fields"], Job)
     fields["state"] = JobState(fields["state"])
     fields["reasons"] = tuple(fields["reasons"])
     job = table.jobs[fields["name"]] = Job(**fields)
     table.revision = max(table.revision, job.revision)
     for index in range(job.spec.get("tasks", 1)):
-        name = name_task(job.name, index)
+        name = build_task_name(job.name, index)
         table.tasks[name] = Task(name, job.name)
     table.touch_job(job)
 
 
-@applies(records.TaskImage)
-def _restore_task(table: JobTable, value: records.TaskImage) -> None:
+@applies(records.TaskSnapshot)
+def _restore_task(table: JobTable, value: records.TaskSnapshot) -> None:
     fields = _keep_known(value["fields"], Task)
     fields["state"] = TaskState(fields["state"])
     fields["avoid"] = tuple(fields["avoid"])
@@ -215,10 +215,12 @@
     table.touched[task.name] = None
 
 
-@applies(records.KeyImage)
-def _restore_key(table: JobTable, value: records.KeyImage) -> None:
+@applies(records.KeySnapshot)
+def _restore_key(table: JobTable, value: records.KeySnapshot) -> None:
     index = (value["team"], value["service"], value["key"])
-    table.keys[index] = Key(value["digest"], value["deadline"], value.get("outcome"))
+    table.keys[index] = IdempotencyKey(
+        value["digest"], value["deadline"], value.get("outcome")
+    )
 
 
 def _keep_known(fields: dict[str, Any], kind: Any) -> dict[str, Any]:
@@ -234,7 +236,7 @@
 
 
 def _give_up(table: JobTable, task: Task, code: str, at: float) -> None:
-    job = table.jobs[read_job(task.name)]
+    job = table.jobs[parse_job_name(task.name)]
     if not job.stopping:
         job = table.change_job(job, f"{task.name} ended: {code}", code=code)
         table.touch_job(job)
--- a/src/damaskdeck/state/versions.py
+++ b/src/damaskdeck/state/versions.py
@@ -15,8 +15,8 @@
     WorkloadSpec,
 )
 
-PREFIX = "config/"
-SPECS: dict[Kind, Any] = {
+CONFIG_PREFIX = "config/"
+SPEC_TYPES: dict[Kind, Any] = {
     Kind.TEAM: TeamSpec,
     Kind.WORKLOAD: WorkloadSpec,
     Kind.POLICY: PolicySpec,
@@ -42,7 +42,7 @@
 _decoder = msgspec.json.Decoder(StoredValue)
 
 
-class Version(NamedTuple):
+class ResourceVersion(NamedTuple):
     """A declared resource as of one revision of the store.
 
     :param resource: ``None`` when the revision deleted it.
@@ -56,12 +56,12 @@
 
 def make_key(kind: Kind, name: str) -> str:
     """Return the store's key of a declared resource."""
-    return f"{PREFIX}{kind.value}/{name}"
+    return f"{CONFIG_PREFIX}{kind.value}/{name}"
 
 
 def split_key(key: str) -> tuple[Kind, str] | None:
     """Return the kind and name of a key, if it is one of a declared resource."""
-    kind, _, name = key.removeprefix(PREFIX).partition("/")
+    kind, _, name = key.removeprefix(CONFIG_PREFIX).partition("/")
     if kind not in DECLARED_KINDS or not name:
         return None
     return Kind(kind), name
@@ -87,7 +87,7 @@
     return _encoder.encode(mark)
 
 
-def encode_version(version: Version) -> Event:
+def encode_version(version: ResourceVersion) -> Event:
     """Encode a version for a peer; without a value when it is a deletion."""
     key = make_key(version.kind, version.name)
     resource = version.resource
@@ -103,7 +103,7 @@
         return None
 
 
-def read_version(event: Event) -> Version | None:
+def read_version(event: Event) -> ResourceVersion | None:
     """Decode a change of a key; ``None`` when it holds no readable resource.
 
     Fields that only a newer daemon knows are no fault.
@@ -113,17 +113,17 @@
         return None
     kind, name = split
     if event.value is None:
-        return Version(kind, name, event.revision, None)
+        return ResourceVersion(kind, name, event.revision, None)
     stored = decode_value(event.value)
     if stored is None:
         return None
     if stored.deleted:
-        return Version(kind, name, event.revision, None)
+        return ResourceVersion(kind, name, event.revision, None)
     metadata = {**stored.metadata, "name": name, "revision": event.revision}
     resource = Resource(kind=kind.value, metadata=metadata, spec=stored.spec)
     try:
         msgspec.convert(resource, Resource)
-        msgspec.convert(stored.spec, SPECS[kind])
+        msgspec.convert(stored.spec, SPEC_TYPES[kind])
     except msgspec.ValidationError:
         return None
-    return Version(kind, name, event.revision, resource)
+    return ResourceVersion(kind, name, event.revision, resource)
--- a/src/damaskdeck/state/accounts.py
+++ b/src/damaskdeck/state/workeraccounts.py
@@ -13,8 +13,8 @@
     ZERO_SIZE,
     Size,
     add_sizes,
+    find_exceeded_dimension,
     fits,
-    name_shortfall,
     subtract_sizes,
 )
 
@@ -61,13 +61,13 @@
     worker: str
 
 
-class NoRoom(NamedTuple):
+class InsufficientCapacity(NamedTuple):
     """Not now: ``dimension`` is what lacks, as in ``memory``."""
 
     dimension: str
 
 
-class NoWorker(NamedTuple):
+class WorkerUnavailable(NamedTuple):
     """The worker isn't known here, or takes no new work because of ``code``."""
 
     code: str
@@ -86,10 +86,11 @@
 
 
 class WorkerAccount:
-    """One worker's account; only :class:`Accounts` changes it.
+    """One worker's account; only :class:`WorkerAccounts` changes it.
 
     :param instance: the worker as the platform lists it.
-    :param places: its zone, rack and name, as :meth:`Accounts.count_group` has them.
+    :param places: its zone, rack and name, as :meth:`WorkerAccounts.count_group`
+        has them.
     """
 
     __slots__ = (
@@ -117,7 +118,7 @@
 AccountHandler = Callable[[WorkerAccount, bool], None]
 
 
-class Accounts:
+class WorkerAccounts:
     """Reservations of tasks on the workers that this daemon owns.
 
     Promise: "No instance is given more work than its processors, memory, or
@@ -153,7 +154,7 @@
         for account in self._workers.values():
             handler(account, True)
 
-    def set_worker(self, instance: Instance) -> NoRoom | None:
+    def set_worker(self, instance: Instance) -> InsufficientCapacity | None:
         """Add a worker or take over what the platform now says of it.
 
         :returns: the dimension when it shrank below what is reserved on it; it
@@ -175,7 +176,7 @@
         elif is_leaving or account.closed in ("leaving", "shrunk"):
             account.closed = "leaving" if is_leaving else ""
         self._tell(account, True)
-        return NoRoom(shortfall) if shortfall else None
+        return InsufficientCapacity(shortfall) if shortfall else None
 
     def remove_worker(self, name: str) -> tuple[Reservation, ...]:
         """Forget a worker; returns the reservations that went with it."""
@@ -207,31 +208,33 @@
 
     def reserve(
         self, need: TaskNeed, worker: str, deadline: timedelta | None = None
-    ) -> Reserved | NoRoom | NoWorker | AlreadyReserved:
+    ) -> Reserved | InsufficientCapacity | WorkerUnavailable | AlreadyReserved:
         """Set aside a part of a worker for a task.
 
         :param deadline: makes it a hold, which :meth:`expire` ends then.
         """
         account = self._workers.get(worker)
         if account is None:
-            return NoWorker("unknown")
+            return WorkerUnavailable("unknown")
         holder = self._where.get(need.task)
         if holder is not None:
             return AlreadyReserved(holder.name)
         if account.closed:
-            return NoWorker(account.closed)
+            return WorkerUnavailable(account.closed)
         if not fits(need.size, account.free):
-            return NoRoom(name_shortfall(need.size, account.free) or "")
+            return InsufficientCapacity(
+                find_exceeded_dimension(need.size, account.free) or ""
+            )
         self._put(account, Reservation(need, worker, deadline))
         return Reserved(worker)
 
     def adopt(
         self, need: TaskNeed, worker: str
-    ) -> Reserved | NoRoom | NoWorker | AlreadyReserved:
+    ) -> Reserved | InsufficientCapacity | WorkerUnavailable | AlreadyReserved:
         """Reserve for a task already found running, on a closed worker too."""
         account = self._workers.get(worker)
         if account is None:
-            return NoWorker("unknown")
+            return WorkerUnavailable("unknown")
         code, account.closed = account.closed, ""
         try:
             return self.reserve(need, worker)
@@ -253,7 +256,7 @@
 
     def move(
         self, task: str, worker: str
-    ) -> Reserved | NoRoom | NoWorker | NoReservation:
+    ) -> Reserved | InsufficientCapacity | WorkerUnavailable | NoReservation:
         """Move a task's reservation to another worker, or leave it where it is."""
         held = self.find(task)
         if held is None:
@@ -266,7 +269,9 @@
             self._put(self._workers[held.worker], held)
         return outcome
 
-    def resize(self, task: str, size: Size) -> Reserved | NoRoom | NoReservation:
+    def resize(
+        self, task: str, size: Size
+    ) -> Reserved | InsufficientCapacity | NoReservation:
         """Change the size reserved for a task, as learnt from its use."""
         held = self.find(task)
         if held is None:
@@ -274,7 +279,7 @@
         account = self._where[task]
         room = add_sizes(account.free, held.need.size)
         if not fits(size, room):
-            return NoRoom(name_shortfall(size, room) or "")
+            return InsufficientCapacity(find_exceeded_dimension(size, room) or "")
         self._change_free(account, subtract_sizes(held.need.size, size))
         need = held.need._replace(size=size)
         account.reservations[task] = held._replace(need=need)
@@ -373,7 +378,7 @@
 
     def _resize_worker(self, account: WorkerAccount, size: Size) -> str | None:
         used = subtract_sizes(account.size, account.free)
-        shortfall = name_shortfall(used, size)
+        shortfall = find_exceeded_dimension(used, size)
         if shortfall is None and size != account.size:
             change = subtract_sizes(size, account.size)
             account.size = size
--- a/src/damaskdeck/transport/api/status.py
+++ b/src/damaskdeck/transport/api/status.py
@@ -15,7 +15,7 @@
     context = call.context
     configuration, relay = context.configuration, context.relay
     asked = read_number(call, "revision", 0)
-    in_force = await relay.ask_in_force(asked)
+    in_force = await relay.read_in_force(asked)
     told = {
         "revision": configuration.revision,
         "loaded": configuration.is_loaded,
--- a/src/damaskdeck/transport/api/streams.py
+++ b/src/damaskdeck/transport/api/streams.py
@@ -13,7 +13,13 @@
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_drop
 from damaskdeck.protocol.resources import Kind
-from damaskdeck.state.watches import Change, Changes, Expired, Lagging, Reader
+from damaskdeck.state.changehistory import (
+    HistoryExpired,
+    HistoryReader,
+    ReaderTooSlow,
+    ResourceChange,
+    ResourceChanges,
+)
 from damaskdeck.transport.api.polls import Selector
 from damaskdeck.transport.api.problems import ProblemError
 from damaskdeck.transport.api.routes import Context, wait_for_disconnect
@@ -108,21 +114,21 @@
     :raises ProblemError: ``too_old`` when the history doesn't reach so far back.
     """
     history = context.configuration.history
-    if isinstance(found := history.read(after), Expired):
+    if isinstance(found := history.read(after), HistoryExpired):
         raise ProblemError("too_old", oldest=found.oldest, revision=history.revision)
-    reader = Reader(history, after, context.clock)
+    reader = HistoryReader(history, after, context.clock)
     lines = list_lines(reader, kind, select, name)
     return LineStream(lines, context)
 
 
 async def list_lines(
-    reader: Reader, kind: Kind, select: Selector, name: str
+    reader: HistoryReader, kind: Kind, select: Selector, name: str
 ) -> AsyncGenerator[dict[str, Any], None]:
     """Yield the lines of a watch of one kind."""
     yield _bookmark(reader.revision)
     while True:
         found = await reader.read(BOOKMARK_INTERVAL)
-        if not isinstance(found, Changes):
+        if not isinstance(found, ResourceChanges):
             yield _describe_end(found)
             return
         for change in found.changes:
@@ -133,7 +139,7 @@
         yield _bookmark(found.revision)
 
 
-def _describe(change: Change, select: Selector) -> dict[str, Any] | None:
+def _describe(change: ResourceChange, select: Selector) -> dict[str, Any] | None:
     was = change.previous is not None and select(change.previous)
     if change.resource is not None and select(change.resource):
         return {"type": "MODIFIED" if was else "ADDED", "resource": change.resource}
@@ -147,8 +153,8 @@
     return {"type": "BOOKMARK", "revision": revision}
 
 
-def _describe_end(end: Expired | Lagging) -> dict[str, Any]:
-    if isinstance(end, Lagging):
+def _describe_end(end: HistoryExpired | ReaderTooSlow) -> dict[str, Any]:
+    if isinstance(end, ReaderTooSlow):
         problem = ProblemError("slow_reader", revision=end.revision)
     else:
         problem = ProblemError("too_old", oldest=end.oldest)
--- a/src/damaskdeck/transport/store.py
+++ b/src/damaskdeck/transport/store.py
@@ -24,7 +24,7 @@
     Lost,
     Missing,
     Rejected,
-    TooOld,
+    RevisionTooOld,
     Written,
 )
 from damaskdeck.transport.pool import BAD_ANSWER, HttpPool, Reply
@@ -108,7 +108,7 @@
 
     async def watch(
         self, prefix: str, revision: int, wait: timedelta
-    ) -> Events | TooOld | Rejected | Lost:
+    ) -> Events | RevisionTooOld | Rejected | Lost:
         """Return the changes after ``revision``, waiting up to ``wait`` for one."""
         count_store_call("watch")
         url = self._url(
@@ -194,8 +194,8 @@
     return Written(_read_revision(reply))
 
 
-def _read_events(reply: Reply) -> Events | TooOld:
+def _read_events(reply: Reply) -> Events | RevisionTooOld:
     if reply.status == 410:
-        return TooOld(_read_revision(reply))
+        return RevisionTooOld(_read_revision(reply))
     _expect(reply, 200)
     return _events.decode(reply.body)
--- a/src/standins/http.py
+++ b/src/standins/http.py
@@ -33,10 +33,10 @@
     Lost,
     Missing,
     Rejected,
+    RevisionTooOld,
     StartOrder,
     TargetAnswer,
     TargetCall,
-    TooOld,
     Written,
 )
 from standins.instances import MemoryInstanceList, Version
@@ -190,8 +190,8 @@
     return Response(status_code=410)
 
 
-@renders(TooOld)
-def _render_too_old(answer: TooOld) -> Response:
+@renders(RevisionTooOld)
+def _render_too_old(answer: RevisionTooOld) -> Response:
     return Response(status_code=410, headers={"x-revision": str(answer.oldest)})
 
 
--- a/src/standins/narrow.py
+++ b/src/standins/narrow.py
@@ -42,7 +42,7 @@
         path: str,
         timeout: timedelta,
         body: Any = None,
-        longest: int | None = None,
+        max_reply_bytes: int | None = None,
         within: timedelta | None = None,
         **options: Any,
     ) -> Reply | Oversized | Rejected | Lost:
@@ -55,19 +55,19 @@
             return Lost("timeout")
         try:
             async with asyncio.timeout(timeout.total_seconds()):
-                return await self._exchange(method, path, body, longest)
+                return await self._exchange(method, path, body, max_reply_bytes)
         except TimeoutError:
             return Lost("timeout")
 
     async def _exchange(
-        self, method: str, path: str, body: Any, longest: int | None
+        self, method: str, path: str, body: Any, max_reply_bytes: int | None
     ) -> Reply | Oversized:
         await self._clock.sleep(LATENCY)
         parts = urlsplit(path)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         status, answer = await self._store.answer(method, parts.path, query, {}, body)
         data = b"" if answer is None else json.dumps(answer).encode()
-        if longest is not None and len(data) > longest:
+        if max_reply_bytes is not None and len(data) > max_reply_bytes:
             return Oversized(status, len(data))
         await self._receive(len(data))
         return Reply(status, data)
--- a/src/standins/plane.py
+++ b/src/standins/plane.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from typing import Any, Self
 
-from damaskdeck.coordination.jobs.keeper import Keeper
+from damaskdeck.coordination.jobs.ledgerowner import LedgerOwner
 from damaskdeck.coordination.workers.fleet import Fleet
 from damaskdeck.coordination.workers.hosting import WorkerHost
 from damaskdeck.protocol.handlers import (
@@ -18,7 +18,7 @@
 from damaskdeck.protocol.members import Member, Owner, OwnershipHandler, Report
 from damaskdeck.protocol.resources import Kind, Resource
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.state.names import name_ledger
+from damaskdeck.state.names import format_ledger_name
 from standins.loops import LoopClock
 from standins.peers import PeerSwitch
 from standins.platform import Platform
@@ -33,23 +33,23 @@
         self.owners: dict[str, Owner] = {}
         self.daemons: dict[str, PlaneDaemon] = {}
 
-    async def grant(self, thing: str, name: str) -> None:
+    async def grant(self, shard: str, name: str) -> None:
         """Let a daemon own a thing under the next epoch."""
-        former = self.owners.get(thing)
+        former = self.owners.get(shard)
         epoch = former.epoch + 1 if former else 1
-        self.owners[thing] = Owner(name, epoch)
-        await self.daemons[name].ownership.gain(thing, epoch)
+        self.owners[shard] = Owner(name, epoch)
+        await self.daemons[name].ownership.gain(shard, epoch)
 
-    async def take_over(self, thing: str, name: str) -> None:
+    async def take_over(self, shard: str, name: str) -> None:
         """Give a thing away while its owner, paused, still believes it owns it."""
-        await self.grant(thing, name)
+        await self.grant(shard, name)
 
-    async def hand_over(self, thing: str, name: str) -> None:
+    async def hand_over(self, shard: str, name: str) -> None:
         """Let the present owner lose a thing first."""
-        former = self.owners[thing]
+        former = self.owners[shard]
         if former.instance in self.daemons:
-            await self.daemons[former.instance].ownership.lose(thing)
-        await self.grant(thing, name)
+            await self.daemons[former.instance].ownership.lose(shard)
+        await self.grant(shard, name)
 
 
 class FixedOwnership:
@@ -61,19 +61,19 @@
         self.gains: dict[str, OwnershipHandler] = {}
         self.losses: dict[str, OwnershipHandler] = {}
 
-    def get_epoch(self, thing: str) -> int | None:
+    def get_epoch(self, shard: str) -> int | None:
         """Return the epoch of a thing that this daemon believes it owns."""
-        return self.held.get(thing)
+        return self.held.get(shard)
 
-    def find_owner(self, thing: str) -> Owner | None:
+    def find_owner(self, shard: str) -> Owner | None:
         """Return the owner by the registry."""
-        return self.registry.owners.get(thing)
+        return self.registry.owners.get(shard)
 
-    def list_held(self, scope: str) -> tuple[str, ...]:
+    def list_owned(self, scope: str) -> tuple[str, ...]:
         """List what this daemon believes it owns."""
         return tuple(t for t in self.held if t.startswith(f"{scope}/"))
 
-    def set_things(self, scope: str, names: tuple[str, ...]) -> None:
+    def set_shards(self, scope: str, names: tuple[str, ...]) -> None:
         """Change nothing: the test says what there is to own."""
 
     def on_gain(self, scope: str, handler: OwnershipHandler) -> None:
@@ -84,20 +84,20 @@
         """Let ``handler`` know of losses."""
         self.losses[scope] = handler
 
-    async def gain(self, thing: str, epoch: int) -> None:
+    async def gain(self, shard: str, epoch: int) -> None:
         """Tell of a gain; it lasts while the store can't be reached."""
-        task = asyncio.ensure_future(self._finish_gain(thing, epoch))
+        task = asyncio.ensure_future(self._finish_gain(shard, epoch))
         await asyncio.wait({task}, timeout=1)
 
-    async def _finish_gain(self, thing: str, epoch: int) -> None:
-        await self.gains[thing.partition("/")[0]](thing, epoch)
-        self.held[thing] = max(epoch, self.held.get(thing, 0))
+    async def _finish_gain(self, shard: str, epoch: int) -> None:
+        await self.gains[shard.partition("/")[0]](shard, epoch)
+        self.held[shard] = max(epoch, self.held.get(shard, 0))
 
-    async def lose(self, thing: str) -> None:
+    async def lose(self, shard: str) -> None:
         """Tell of a loss; a thing that wasn't held changes nothing."""
-        epoch = self.held.pop(thing, None)
+        epoch = self.held.pop(shard, None)
         if epoch is not None:
-            await self.losses[thing.partition("/")[0]](thing, epoch)
+            await self.losses[shard.partition("/")[0]](shard, epoch)
 
 
 class FixedMembers:
@@ -179,7 +179,7 @@
             checks_epochs=plane.checks_epochs,
             configuration=plane.configuration,
         )
-        self.keeper = Keeper(
+        self.ledger_owner = LedgerOwner(
             self.members,
             self.ownership,
             self.peers,
@@ -195,9 +195,9 @@
         """End everything at once, as a killed process does."""
         for task in self.tasks:
             task.cancel()
-        for desk in self.keeper.desks.values():
-            if desk._runner is not None:
-                desk._runner.cancel()
+        for controller in self.ledger_owner.controllers.values():
+            if controller._runner is not None:
+                controller._runner.cancel()
 
     async def start(self) -> None:
         """Read the instance list once and begin to run."""
@@ -205,7 +205,7 @@
         self.tasks = [
             asyncio.ensure_future(self.fleet.run()),
             asyncio.ensure_future(self.host.run()),
-            asyncio.ensure_future(self.keeper.run()),
+            asyncio.ensure_future(self.ledger_owner.run()),
         ]
 
 
@@ -240,7 +240,7 @@
             await self.registry.grant(f"worker/{worker}", owner)
         for index in range(self.ledgers):
             owner = self.names[index % len(self.names)]
-            await self.registry.grant(f"ledger/{name_ledger(index)}", owner)
+            await self.registry.grant(f"ledger/{format_ledger_name(index)}", owner)
         return self
 
     async def add_daemon(self, name: str) -> None:
@@ -263,9 +263,9 @@
     async def redistribute(self, name: str) -> None:
         """Give what a daemon owned to the others in turn."""
         others = sorted(other for other in self.registry.daemons if other != name)
-        things = [t for t, o in self.registry.owners.items() if o.instance == name]
-        for index, thing in enumerate(sorted(things)):
-            await self.registry.grant(thing, others[index % len(others)])
+        shards = [t for t, o in self.registry.owners.items() if o.instance == name]
+        for index, shard in enumerate(sorted(shards)):
+            await self.registry.grant(shard, others[index % len(others)])
 
     def declare(self, name: str = "batch", team: str = "team", **fields: Any) -> None:
         """Declare a workload with one small task unless ``fields`` say more."""
@@ -290,10 +290,10 @@
         :param at: the daemon to ask; the first one unless given.
         :raises AssertionError: when it hasn't ended by then.
         """
-        keeper = self.find(at or self.names[0]).keeper
+        ledger_owner = self.find(at or self.names[0]).ledger_owner
         view = None
         for _ in range(seconds * 10):
-            view = await keeper.read_job(job)
+            view = await ledger_owner.read_job(job)
             if isinstance(view, JobView) and view.state in FINAL_JOB_STATES:
                 return view
             await self.clock.sleep(timedelta(milliseconds=100))
--- a/src/standins/pools.py
+++ b/src/standins/pools.py
@@ -15,20 +15,20 @@
 from damaskdeck.protocol.pools import (
     Advice,
     Consent,
-    Contents,
-    Declared,
+    DeclaredQueues,
     Declined,
     Done,
     EndedTask,
     EndKind,
     PoolWorker,
     RefusalCode,
-    Registered,
+    RegisteredWorkers,
     RegistryChange,
     RegistryChanges,
     Replaced,
     RunningTask,
     TaskStart,
+    WorkerTasks,
 )
 from damaskdeck.protocol.ports import (
     Entry,
@@ -37,7 +37,7 @@
     Lost,
     Missing,
     Rejected,
-    TooOld,
+    RevisionTooOld,
 )
 from damaskdeck.protocol.queues import QueueTable, TaskName
 from damaskdeck.protocol.transactions import Unchanged, read_all
@@ -200,9 +200,9 @@
         longest = self._now() + self._lease_longest
         self.lease_ends = max(self.lease_ends, min(deadline, longest))
 
-    async def hold(
+    async def poll(
         self, epoch: int, observed: int, deadline: timedelta | None, wait: timedelta
-    ) -> Contents | Declined:
+    ) -> WorkerTasks | Declined:
         """Extend the lease, wait for an end and list everything."""
         self.settle()
         refusal = self._fence(epoch)
@@ -224,7 +224,7 @@
             RunningTask(task, run.attempt, "", self._measure(run))
             for task, run in self.running.items()
         )
-        return Contents(self._now(), rows, tuple(self.ends))
+        return WorkerTasks(self._now(), rows, tuple(self.ends))
 
     def _measure(self, run: _Running) -> int:
         if self.hangs:
@@ -299,7 +299,7 @@
             return found
         return found.stop(epoch, task, attempt)
 
-    async def hold(
+    async def poll(
         self,
         worker: PoolWorker,
         epoch: int,
@@ -311,7 +311,7 @@
         found = await self._reach(worker)
         if not isinstance(found, StandinWorker):
             return found
-        answer = await found.hold(epoch, observed, deadline, wait)
+        answer = await found.poll(epoch, observed, deadline, wait)
         is_away = worker.identifier in self.cut_off or not found.is_up
         return Lost("timeout") if is_away else answer
 
@@ -325,14 +325,14 @@
         self._store = store
         self._workers = workers
 
-    async def list_workers(self) -> Registered | Rejected | Lost:
+    async def list_workers(self) -> RegisteredWorkers | Rejected | Lost:
         """Read all workers."""
         found = await read_all(self._store, self.prefix)
         if isinstance(found, Rejected | Lost):
             return found
         entries, revision = found
         names = (entry.key.removeprefix(self.prefix) for entry in entries)
-        return Registered(
+        return RegisteredWorkers(
             tuple(self._workers[name].info for name in names),
             revision,
             tuple(entry.revision for entry in entries),
@@ -340,7 +340,7 @@
 
     async def follow_workers(
         self, revision: int, wait: timedelta
-    ) -> RegistryChanges | TooOld | Rejected | Lost:
+    ) -> RegistryChanges | RevisionTooOld | Rejected | Lost:
         """Follow the registrations."""
         found = await self._store.watch(self.prefix, revision, wait)
         if not isinstance(found, Events):
@@ -388,29 +388,29 @@
         self._store = store
         self._tables = tables
 
-    async def read_queues(self, known: int = 0) -> Declared | Rejected | Lost:
+    async def read_queues(self, known: int = 0) -> DeclaredQueues | Rejected | Lost:
         """Read the document."""
         found = await self._store.read_changed(self.key, known)
         if isinstance(found, Unchanged):
-            return Declared(None, found.revision, known)
+            return DeclaredQueues(None, found.revision, known)
         if isinstance(found, Missing):
-            return Declared(None, found.revision)
+            return DeclaredQueues(None, found.revision)
         return self.decode(found.entry) if isinstance(found, Found) else found
 
-    def decode(self, entry: Entry) -> Declared:
+    def decode(self, entry: Entry) -> DeclaredQueues:
         """Return what the document's entry says."""
         table = self._tables.get(int(entry.value))
-        return Declared(table, entry.revision, entry.revision)
+        return DeclaredQueues(table, entry.revision, entry.revision)
 
     async def follow_queues(
         self, revision: int, wait: timedelta
-    ) -> Declared | TooOld | Rejected | Lost:
+    ) -> DeclaredQueues | RevisionTooOld | Rejected | Lost:
         """Wait for a newer document."""
         found = await self._store.watch(self.key, revision, wait)
         if not isinstance(found, Events):
             return found
         if not found.events:
-            return Declared(None, found.revision)
+            return DeclaredQueues(None, found.revision)
         newest = found.events[-1]
         table = self._tables.get(int(newest.value))
-        return Declared(table, found.revision, newest.revision)
+        return DeclaredQueues(table, found.revision, newest.revision)
--- a/src/standins/poolstore.py
+++ b/src/standins/poolstore.py
@@ -16,7 +16,7 @@
     Lost,
     Missing,
     Rejected,
-    TooOld,
+    RevisionTooOld,
     Written,
 )
 from damaskdeck.protocol.transactions import (
@@ -140,13 +140,13 @@
 
     async def watch(
         self, prefix: str, revision: int, wait: timedelta
-    ) -> Events | TooOld:
+    ) -> Events | RevisionTooOld:
         """Return the changes after ``revision``, waiting for one."""
         ends = self._clock.monotonic() + wait
         while True:
             self._end_leases()
             if revision + 1 < self._first:
-                return TooOld(self._first)
+                return RevisionTooOld(self._first)
             found = tuple(
                 event
                 for event in self._history
@@ -220,7 +220,7 @@
         self,
         transaction: Transaction,
         timeout: timedelta | None = None,
-        longest: int | None = None,
+        max_reply_bytes: int | None = None,
     ) -> Written | Mismatch | Lapsed | Rejected | Lost:
         """Commit, unless a fault is planned."""
         fault = await self._meet("commit")
@@ -239,8 +239,12 @@
         self._store.commit(transaction)
 
     async def watch(
-        self, prefix: str, revision: int, wait: timedelta, longest: int | None = None
-    ) -> Events | TooOld | Rejected | Lost:
+        self,
+        prefix: str,
+        revision: int,
+        wait: timedelta,
+        max_reply_bytes: int | None = None,
+    ) -> Events | RevisionTooOld | Rejected | Lost:
         """Watch a prefix."""
         fault = await self._meet("watch")
         if fault is not None:
--- a/src/standins/requests.py
+++ b/src/standins/requests.py
@@ -8,7 +8,7 @@
 
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.requests.routing import Router
-from damaskdeck.protocol.handlers import KeyMemory, RequestHandler, ServiceRequest
+from damaskdeck.protocol.handlers import IdempotencyKeys, RequestHandler, ServiceRequest
 from damaskdeck.protocol.members import Member, Owner, OwnershipHandler, Report
 from damaskdeck.protocol.outcomes import Outcome
 from damaskdeck.protocol.ports import (
@@ -75,7 +75,7 @@
         clock: Clock,
         layout: Layout = SMALL,
         service_time: ServiceTime = STEADY,
-        keys: KeyMemory | None = None,
+        keys: IdempotencyKeys | None = None,
         seed: int = 0,
         connect: Callable[[str], TargetPort] | None = None,
     ) -> None:
@@ -114,7 +114,7 @@
             self.fleet,
             self.clock,
             keys=self._keys,
-            chooser=Random(f"{self._seed}/{name}"),
+            rng=Random(f"{self._seed}/{name}"),
         )
         return self.routers[name]
 
@@ -244,33 +244,33 @@
         view = self.views[instance] = OwnershipView(self, instance)
         return view
 
-    async def assign(self, thing: str, instance: str) -> None:
+    async def assign(self, shard: str, instance: str) -> None:
         """Give a thing to a daemon; the earlier owner isn't told."""
-        earlier = self.owners.get(thing, Owner("", 0))
-        self.owners[thing] = Owner(instance, earlier.epoch + 1)
+        earlier = self.owners.get(shard, Owner("", 0))
+        self.owners[shard] = Owner(instance, earlier.epoch + 1)
         if earlier.instance in self.views:
-            self.views[earlier.instance].held.discard(thing)
+            self.views[earlier.instance].held.discard(shard)
         view = self.views[instance]
         for handler in view.gain_handlers:
-            await handler(thing, earlier.epoch + 1)
-        view.held.add(thing)
+            await handler(shard, earlier.epoch + 1)
+        view.held.add(shard)
 
-    async def hand_over(self, thing: str, instance: str) -> None:
+    async def hand_over(self, shard: str, instance: str) -> None:
         """Let the owner give a thing up, and then give it to a daemon."""
-        await self.drop(thing)
-        await self.assign(thing, instance)
+        await self.drop(shard)
+        await self.assign(shard, instance)
 
-    async def drop(self, thing: str) -> None:
+    async def drop(self, shard: str) -> None:
         """Let the owner of a thing learn that it has lost it."""
-        owner = self.owners[thing]
-        await self.lose(owner.instance, thing, owner.epoch)
+        owner = self.owners[shard]
+        await self.lose(owner.instance, shard, owner.epoch)
 
-    async def lose(self, instance: str, thing: str, epoch: int) -> None:
+    async def lose(self, instance: str, shard: str, epoch: int) -> None:
         """Let a daemon learn that it has lost a thing, however late."""
         view = self.views[instance]
-        view.held.discard(thing)
+        view.held.discard(shard)
         for handler in view.loss_handlers:
-            await handler(thing, epoch)
+            await handler(shard, epoch)
 
 
 class OwnershipView:
@@ -278,34 +278,34 @@
 
     def __init__(self, table: OwnershipTable, instance: str) -> None:
         self.held: set[str] = set()
-        self.things: dict[str, tuple[str, ...]] = {}
+        self.shards: dict[str, tuple[str, ...]] = {}
         self.gain_handlers: list[OwnershipHandler] = []
         self.loss_handlers: list[OwnershipHandler] = []
         self._table = table
         self._instance = instance
 
-    def get_epoch(self, thing: str) -> int | None:
-        """Return the epoch when this daemon may decide about ``thing`` now."""
-        return self._table.owners[thing].epoch if thing in self.held else None
+    def get_epoch(self, shard: str) -> int | None:
+        """Return the epoch when this daemon may decide about ``shard`` now."""
+        return self._table.owners[shard].epoch if shard in self.held else None
 
-    def find_owner(self, thing: str) -> Owner | None:
-        """Return the owner of ``thing``."""
-        return self._table.owners.get(thing)
+    def find_owner(self, shard: str) -> Owner | None:
+        """Return the owner of ``shard``."""
+        return self._table.owners.get(shard)
 
-    def list_held(self, scope: str) -> tuple[str, ...]:
+    def list_owned(self, scope: str) -> tuple[str, ...]:
         """List the things of ``scope`` that this daemon may decide about."""
         return tuple(t for t in sorted(self.held) if t.startswith(f"{scope}/"))
 
-    def set_things(self, scope: str, names: tuple[str, ...]) -> None:
+    def set_shards(self, scope: str, names: tuple[str, ...]) -> None:
         """Note which things of ``scope`` exist."""
-        self.things[scope] = names
+        self.shards[scope] = names
 
     def on_gain(self, scope: str, handler: OwnershipHandler) -> None:
-        """Call ``handler(thing, epoch)`` once a thing was gained."""
+        """Call ``handler(shard, epoch)`` once a thing was gained."""
         self.gain_handlers.append(handler)
 
     def on_loss(self, scope: str, handler: OwnershipHandler) -> None:
-        """Call ``handler(thing, epoch)`` when a thing is lost or handed over."""
+        """Call ``handler(shard, epoch)`` when a thing is lost or handed over."""
         self.loss_handlers.append(handler)
 
 
--- a/src/standins/store.py
+++ b/src/standins/store.py
@@ -18,7 +18,7 @@
     Lost,
     Missing,
     Rejected,
-    TooOld,
+    RevisionTooOld,
     Written,
 )
 from standins.gateway import Gateway, Signal
@@ -149,10 +149,10 @@
         self.end_lease(lease)
         return Written(self._revision)
 
-    def read_events(self, prefix: str, revision: int) -> Events | TooOld:
+    def read_events(self, prefix: str, revision: int) -> Events | RevisionTooOld:
         """Return the kept changes below ``prefix`` after ``revision``."""
         if revision < self._dropped:
-            return TooOld(self._dropped)
+            return RevisionTooOld(self._dropped)
         start = bisect_left(self._history, revision + 1, key=lambda e: e.revision)
         found = [e for e in self._history[start:] if e.key.startswith(prefix)]
         return Events(tuple(found), max(revision, self._revision))
@@ -222,7 +222,7 @@
 
     async def watch(
         self, prefix: str, revision: int, wait: timedelta
-    ) -> Events | TooOld | Rejected | Lost:
+    ) -> Events | RevisionTooOld | Rejected | Lost:
         """Return the changes after ``revision``, waiting up to ``wait`` for one."""
         store = self._store
         found = await self._call("watch", lambda: store.read_events(prefix, revision))
@@ -237,7 +237,7 @@
             store.find_next_lapse,
         )
 
-    def _read_events(self, prefix: str, revision: int) -> Events | TooOld:
+    def _read_events(self, prefix: str, revision: int) -> Events | RevisionTooOld:
         self._store.lapse_leases()
         return self._store.read_events(prefix, revision)
 
--- a/src/standins/wire.py
+++ b/src/standins/wire.py
@@ -14,14 +14,14 @@
 
 from damaskdeck.clock import Clock
 from damaskdeck.protocol.pools import (
-    Contents,
     Declined,
     EndKind,
     PoolWorker,
     RefusalCode,
     TaskStart,
+    WorkerTasks,
 )
-from damaskdeck.protocol.ports import Entry, Lapsed, TooOld
+from damaskdeck.protocol.ports import Entry, Lapsed, RevisionTooOld
 from damaskdeck.protocol.queues import TaskName
 from damaskdeck.protocol.sizes import Size
 from damaskdeck.protocol.transactions import Mismatch, Transaction, Write
@@ -147,7 +147,7 @@
     async def _watch(self, query: dict[str, str]) -> Answer:
         wait = timedelta(milliseconds=int(query["wait_ms"]))
         found = await self.store.watch(query["path_prefix"], int(query["after"]), wait)
-        if isinstance(found, TooOld):
+        if isinstance(found, RevisionTooOld):
             return 410, None
         events = []
         for event in found.events:
@@ -237,14 +237,16 @@
         if path != "/hold":
             return 404, None
         deadline = body.get("deadline_ms")
-        found = await self.worker.hold(
+        found = await self.worker.poll(
             epoch,
             body["observed"],
             None if deadline is None else timedelta(milliseconds=deadline),
             timedelta(milliseconds=body.get("wait_ms", 0)),
         )
         return (
-            _show_contents(found) if isinstance(found, Contents) else _show_done(found)
+            _show_contents(found)
+            if isinstance(found, WorkerTasks)
+            else _show_done(found)
         )
 
 
@@ -264,7 +266,7 @@
     return 200, clock
 
 
-def _show_contents(found: Contents) -> Answer:
+def _show_contents(found: WorkerTasks) -> Answer:
     return 200, {
         "clock_ms": round(found.clock / MILLISECOND),
         "running": [
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -65,13 +65,13 @@
             member, peers, store, self.clock, newcomer_wait=deployment.newcomer_wait
         )
         self.ownership = StoreOwnership(self.members, peers, store, self.clock)
-        self.ownership.set_things("worker", WORKERS if zone == ZONE else ())
-        self.ownership.set_things("ledger", ("00", "01"))
+        self.ownership.set_shards("worker", WORKERS if zone == ZONE else ())
+        self.ownership.set_shards("ledger", ("00", "01"))
         for scope in ("worker", "ledger"):
             self.ownership.on_loss(scope, self._note_loss)
 
-    async def _note_loss(self, thing: str, epoch: int) -> None:
-        self.losses.append(thing)
+    async def _note_loss(self, shard: str, epoch: int) -> None:
+        self.losses.append(shard)
 
     def start(self) -> None:
         runs = (self.members.run(), self.ownership.run())
@@ -81,8 +81,8 @@
         for task in self.tasks:
             task.cancel()
 
-    def list_held(self, scope: str = "worker") -> tuple[str, ...]:
-        return self.ownership.list_held(scope)
+    def list_owned(self, scope: str = "worker") -> tuple[str, ...]:
+        return self.ownership.list_owned(scope)
 
 
 class Deployment:
@@ -124,32 +124,32 @@
         for other in self.daemons:
             self.switch.cut_both(name, other)
 
-    def find_deciders(self, thing: str) -> dict[str, int]:
-        """Return who says that it may decide about ``thing``, with its epoch."""
+    def find_deciders(self, shard: str) -> dict[str, int]:
+        """Return who says that it may decide about ``shard``, with its epoch."""
         found = {}
         for name, daemon in self.daemons.items():
-            epoch = daemon.ownership.get_epoch(thing)
+            epoch = daemon.ownership.get_epoch(shard)
             if epoch is not None:
                 found[name] = epoch
         return found
 
     def check(self) -> None:
         """Fail when two daemons decide about one thing, or with an old epoch."""
-        for thing in THINGS:
-            deciders = self.find_deciders(thing)
-            assert len(deciders) <= 1, (thing, deciders, self.clock.monotonic())
+        for shard in THINGS:
+            deciders = self.find_deciders(shard)
+            assert len(deciders) <= 1, (shard, deciders, self.clock.monotonic())
             for name, epoch in deciders.items():
-                self.check_epoch(thing, self.daemons[name], epoch)
+                self.check_epoch(shard, self.daemons[name], epoch)
         for daemon in self.daemons.values():
             for task in daemon.tasks:
                 assert not task.done() or task.exception() is None, task
 
-    def check_epoch(self, thing: str, decider: Daemon, epoch: int) -> None:
+    def check_epoch(self, shard: str, decider: Daemon, epoch: int) -> None:
         """Fail when another daemon had this epoch or a higher one."""
-        last, last_epoch = self.last_deciders.get(thing, (decider, 0))
+        last, last_epoch = self.last_deciders.get(shard, (decider, 0))
         allowed = last_epoch if decider is last else last_epoch + 1
-        assert epoch >= allowed, (thing, epoch, last_epoch)
-        self.last_deciders[thing] = decider, epoch
+        assert epoch >= allowed, (shard, epoch, last_epoch)
+        self.last_deciders[shard] = decider, epoch
 
     async def advance(self, seconds: float) -> None:
         """Move the clock in steps and check after each."""
--- a/tests/messages.py
+++ b/tests/messages.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from damaskdeck.coordination.configuration.relay import ConfigurationRelay
-from damaskdeck.coordination.jobs.keeper import Keeper
+from damaskdeck.coordination.jobs.ledgerowner import LedgerOwner
 from damaskdeck.coordination.members.membership import Membership
 from damaskdeck.coordination.members.ownership import StoreOwnership
 from damaskdeck.coordination.requests.routing import Router
@@ -118,15 +118,17 @@
         self.relay = ConfigurationRelay(self.configuration, *shared)
         self.fleet = Fleet(ports.instances, clock)
         shared = (self.members, self.ownership, self.peers)
-        self.keeper = Keeper(
+        self.ledger_owner = LedgerOwner(
             *shared, ports.store, self.configuration, self.fleet, clock, 2
         )
         self.host = WorkerHost(*shared, ports.workers, self.fleet, clock)
-        self.router = Router(*shared, ports.targets, self.fleet, clock, self.keeper)
+        self.router = Router(
+            *shared, ports.targets, self.fleet, clock, self.ledger_owner
+        )
         self.observer = Observer(*shared, self.fleet, self.host)
-        self.ownership.set_things("ledger", ("00", "01"))
-        self.ownership.set_things("worker", ("w1",))
-        self.ownership.set_things("target", ("t1",))
+        self.ownership.set_shards("ledger", ("00", "01"))
+        self.ownership.set_shards("worker", ("w1",))
+        self.ownership.set_shards("target", ("t1",))
         self.tasks: list[asyncio.Task[None]] = []
 
     @property
@@ -137,7 +139,7 @@
     async def start(self, seconds: float = 10) -> "WholeDaemon":
         """Run until it owns all it may own."""
         parts = (self.fleet, self.members, self.ownership, self.relay)
-        parts += (self.keeper, self.host, self.router)
+        parts += (self.ledger_owner, self.host, self.router)
         self.tasks = [asyncio.ensure_future(part.run()) for part in parts]
         await asyncio.sleep(seconds)
         self.check()
--- a/tests/naive_router.py
+++ b/tests/naive_router.py
@@ -9,7 +9,7 @@
 from damaskdeck.protocol.outcomes import Completed, Failed, Outcome, Refused
 from damaskdeck.protocol.ports import Instance, TargetAnswer, TargetCall, TargetPort
 
-PAUSE = timedelta(milliseconds=5)
+RETRY_PAUSE = timedelta(milliseconds=5)
 
 
 class NaiveRouter:
@@ -24,13 +24,13 @@
         instances: tuple[Instance, ...],
         targets: TargetPort,
         clock: Clock,
-        chooser: Random,
-        pause: timedelta = PAUSE,
+        rng: Random,
+        pause: timedelta = RETRY_PAUSE,
     ) -> None:
         self._instances = instances
         self._targets = targets
         self._clock = clock
-        self._random = chooser
+        self._random = rng
         self._pause = pause
 
     async def handle_request(self, request: ServiceRequest) -> Outcome:
--- a/tests/naive_scheduler.py
+++ b/tests/naive_scheduler.py
@@ -4,7 +4,7 @@
 
 from damaskdeck.protocol.ports import Instance, InstanceState
 from damaskdeck.protocol.sizes import Size, add_sizes, fits, subtract_sizes
-from damaskdeck.state.accounts import TaskNeed
+from damaskdeck.state.workeraccounts import TaskNeed
 
 
 class NaiveScheduler:
--- a/tests/poolcluster.py
+++ b/tests/poolcluster.py
@@ -7,27 +7,27 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from damaskdeck.coordination.pools.admitting import Admission
+from damaskdeck.coordination.pools.authorization import CallAuthorizer
 from damaskdeck.coordination.pools.declarations import Declarations
-from damaskdeck.coordination.pools.desk import JobDesk
-from damaskdeck.coordination.pools.health import HealthyStore
-from damaskdeck.coordination.pools.helpers import Helpers
+from damaskdeck.coordination.pools.delegatedcommits import DelegatingStore
+from damaskdeck.coordination.pools.delegates import Delegates
+from damaskdeck.coordination.pools.jobfrontend import JobFrontend
 from damaskdeck.coordination.pools.leadership import Leadership
-from damaskdeck.coordination.pools.owner import OwnerParts, PoolOwner
-from damaskdeck.coordination.pools.relaying import RelayedStore
+from damaskdeck.coordination.pools.monitoredstore import MonitoredStore
+from damaskdeck.coordination.pools.owner import OwnerDependencies, PoolOwner
+from damaskdeck.coordination.pools.ownermonitor import OwnerMonitor
 from damaskdeck.coordination.pools.times import PoolBounds, derive_times
-from damaskdeck.coordination.pools.transfers import Mandate
-from damaskdeck.coordination.pools.watching import OwnerWatch
-from damaskdeck.coordination.pools.workforce import WorkforceParts
+from damaskdeck.coordination.pools.transfers import OwnerTerm
+from damaskdeck.coordination.pools.workerfleet import FleetDependencies
 from damaskdeck.delays import LoopDelay
-from damaskdeck.protocol.accounts import ClientAccount, ClientAccounts, digest_key
-from damaskdeck.protocol.callers import NoJob, Taken, Told
+from damaskdeck.protocol.callresults import JobAccepted, JobNotFound, JobStateFound
+from damaskdeck.protocol.clientaccounts import ClientAccount, ClientAccounts, digest_key
 from damaskdeck.protocol.pools import EndKind, PoolWorker, WorkerRegistry
 from damaskdeck.protocol.queues import (
-    AdviceTerms,
+    AdvisorTiming,
     JobSpec,
     Queue,
-    QueuedState,
+    QueueJobState,
     QueueTable,
     StepSpec,
     TaskName,
@@ -52,16 +52,16 @@
 from standins.poolstore import PoolStore, PoolStoreClient
 
 BOUNDS = PoolBounds(
-    hold_longest=timedelta(seconds=6),
-    lease_shortest=timedelta(seconds=1),
+    max_worker_lease=timedelta(seconds=6),
+    min_store_lease=timedelta(seconds=1),
     grace=timedelta(seconds=6),
-    status_kept=timedelta(seconds=120),
-    stop_longest=timedelta(milliseconds=900),
+    status_retention=timedelta(seconds=120),
+    max_stop_time=timedelta(milliseconds=900),
 )
 # What shows a key that was taken away longer ago is served by nobody.
 REVOCATION = timedelta(seconds=5)
 SECOND = timedelta(seconds=1)
-TERMS = AdviceTerms(timedelta(milliseconds=10), timedelta(), timedelta(seconds=2))
+TERMS = AdvisorTiming(timedelta(milliseconds=10), timedelta(), timedelta(seconds=2))
 SIZE = Size(4000, 8000, 0)
 # A worker's room that has shrunk counts so much later, and one beat.
 CONTACT = timedelta(seconds=3)
@@ -134,13 +134,13 @@
         self.advisor = StandinAdvisor(clock, cluster.allow)
         self.delay = LoopDelay()
         self.owner: PoolOwner | None = None
-        self.mandates: list[Mandate] = []
+        self.mandates: list[OwnerTerm] = []
         self._cluster = cluster
         self.peers = cluster.switch.connect(name)
         self._tasks: set[asyncio.Task[None]] = set()
         self._owner_task: asyncio.Task[None] | None = None
         incarnation = f"{name}-{next(cluster.numbers)}"
-        healthy = self.healthy = HealthyStore(self.store, clock)
+        healthy = self.healthy = MonitoredStore(self.store, clock)
         self.leadership = Leadership(
             MemberRecord(name, incarnation, f"{name}:1", zone, power, started_at),
             healthy,
@@ -152,12 +152,12 @@
         self.declarations = Declarations(
             StandinQueues(healthy, cluster.tables),
             clock,
-            cluster.times.keys_sure,
-            cluster.times.document_sure,
+            cluster.times.keys_max_age,
+            cluster.times.document_max_age,
             healthy.measure_silence,
         )
-        self.admission = Admission(self.declarations)
-        self.desk = JobDesk(
+        self.authorizer = CallAuthorizer(self.declarations)
+        self.frontend = JobFrontend(
             name,
             healthy,
             self.peers,
@@ -167,13 +167,13 @@
             cluster.times,
             self.declarations,
             lambda: self.owner,
-            lambda epoch: self.watch.note_sign(epoch),
+            lambda epoch: self.watch.record_heartbeat(epoch),
         )
 
-        self.commits = RelayedStore(
-            healthy, self.peers, clock, Helpers(name, self.leadership, clock)
+        self.commits = DelegatingStore(
+            healthy, self.peers, clock, Delegates(name, self.leadership, clock)
         )
-        self.watch = OwnerWatch(
+        self.watch = OwnerMonitor(
             name, self.peers, self.leadership, clock, self._get_epoch
         )
 
@@ -185,29 +185,29 @@
 
     def _get_epoch(self) -> int:
         owner = self.owner
-        return owner.mandate.epoch if owner and owner.may_decide() else 0
+        return owner.term.epoch if owner and owner.may_decide() else 0
 
     def _spawn(self, work) -> asyncio.Task[None]:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         return task
 
-    def _take(self, mandate: Mandate) -> None:
-        self.mandates.append(mandate)
-        self._cluster.epochs.append(mandate.epoch)
-        basis = WorkforceParts(
+    def _take(self, term: OwnerTerm) -> None:
+        self.mandates.append(term)
+        self._cluster.epochs.append(term.epoch)
+        basis = FleetDependencies(
             self.leadership,
             self.store,
             self.workers,
             self._cluster.build_registry(self.store),
             self.clock,
             self._cluster.times,
-            self.declarations.knows_pool,
+            self.declarations.is_pool_declared,
             self.delay,
-            self.healthy.dates.date,
+            self.healthy.write_times.find_write_time,
         )
-        parts = OwnerParts(basis, self.peers, self.declarations, self.commits)
-        self.owner = PoolOwner(mandate, parts)
+        parts = OwnerDependencies(basis, self.peers, self.declarations, self.commits)
+        self.owner = PoolOwner(term, parts)
         self._owner_task = self._spawn(self.owner.run())
 
     def _lose(self) -> None:
@@ -292,7 +292,7 @@
             )
         self._beats: asyncio.Task[None] | None = None
         # Workers whose registrations somebody else writes.
-        self.mute: set[str] = set()
+        self.externally_registered: set[str] = set()
         self.daemons: dict[str, ClusterDaemon] = {}
         for number in range(daemons):
             self.add_daemon(f"d{number}")
@@ -337,7 +337,10 @@
                 phase = BEAT_LOOK * 4 * (number % 4)
                 if worker.is_up and now >= due.setdefault(name, now + phase):
                     due[name] += BEAT
-                    if not self.is_store_away and name not in self.mute:
+                    if (
+                        not self.is_store_away
+                        and name not in self.externally_registered
+                    ):
                         size = self.sizes[name][-1][1]
                         worker.info = worker.info._replace(size=size)
                         self.register(worker)
@@ -349,7 +352,7 @@
         """Register a worker."""
         labels = frozenset({"a", rack})
         info = PoolWorker(name, "hub", address, zone, SIZE, labels, rack)
-        worker = StandinWorker(info, self.clock, self._behave, BOUNDS.hold_longest)
+        worker = StandinWorker(info, self.clock, self._behave, BOUNDS.max_worker_lease)
         worker.on_crash = lambda: self.crash(worker)
         self.workers[name] = worker
         self.sizes[name] = [(self.clock.monotonic(), info.size)]
@@ -362,7 +365,7 @@
 
     def crash(self, worker: StandinWorker) -> None:
         """End a worker's life; a new one begins at its address after a while."""
-        self.note_crash(worker)
+        self.record_crash(worker)
         worker.kill()
         info = worker.info
         self.store.set(StandinRegistry.prefix + info.identifier, None)
@@ -372,7 +375,7 @@
             lambda: self.add_worker(name, info.address, info.rack, info.zone),
         )
 
-    def note_crash(self, worker: StandinWorker) -> None:
+    def record_crash(self, worker: StandinWorker) -> None:
         """Take note of what a worker runs that is about to crash."""
         worker.settle()
         now = self.clock.monotonic()
@@ -408,7 +411,9 @@
         self._beats = asyncio.ensure_future(self._beat())
         contacts = self.find_owner().owner.contacts.values()
         await self.wait(
-            lambda: all(c.is_room_sure(self._now()) for c in contacts if c.is_listed)
+            lambda: all(
+                c.is_capacity_fresh(self._now()) for c in contacts if c.is_listed
+            )
         )
 
     def find_owner(self) -> ClusterDaemon | None:
@@ -428,13 +433,13 @@
     def is_open(self, job: str) -> bool:
         """Whether an owner decides for whom a job isn't final."""
         daemon = self.find_owner()
-        return daemon is None or job in daemon.owner.board.open
+        return daemon is None or job in daemon.owner.job_index.open_jobs
 
     def find_named(self) -> str:
         """Return the name of the owner that the store shows, whoever it is."""
         return decode_record(OwnerRecord, self.store.entries[OWNER_KEY].value).instance
 
-    def find_other(self) -> ClusterDaemon:
+    def find_other_daemon(self) -> ClusterDaemon:
         """Return a daemon that lives and doesn't decide."""
         daemons = self.daemons.values()
         return next(d for d in daemons if d.owner is None and not d.is_killed)
@@ -456,25 +461,25 @@
         """Hand a job in and expect it to be taken."""
         self.specs[job] = spec
         queue = self.table.queues[0]
-        done = await self.daemons[daemon].desk.submit(queue, job, spec)
-        if done != Taken():
+        done = await self.daemons[daemon].frontend.submit(queue, job, spec)
+        if done != JobAccepted():
             raise AssertionError(f"not taken: {done}")
 
-    async def complete_a_job(self) -> None:
+    async def run_first_job(self) -> None:
         """Let a first job pass, so that all parts have met."""
         await self.submit("j0", make_job())
-        await self.wait_for_state("j0", QueuedState.COMPLETED)
+        await self.wait_for_state("j0", QueueJobState.COMPLETED)
 
     async def wait_for_state(
-        self, job: str, state: QueuedState, daemon: str = "", seconds: float = 60
+        self, job: str, state: QueueJobState, daemon: str = "", seconds: float = 60
     ) -> None:
         """Wait until a daemon tells that state of a job."""
         ends = self.clock.monotonic() + timedelta(seconds=seconds)
         told: object = None
-        while told != Told(state):
+        while told != JobStateFound(state):
             name = daemon or next(iter(self.daemons))
-            told = await self.daemons[name].desk.read_state(job)
-            if isinstance(told, NoJob) or self.clock.monotonic() > ends:
+            told = await self.daemons[name].frontend.read_state(job)
+            if isinstance(told, JobNotFound) or self.clock.monotonic() > ends:
                 raise AssertionError(f"{job} is {told}, wanted {state}")
             await asyncio.sleep(0.02)
 
@@ -488,7 +493,7 @@
         ]
         return sorted(rows)
 
-    def find_broken_promises(self) -> list[str]:
+    def find_violations(self) -> list[str]:
         """Check what must hold of all that the workers saw."""
         broken = []
         spans: dict[TaskName, list[tuple[timedelta, timedelta, EndKind, str]]] = {}
@@ -611,6 +616,6 @@
 
     def end(self) -> None:
         """Check and close."""
-        broken = self.cluster.find_broken_promises()
+        broken = self.cluster.find_violations()
         self.cluster.close()
         self.assertEqual(broken, [])
