--- a/tests/test_account_metrics.py
+++ b/tests/test_account_metrics.py
@@ -9,9 +9,9 @@
     OTHERS,
     AccountMetrics,
 )
-from damaskdeck.protocol.queues import QueuedState
-from damaskdeck.state.board import Board, Job
+from damaskdeck.protocol.queues import QueueJobState
 from damaskdeck.state.jobrecords import JobRecord
+from damaskdeck.state.pooljobs import Job, JobIndex
 from tests.poolcluster import make_job, make_queue
 
 
@@ -19,8 +19,8 @@
     """What is told, and under how many names."""
 
     def setUp(self) -> None:
-        self.board = Board()
-        self.metrics = AccountMetrics(self.board, lambda name: 700)
+        self.job_index = JobIndex()
+        self.metrics = AccountMetrics(self.job_index, lambda name: 700)
         self.states: dict[str, tuple[int, int]] = {}
         self.ended: list[tuple[str, str]] = []
         for name, stand_in in (
@@ -35,38 +35,38 @@
         """Add a job of an account."""
         record = JobRecord(name, make_queue(), make_job(), 1, 0.0, (), account)
         job = Job(record, 0.0)
-        self.board.add(job)
+        self.job_index.add(job)
         return job
 
     def test_waiting_jobs_and_what_runs_are_told(self):
         self.add("j1", "kiosk")
-        self.add("j2", "kiosk").note_start()
+        self.add("j2", "kiosk").record_start()
         self.add("j3", "")
-        self.metrics.tell(10.0)
+        self.metrics.publish(10.0)
         self.assertEqual(self.states, {"kiosk": (1, 700)})
 
     def test_an_account_without_jobs_goes_back_to_nothing(self):
-        self.board.remove(self.add("j1", "kiosk"))
+        self.job_index.remove(self.add("j1", "kiosk"))
         job = self.add("j2", "kiosk")
-        self.metrics.tell(10.0)
-        self.board.remove(job)
-        self.metrics.tell(12.0)
+        self.metrics.publish(10.0)
+        self.job_index.remove(job)
+        self.metrics.publish(12.0)
         self.assertEqual(self.states["kiosk"], (0, 0))
 
     def test_late_jobs_are_told_apart(self):
         for took, outcome in ((1.0, "completed"), (100.0, "late")):
             job = self.add(outcome, "kiosk")
-            job.close(QueuedState.COMPLETED, took)
-            self.metrics.note_end(job)
+            job.close(QueueJobState.COMPLETED, took)
+            self.metrics.record_end(job)
         failed = self.add("f", "kiosk")
-        failed.close(QueuedState.FAILED, 100.0)
-        self.metrics.note_end(failed)
+        failed.close(QueueJobState.FAILED, 100.0)
+        self.metrics.record_end(failed)
         outcomes = [outcome for _, outcome in self.ended]
         self.assertEqual(outcomes, ["completed", "late", "failed"])
 
     def test_names_are_bounded(self):
         for number in range(NAMES_LIMIT + 5):
             self.add(f"j{number}", f"a{number}")
-        self.metrics.tell(10.0)
+        self.metrics.publish(10.0)
         self.assertEqual(len(self.states), NAMES_LIMIT + 1)
         self.assertEqual(self.states[OTHERS], (5, 5 * 700))
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -9,14 +9,14 @@
 from damaskdeck.errors import InvariantError
 from damaskdeck.protocol.ports import Instance, InstanceRole, InstanceState
 from damaskdeck.protocol.sizes import Size, subtract_sizes
-from damaskdeck.state.accounts import (
-    Accounts,
+from damaskdeck.state.workeraccounts import (
     AlreadyReserved,
+    InsufficientCapacity,
     NoReservation,
-    NoRoom,
-    NoWorker,
     Reserved,
     TaskNeed,
+    WorkerAccounts,
+    WorkerUnavailable,
 )
 
 MEDIUM = Size(4000, 8000, 1)
@@ -54,7 +54,7 @@
     """Applies a step of a generated history to accounts."""
 
     def __init__(self):
-        self.accounts = Accounts()
+        self.accounts = WorkerAccounts()
 
     def worker(self, name, size, is_leaving):
         zone = f"z{size[2]}"
@@ -115,7 +115,7 @@
             self.assertEqual(accounts.count_group("service"), groups.get("service", {}))
 
     def test_each_dimension_refuses_what_does_not_fit(self):
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         accounts.set_worker(make_worker("w"))
         for size, dimension in (
             (Size(4001, 0, 0), "millicores"),
@@ -123,11 +123,11 @@
             (Size(0, 0, 2), "accelerators"),
         ):
             outcome = accounts.reserve(TaskNeed("t", size), "w")
-            self.assertEqual(outcome, NoRoom(dimension))
+            self.assertEqual(outcome, InsufficientCapacity(dimension))
         self.assertEqual(accounts.totals.tasks, 0)
 
     def test_a_task_is_on_one_worker_at_most(self):
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         accounts.set_worker(make_worker("w"))
         accounts.set_worker(make_worker("x"))
         need = TaskNeed("t", Size(1, 1, 0))
@@ -138,7 +138,7 @@
         self.assertEqual(accounts.move("u", "x"), NoReservation("u"))
 
     def test_a_negative_rest_breaks_the_process(self):
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         accounts.set_worker(make_worker("w"))
         account = accounts.workers["w"]
         accounts.reserve(TaskNeed("t", Size(4000, 0, 0)), "w")
@@ -150,31 +150,33 @@
             accounts.release("t")
 
     def test_a_closed_or_leaving_worker_takes_only_what_runs_there(self):
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         accounts.set_worker(make_worker("w"))
         accounts.close_worker("w", "quarantined")
         need = TaskNeed("t", Size(1, 1, 0))
-        self.assertEqual(accounts.reserve(need, "w"), NoWorker("quarantined"))
+        self.assertEqual(accounts.reserve(need, "w"), WorkerUnavailable("quarantined"))
         self.assertEqual(accounts.adopt(need, "w"), Reserved("w"))
         accounts.set_worker(make_worker("w", leaving=True))
         accounts.close_worker("w", "")
         need = TaskNeed("u", Size(1, 1, 0))
-        self.assertEqual(accounts.reserve(need, "w"), NoWorker("leaving"))
+        self.assertEqual(accounts.reserve(need, "w"), WorkerUnavailable("leaving"))
 
     def test_a_worker_that_shrank_below_its_use_takes_no_more(self):
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         accounts.set_worker(make_worker("w"))
         accounts.reserve(TaskNeed("t", Size(3000, 0, 0)), "w")
         shrunk = make_worker("w", Size(2000, 8000, 1))
-        self.assertEqual(accounts.set_worker(shrunk), NoRoom("millicores"))
+        self.assertEqual(
+            accounts.set_worker(shrunk), InsufficientCapacity("millicores")
+        )
         outcome = accounts.reserve(TaskNeed("u", Size(1, 0, 0)), "w")
-        self.assertEqual(outcome, NoWorker("shrunk"))
+        self.assertEqual(outcome, WorkerUnavailable("shrunk"))
         accounts.release("t")
         self.assertIsNone(accounts.set_worker(shrunk))
         self.assertEqual(accounts.totals.free, Size(2000, 8000, 1))
 
     def test_a_hold_ends_unless_it_was_confirmed_in_time(self):
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         accounts.set_worker(make_worker("w"))
         for task in ("kept", "late", "left"):
             accounts.reserve(TaskNeed(task, Size(1, 1, 0)), "w", 5 * SECOND)
--- a/tests/test_adapters.py
+++ b/tests/test_adapters.py
@@ -18,11 +18,11 @@
     Lost,
     Missing,
     Rejected,
+    RevisionTooOld,
     StartOrder,
     TargetAnswer,
     TargetCall,
     TaskState,
-    TooOld,
     Written,
 )
 from damaskdeck.protocol.sizes import Size
@@ -194,7 +194,7 @@
         for _ in range(2 * HISTORY_LIMIT + 1):
             self.platform.store.put("a", b"", None, "")
         too_old = await self.store.watch("a", 1, WAIT)
-        self.assertEqual(too_old, TooOld(HISTORY_LIMIT + 1))
+        self.assertEqual(too_old, RevisionTooOld(HISTORY_LIMIT + 1))
 
 
 class WorkerContract(PortContract):
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -17,8 +17,8 @@
 from damaskdeck.protocol.outcomes import Completed, Failed, Outcome, Refused, Unknown
 from damaskdeck.protocol.ports import Event
 from damaskdeck.protocol.resources import Kind, Resource, Urgency
+from damaskdeck.state.changehistory import ResourceChanges
 from damaskdeck.state.versions import encode_resource
-from damaskdeck.state.watches import Changes
 from damaskdeck.transport.api import routes, streams
 from damaskdeck.transport.api.app import build_app
 from damaskdeck.transport.api.credentials import Credentials, Role
@@ -423,7 +423,7 @@
         self.assertEqual(end["problem"]["code"], "slow_reader")
         self.assertEqual(end["revision"], lines[-2]["revision"])
         history = self.daemon.configuration.history
-        self.assertIsInstance(history.read(end["revision"]), Changes)
+        self.assertIsInstance(history.read(end["revision"]), ResourceChanges)
 
     async def test_a_reader_that_takes_nothing_is_dropped(self):
         await self.declare()
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -13,24 +13,24 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from damaskdeck.coordination.pools.advising import (
+from damaskdeck.coordination.pools.advice import (
     QUESTION_LIMIT,
     Consents,
-    Verdicts,
+    StepAdvice,
 )
-from damaskdeck.coordination.pools.asking import QUESTION_SIZE, Asker
-from damaskdeck.coordination.pools.ordering import Outlook, Urgency
+from damaskdeck.coordination.pools.adviceplanner import QUESTION_SIZE, Asker
+from damaskdeck.coordination.pools.urgency import DeadlineStatus, Urgency
 from damaskdeck.protocol.pools import PoolWorker
 from damaskdeck.protocol.queues import StepSpec
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.state.board import Job, Step
 from damaskdeck.state.jobrecords import JobRecord
+from damaskdeck.state.pooljobs import Job, Step
 from tests.poolcluster import SECOND, SMALL, TERMS, make_job, make_queue
 
 WORKERS = 270
 ZONES = 5
 ROOM = Size(16_000, 32_000, 0)
-URGENT = Urgency(Outlook.PUNCTUAL, 0, 1.0)
+URGENT = Urgency(DeadlineStatus.ON_TIME, 0, 1.0)
 
 
 class Contact(NamedTuple):
@@ -45,13 +45,13 @@
     """Keeps what it is asked."""
 
     def __init__(self) -> None:
-        self.verdicts: dict[str, Verdicts] = {}
+        self.step_advice: dict[str, StepAdvice] = {}
         self.asked: list[list[str]] = []
         self.free = 90
 
-    def get(self, step: Step) -> Verdicts:
+    def get(self, step: Step) -> StepAdvice:
         """Return what is known of a step."""
-        return self.verdicts.setdefault(step.name, Verdicts())
+        return self.step_advice.setdefault(step.name, StepAdvice())
 
     def ask(self, step: Step, workers: list[str], urgency: float) -> None:
         """Take a question."""
--- a/tests/test_ceilings.py
+++ b/tests/test_ceilings.py
@@ -8,10 +8,10 @@
 import unittest
 from unittest import mock
 
-from damaskdeck.coordination.pools.allowances import Allowances
+from damaskdeck.coordination.pools.accountlimits import AccountLimits
 from damaskdeck.coordination.pools.ceilings import Ceilings
-from damaskdeck.protocol.accounts import digest_key
-from damaskdeck.protocol.callers import Caller
+from damaskdeck.protocol.callresults import Caller
+from damaskdeck.protocol.clientaccounts import digest_key
 from damaskdeck.protocol.queues import StepSpec
 from damaskdeck.protocol.sizes import ZERO_SIZE, Size, fits
 from damaskdeck.state.jobrecords import CEILINGS_KEY, CeilingsRecord, decode_record
@@ -170,7 +170,7 @@
     @virtual
     async def test_the_checker_sees_a_successor_that_fears_too_little(self):
         careless = mock.patch.object(
-            Allowances, "_measure_rest", lambda self, account: ZERO_SIZE
+            AccountLimits, "_measure_rest", lambda self, account: ZERO_SIZE
         )
         with careless:
             cluster = await self.cut_owner_off()
--- a/tests/test_client_accounts.py
+++ b/tests/test_client_accounts.py
@@ -7,18 +7,18 @@
 
 from logbook import TestHandler
 
-from damaskdeck.coordination.pools.admitting import Admission, Admitted
+from damaskdeck.coordination.pools.authorization import AuthorizedCall, CallAuthorizer
 from damaskdeck.coordination.pools.declarations import Declarations
 from damaskdeck.platform import PlatformQueues
 from damaskdeck.platform.nodes import read_node
-from damaskdeck.protocol.accounts import (
+from damaskdeck.protocol.callresults import Caller, CallRejected, CallRejectionCode
+from damaskdeck.protocol.clientaccounts import (
     UNLIMITED,
     ClientAccount,
     ClientAccounts,
     digest_key,
 )
-from damaskdeck.protocol.callers import BarCode, Barred, Caller
-from damaskdeck.protocol.pools import Declared
+from damaskdeck.protocol.pools import DeclaredQueues
 from damaskdeck.protocol.ports import Lost
 from damaskdeck.protocol.queues import QueueTable
 from damaskdeck.protocol.sizes import Size
@@ -144,7 +144,7 @@
         self.tables: dict[int, QueueTable] = {}
         self.source = StandinQueues(self.client, self.tables)
         self.declarations = Declarations(self.source, self.clock, LIMIT)
-        self.admission = Admission(self.declarations)
+        self.authorizer = CallAuthorizer(self.declarations)
 
     def declare(self, *accounts: ClientAccount, is_public: bool = False) -> None:
         """Put a document in the store."""
@@ -155,9 +155,9 @@
         )
         self.store.set(StandinQueues.key, str(version).encode())
 
-    def judge(self, key: bytes | None = b"key-1") -> Admitted | Barred:
+    def authorize(self, key: bytes | None = b"key-1") -> AuthorizedCall | CallRejected:
         """Judge a call."""
-        return self.admission.judge("a.example", "/plans/00000000000000aa", key)
+        return self.authorizer.authorize("a.example", "/plans/00000000000000aa", key)
 
 
 class DeclarationsCase(unittest.TestCase):
@@ -182,19 +182,27 @@
 
     @virtual
     async def test_before_any_document_nobody_is_admitted(self):
-        self.assertEqual(_Site().judge(), Barred(BarCode.NO_DOCUMENT))
+        self.assertEqual(
+            _Site().authorize(), CallRejected(CallRejectionCode.NO_DOCUMENT)
+        )
 
     @virtual
     async def test_a_key_tells_whose_call_it_is(self):
         site = await self.begin()
-        admitted = site.judge()
+        admitted = site.authorize()
         wanted = Caller("kiosk", "plans", digest_key(b"key-1"))
         self.assertEqual(admitted.caller, wanted)
-        self.assertEqual(site.judge(b"key-2"), Barred(BarCode.UNKNOWN_KEY))
-        self.assertEqual(site.judge(None), Barred(BarCode.MISSING_KEY))
-        self.assertEqual(site.judge(b""), Barred(BarCode.MISSING_KEY))
-        no_queue = site.admission.judge("a.example", "/none/1", b"key-1")
-        self.assertEqual(no_queue, Barred(BarCode.NO_QUEUE))
+        self.assertEqual(
+            site.authorize(b"key-2"), CallRejected(CallRejectionCode.UNKNOWN_KEY)
+        )
+        self.assertEqual(
+            site.authorize(None), CallRejected(CallRejectionCode.MISSING_KEY)
+        )
+        self.assertEqual(
+            site.authorize(b""), CallRejected(CallRejectionCode.MISSING_KEY)
+        )
+        no_queue = site.authorizer.authorize("a.example", "/none/1", b"key-1")
+        self.assertEqual(no_queue, CallRejected(CallRejectionCode.NO_QUEUE))
         self.end()
 
     @virtual
@@ -202,16 +210,16 @@
         site = await self.begin()
         site.declare(is_public=True)
         await asyncio.sleep(0.1)
-        self.assertEqual(site.judge(None).caller, Caller(queue="plans"))
+        self.assertEqual(site.authorize(None).caller, Caller(queue="plans"))
         self.end()
 
     @virtual
     async def test_a_line_names_the_account_and_never_the_key(self):
         site = await self.begin()
         with TestHandler() as handler:
-            site.judge(b"a-secret-that-is-wrong")
+            site.authorize(b"a-secret-that-is-wrong")
         record = next(r for r in handler.records if r.message == "Turned away.")
-        self.assertEqual(record.extra["code"], BarCode.UNKNOWN_KEY)
+        self.assertEqual(record.extra["code"], CallRejectionCode.UNKNOWN_KEY)
         self.assertEqual(record.extra["id"], "00000000000000aa")
         self.assertNotIn("secret", str(record.extra) + record.message)
         self.end()
@@ -227,15 +235,17 @@
         cut_at = site.clock.monotonic()
         site.declare()
         for _ in range(1000):
-            if isinstance(site.judge(), Barred):
+            if isinstance(site.authorize(), CallRejected):
                 break
             await asyncio.sleep(0.01)
         # The bound counts from when the key was taken away, at the cut.
         self.assertLess(site.clock.monotonic() - cut_at, LIMIT)
-        self.assertEqual(site.judge(), Barred(BarCode.STALE_DOCUMENT))
+        self.assertEqual(
+            site.authorize(), CallRejected(CallRejectionCode.STALE_DOCUMENT)
+        )
         site.client.faults.outage = False
         await asyncio.sleep(0.5)
-        self.assertEqual(site.judge(), Barred(BarCode.UNKNOWN_KEY))
+        self.assertEqual(site.authorize(), CallRejected(CallRejectionCode.UNKNOWN_KEY))
         self.end()
 
     @virtual
@@ -243,10 +253,12 @@
         site = await self.begin()
         site.client.faults.outage = True
         await asyncio.sleep(6)
-        self.assertEqual(site.judge(), Barred(BarCode.STALE_DOCUMENT))
+        self.assertEqual(
+            site.authorize(), CallRejected(CallRejectionCode.STALE_DOCUMENT)
+        )
         site.client.faults.outage = False
         await asyncio.sleep(0.5)
-        self.assertIsInstance(site.judge(), Admitted)
+        self.assertIsInstance(site.authorize(), AuthorizedCall)
         self.end()
 
     @virtual
@@ -255,7 +267,7 @@
 
         async def hear_nothing(revision, wait):
             await asyncio.sleep(wait.total_seconds())
-            return Declared(None, revision + 1)
+            return DeclaredQueues(None, revision + 1)
 
         async def get_no_answer(known=0):
             await asyncio.sleep(1.5)
@@ -264,7 +276,9 @@
         site.source.follow_queues = hear_nothing
         site.source.read_queues = get_no_answer
         await asyncio.sleep(LIMIT.total_seconds() + 2.1)
-        self.assertEqual(site.judge(), Barred(BarCode.STALE_DOCUMENT))
+        self.assertEqual(
+            site.authorize(), CallRejected(CallRejectionCode.STALE_DOCUMENT)
+        )
         self.end()
 
     @virtual
@@ -284,11 +298,13 @@
         declarations = site.declarations
         declarations.confirm(declarations.expected, declarations._now())
         await asyncio.sleep(3.5)
-        self.assertIsInstance(site.judge(), Admitted)
+        self.assertIsInstance(site.authorize(), AuthorizedCall)
         # What another document was expected by proves nothing of this one.
         declarations.confirm((("operator/queues", 1),), declarations._now())
         await asyncio.sleep(0.6)
-        self.assertEqual(site.judge(), Barred(BarCode.STALE_DOCUMENT))
+        self.assertEqual(
+            site.authorize(), CallRejected(CallRejectionCode.STALE_DOCUMENT)
+        )
         self.end()
 
     @virtual
@@ -298,10 +314,10 @@
         site.declare(make_account("kiosk", "key-9"))
         declarations = site.declarations
         shown = Mismatch((site.store.entries[StandinQueues.key],))
-        self.assertTrue(declarations.note_mismatch(shown, declarations._now()))
-        self.assertFalse(declarations.note_mismatch(shown, declarations._now()))
-        self.assertEqual(site.judge(), Barred(BarCode.UNKNOWN_KEY))
-        self.assertIsInstance(site.judge(b"key-9"), Admitted)
+        self.assertTrue(declarations.handle_mismatch(shown, declarations._now()))
+        self.assertFalse(declarations.handle_mismatch(shown, declarations._now()))
+        self.assertEqual(site.authorize(), CallRejected(CallRejectionCode.UNKNOWN_KEY))
+        self.assertIsInstance(site.authorize(b"key-9"), AuthorizedCall)
         self.end()
 
     @virtual
@@ -309,7 +325,9 @@
         site = await self.begin()
         site.store.set(StandinQueues.key, b"99")
         await asyncio.sleep(LIMIT.total_seconds() + 0.1)
-        self.assertEqual(site.judge(), Barred(BarCode.STALE_DOCUMENT))
+        self.assertEqual(
+            site.authorize(), CallRejected(CallRejectionCode.STALE_DOCUMENT)
+        )
         self.end()
 
     @virtual
@@ -318,9 +336,11 @@
         for number in range(20):
             site.declare(make_account("kiosk", f"key-{number}"))
             await asyncio.sleep(0.3)
-            self.assertIsInstance(site.judge(f"key-{number}".encode()), Admitted)
+            self.assertIsInstance(
+                site.authorize(f"key-{number}".encode()), AuthorizedCall
+            )
             if number != 1:
-                self.assertIsInstance(site.judge(), Barred)
+                self.assertIsInstance(site.authorize(), CallRejected)
         self.end()
 
     @virtual
@@ -330,6 +350,6 @@
         site.declare()
         running = asyncio.ensure_future(free.run())
         await asyncio.sleep(10)
-        self.assertTrue(free.may_serve)
+        self.assertTrue(free.can_verify_keys)
         self.assertEqual(free.expected, ())
         running.cancel()
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -9,15 +9,21 @@
 
 from damaskdeck.protocol.ports import Event
 from damaskdeck.protocol.resources import Kind, Resource
+from damaskdeck.state.changehistory import (
+    ChangeHistory,
+    HistoryExpired,
+    HistoryReader,
+    ReaderTooSlow,
+    ResourceChanges,
+)
 from damaskdeck.state.configuration import Configuration
 from damaskdeck.state.versions import (
-    Version,
+    ResourceVersion,
     encode_deletion,
     encode_resource,
     make_key,
     read_version,
 )
-from damaskdeck.state.watches import Changes, Expired, History, Lagging, Reader
 from standins.clock import ManualClock
 from tests.cluster import make_team, make_workload
 
@@ -185,7 +191,7 @@
 
     def setUp(self) -> None:
         self.clock = ManualClock()
-        self.history = History(limit=4)
+        self.history = ChangeHistory(limit=4)
         self.configuration = Configuration(self.history)
         self.configuration.apply_snapshot((), 10)
 
@@ -196,7 +202,7 @@
             self.configuration.apply_changes(base, [event], revision)
 
     async def test_a_reader_gets_each_change_once_in_order(self):
-        reader = Reader(self.history, 10, self.clock)
+        reader = HistoryReader(self.history, 10, self.clock)
         self.add(12, 15)
         found = await reader.read(timedelta())
         self.assertEqual([c.revision for c in found.changes], [12, 15])
@@ -207,7 +213,7 @@
         self.assertEqual([c.revision for c in found.changes], [16])
 
     async def test_changes_come_in_order_even_if_one_was_in_force_before(self):
-        reader = Reader(self.history, 10, self.clock)
+        reader = HistoryReader(self.history, 10, self.clock)
         self.configuration.apply_ahead(read_version(make_event("b", 12)))
         self.assertEqual((await reader.read(timedelta())).changes, ())
         events = [make_event("a", 11), make_event("b", 12)]
@@ -217,32 +223,32 @@
 
     async def test_what_is_no_longer_kept_must_be_listed_again(self):
         self.add(11, 12, 13, 14, 15)
-        self.assertEqual(self.history.read(10), Expired(11))
-        self.assertIsInstance(self.history.read(11), Changes)
-        reader = Reader(self.history, 10, self.clock)
-        self.assertEqual(await reader.read(timedelta()), Expired(11))
+        self.assertEqual(self.history.read(10), HistoryExpired(11))
+        self.assertIsInstance(self.history.read(11), ResourceChanges)
+        reader = HistoryReader(self.history, 10, self.clock)
+        self.assertEqual(await reader.read(timedelta()), HistoryExpired(11))
 
     async def test_a_snapshot_ends_the_history_that_readers_had(self):
-        reader = Reader(self.history, 10, self.clock)
+        reader = HistoryReader(self.history, 10, self.clock)
         self.configuration.apply_snapshot([make_event("a", 19)], 20)
-        self.assertEqual(await reader.read(timedelta()), Expired(20))
+        self.assertEqual(await reader.read(timedelta()), HistoryExpired(20))
 
     async def test_a_slow_reader_may_come_back_where_it_was(self):
-        reader = Reader(self.history, 10, self.clock, lag_limit=2)
+        reader = HistoryReader(self.history, 10, self.clock, lag_limit=2)
         self.add(11)
         await reader.read(timedelta())
         self.add(12, 13, 14)
         end = await reader.read(timedelta())
-        self.assertEqual(end, Lagging(11))
-        again = Reader(self.history, end.revision, self.clock, lag_limit=2)
+        self.assertEqual(end, ReaderTooSlow(11))
+        again = HistoryReader(self.history, end.revision, self.clock, lag_limit=2)
         found = await again.read(timedelta())
         self.assertEqual([c.revision for c in found.changes], [12, 13, 14])
 
     async def test_a_reader_ahead_of_this_daemon_waits_and_is_not_set_back(self):
-        reader = Reader(self.history, 13, self.clock)
+        reader = HistoryReader(self.history, 13, self.clock)
         self.add(11)
         found = await reader.read(timedelta())
-        self.assertEqual(found, Changes((), 13))
+        self.assertEqual(found, ResourceChanges((), 13))
 
 
 class TestVersions(unittest.TestCase):
@@ -259,5 +265,5 @@
         value = encode_deletion(Kind.TEAM, "a", "w1", 5.0)
         self.assertEqual(
             read_version(Event("config/team/a", value, 3)),
-            Version(Kind.TEAM, "a", 3, None),
+            ResourceVersion(Kind.TEAM, "a", 3, None),
         )
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -10,8 +10,8 @@
 from unittest import mock
 
 from damaskdeck.coordination.pools import cordons
-from damaskdeck.protocol.callers import Told
-from damaskdeck.protocol.queues import QueuedState, StepSpec
+from damaskdeck.protocol.callresults import JobStateFound
+from damaskdeck.protocol.queues import QueueJobState, StepSpec
 from damaskdeck.state.jobrecords import CORDONS_KEY, CordonsRecord, decode_record
 from standins.pools import StandinRegistry, Work
 from tests.poolcluster import SECOND, SIZE, SMALL, PoolCase, make_job
@@ -93,7 +93,7 @@
             daemon.workers.cut_off.clear()
         await asyncio.sleep(0.5)
         contact = owner.owner.contacts[worker]
-        self.assertTrue(contact.is_known)
+        self.assertTrue(contact.is_synchronized)
         self.assertFalse(contact.is_usable(contact._now()))
         self.assertEqual(cluster.workers[worker].lease_ends, ends)
         self.end()
@@ -107,14 +107,14 @@
         for other in cluster.workers:
             owner.workers.cut_off.add(other)
         await asyncio.sleep(0.6)
-        await cluster.submit("waits", make_job(), cluster.find_other().name)
+        await cluster.submit("waits", make_job(), cluster.find_other_daemon().name)
         successor = await self.cut_owner_off()
         began = cluster.clock.monotonic()
-        told = Told(QueuedState.COMPLETED)
+        told = JobStateFound(QueueJobState.COMPLETED)
         await cluster.wait(lambda: bool(cluster.list_starts("waits")), 5)
         self.assertLess(cluster.clock.monotonic() - began, SECOND)
         await asyncio.sleep(2)
-        self.assertEqual(await successor.desk.read_state("waits"), told)
+        self.assertEqual(await successor.frontend.read_state("waits"), told)
         self.assertEqual(self.read_cordons(), {worker: ("long",)})
         self.end()
 
@@ -127,7 +127,7 @@
         await cluster.wait(lambda: len(cluster.list_starts("long")) > 1, 30)
         took = cluster.clock.monotonic() - began
         # Not for the tenure of the owner before, too.
-        self.assertLess(took, cluster.times.lease_over + timedelta(seconds=0.5))
+        self.assertLess(took, cluster.times.lease_expiry + timedelta(seconds=0.5))
         self.end()
 
     @virtual
@@ -138,18 +138,18 @@
         cluster.retire("w3", 10 * SECOND)
         await asyncio.sleep(1)
         self.assertEqual(self.read_cordons(), {"w3": ()})
-        await cluster.submit("waits", make_job(), cluster.find_other().name)
+        await cluster.submit("waits", make_job(), cluster.find_other_daemon().name)
         # It is gone with the owner, and nobody could take it off the roster.
         cluster.find_owner().store.faults.outage = True
         cluster.workers["w3"].kill()
         cluster.store.set(StandinRegistry.prefix + "w3", None)
         successor = await self.cut_owner_off()
         began = cluster.clock.monotonic()
-        await cluster.wait_for_state("waits", QueuedState.COMPLETED, "d2", 5)
+        await cluster.wait_for_state("waits", QueueJobState.COMPLETED, "d2", 5)
         self.assertLess(cluster.clock.monotonic() - began, 3 * SECOND)
         # Nor is anything counted against a quota for it.
-        self.assertNotEqual(successor.owner.list_unaccounted(), [])
-        self.assertEqual(list(successor.owner.list_unsure()), [])
+        self.assertNotEqual(successor.owner.list_unreconciled(), [])
+        self.assertEqual(list(successor.owner.list_unconfirmed_jobs()), [])
         self.end()
 
     @virtual
@@ -172,7 +172,7 @@
             await asyncio.sleep(2)
             await self.cut_owner_off()
             await asyncio.sleep(2)
-        self.assertTrue(cluster.find_broken_promises())
+        self.assertTrue(cluster.find_violations())
         cluster.close()
 
     @virtual
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -36,7 +36,7 @@
         for number in range(21):
             info = PoolWorker(f"w{number}", "hub", f"10.0.0.{number}:1", "z", ZERO_SIZE)
             await workers.start(info, 1, order)
-            await workers.hold(info, 1, 0, None, timedelta())
+            await workers.poll(info, 1, 0, None, timedelta())
         await workers.start(info, 1, order)
         self.assertEqual(client.kept[-1], SCARCE_KEEP_SECONDS)
         # Looks keep theirs, and with fewer workers so do orders.
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -72,7 +72,7 @@
             self.assertFalse(await self.fleet.poll())
             self.clock.move(SECOND)
         self.assertEqual(self._state("a"), InstanceState.LIVE)
-        self.assertEqual(self.fleet.last_answer, timedelta())
+        self.assertEqual(self.fleet.last_listed_at, timedelta())
 
     async def test_older_answer_does_not_take_back_that_it_leaves(self):
         target = make_target("a")
--- a/tests/test_foreign.py
+++ b/tests/test_foreign.py
@@ -17,18 +17,18 @@
 from damaskdeck.platform.jobs import read_job
 from damaskdeck.platform.workers import read_inventory
 from damaskdeck.protocol.pools import (
-    Contents,
-    Declared,
+    DeclaredQueues,
     PoolWorker,
-    Registered,
+    RegisteredWorkers,
     RegistryChanges,
     WorkerRegistry,
+    WorkerTasks,
 )
 from damaskdeck.protocol.ports import Lost
-from damaskdeck.protocol.queues import QueuedState, StepSpec
+from damaskdeck.protocol.queues import QueueJobState, StepSpec
 from damaskdeck.state.jobrecords import (
-    JOBS,
-    PROGRESS,
+    JOBS_PREFIX,
+    PROGRESS_PREFIX,
     ROSTER_KEY,
     JobRecord,
     ProgressRecord,
@@ -134,7 +134,7 @@
             with TestHandler() as log:
                 listed = await registry.list_workers()
                 await registry.list_workers()
-            self.assertIsInstance(listed, Registered)
+            self.assertIsInstance(listed, RegisteredWorkers)
             self.assertEqual([w.identifier for w in listed.workers], ["i-good"], value)
             told = [r for r in log.records if "can't be used" in r.message]
             self.assertEqual(len(told), 1, value)
@@ -199,7 +199,7 @@
                 text = json.dumps({**DOCUMENT, "routes": [route]})
                 store.set("op/config", text.encode())
                 found = await PlatformQueues(store).read_queues()
-                self.assertIsInstance(found, Declared)
+                self.assertIsInstance(found, DeclaredQueues)
                 self.assertIsNone(found.table, (name, value))
 
     @settings(derandomize=True, max_examples=150, deadline=None)
@@ -210,7 +210,7 @@
             store = Client()
             store.set("op/config", value)
             found = await PlatformQueues(store).read_queues()
-            self.assertIsInstance(found, Declared)
+            self.assertIsInstance(found, DeclaredQueues)
 
         play(self)
 
@@ -245,7 +245,7 @@
     )
     def test_any_inventory_is_read_or_lost(self, body):
         found = read_inventory(Reply(200, body))
-        self.assertIsInstance(found, Contents | Lost)
+        self.assertIsInstance(found, WorkerTasks | Lost)
 
 
 class TestRecords(unittest.TestCase):
@@ -311,7 +311,7 @@
         self.write_foreign()
         await cluster.start()
         await cluster.submit("j1", make_job(StepSpec(4, SMALL, SECOND)))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=5)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=5)
         contacts = cluster.find_owner().owner.contacts
         self.assertEqual(set(contacts), {"w0", "w1"})
         # A successor doesn't wait for what never was a worker.
@@ -320,7 +320,7 @@
         await cluster.wait(lambda: cluster.find_owner() is not None)
         await cluster.submit("j2", make_job(), cluster.find_owner().name)
         await cluster.wait_for_state(
-            "j2", QueuedState.COMPLETED, cluster.find_owner().name, seconds=5
+            "j2", QueueJobState.COMPLETED, cluster.find_owner().name, seconds=5
         )
         self.end()
 
@@ -331,16 +331,16 @@
         )
         await cluster.submit("j1", make_job(StepSpec(1, SMALL, SECOND)))
         await cluster.wait(lambda: len(cluster.list_starts()) == 1)
-        cluster.mute.add("w0")
+        cluster.externally_registered.add("w0")
         cluster.store.set("servers/w0", register("w0", remaining_ms=1e300))
         await asyncio.sleep(1.5)
         await cluster.submit("j2", make_job())
         await asyncio.sleep(1)
         self.assertEqual(len(cluster.list_starts("j2")), 0)
-        cluster.mute.clear()
+        cluster.externally_registered.clear()
         cluster.register(cluster.workers["w0"])
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=8)
-        await cluster.wait_for_state("j2", QueuedState.COMPLETED, seconds=8)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=8)
+        await cluster.wait_for_state("j2", QueueJobState.COMPLETED, seconds=8)
         self.assertEqual(len(cluster.list_starts()), 2)
         self.end()
 
@@ -348,11 +348,11 @@
     async def test_progress_that_cannot_be_read_starts_nothing_twice(self):
         cluster = await self.begin(workers=2)
         await cluster.submit("j1", make_job())
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=5)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=5)
         beyond = ProgressRecord("", True, (StepProgress(0, 9, (4,)),))
         for value in (b"\xc1", encode_record(beyond)):
-            cluster.store.set(PROGRESS + "j1", value)
-            cluster.store.set(JOBS + "odd", b"\xc1")
+            cluster.store.set(PROGRESS_PREFIX + "j1", value)
+            cluster.store.set(JOBS_PREFIX + "odd", b"\xc1")
             old = cluster.find_owner()
             old.kill()
             await cluster.wait(
@@ -360,34 +360,34 @@
             )
             name = cluster.find_owner().name
             await cluster.submit(f"k{name}", make_job(), name)
-            await cluster.wait_for_state(f"k{name}", QueuedState.COMPLETED, name, 5)
+            await cluster.wait_for_state(f"k{name}", QueueJobState.COMPLETED, name, 5)
         self.assertEqual(len(cluster.list_starts("j1")), 1)
         self.end()
 
     @virtual
     async def test_a_job_of_an_epoch_that_there_is_not_deposes_nobody(self):
         cluster = await self.begin(workers=2)
-        await cluster.complete_a_job()
+        await cluster.run_first_job()
         owner = cluster.find_owner()
         odd = JobRecord("odd", make_queue(), make_job(), 10**9, 0.0)
-        cluster.store.set(JOBS + "odd", encode_record(odd))
+        cluster.store.set(JOBS_PREFIX + "odd", encode_record(odd))
         await asyncio.sleep(1)
         self.assertIs(cluster.find_owner(), owner)
         await cluster.submit("j1", make_job())
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=5)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=5)
         self.assertEqual(cluster.list_starts("odd"), [])
         self.end()
 
     @virtual
     async def test_a_roster_that_cannot_be_read_makes_older_jobs_wait(self):
         cluster = await self.begin(workers=2)
-        await cluster.complete_a_job()
+        await cluster.run_first_job()
         cluster.store.set(ROSTER_KEY, b"\xc1")
         old = cluster.find_owner()
         old.kill()
         await cluster.wait(lambda: cluster.find_owner() not in (None, old))
         owner = cluster.find_owner()
-        self.assertTrue(owner.owner.board.jobs)
+        self.assertTrue(owner.owner.job_index.jobs)
         await cluster.submit("j1", make_job(), owner.name)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, owner.name, 5)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, owner.name, 5)
         self.end()
--- a/tests/test_fuzzing.py
+++ b/tests/test_fuzzing.py
@@ -24,10 +24,15 @@
 from damaskdeck.cli.session import get_path
 from damaskdeck.clock import SystemClock
 from damaskdeck.coordination.configuration.pulls import pull
-from damaskdeck.coordination.members.tables import Document, Holder
-from damaskdeck.coordination.requests.attempts import Course, Gone, Redirect
+from damaskdeck.coordination.members.tables import OwnerEntry, TableDocument
+from damaskdeck.coordination.requests.attempts import (
+    AnswerLost,
+    Redirect,
+    RequestContext,
+)
 from damaskdeck.errors import MessageError, SettingsError
-from damaskdeck.protocol.forwarding import Load
+from damaskdeck.protocol.configurationmessages import ConfigurationReport
+from damaskdeck.protocol.forwarding import ServiceLoad
 from damaskdeck.protocol.handlers import ServiceRequest, Submission
 from damaskdeck.protocol.heartbeats import (
     Echo,
@@ -51,12 +56,11 @@
 )
 from damaskdeck.protocol.outcomes import Completed, Refused, Unknown
 from damaskdeck.protocol.ports import Lost
-from damaskdeck.protocol.relays import ConfigurationReport
 from damaskdeck.protocol.resources import Kind
 from damaskdeck.protocol.summaries import WorkerSummary
 from damaskdeck.settings import Settings, load_settings
-from damaskdeck.state.names import read_ledger
-from damaskdeck.state.records import JobImage, encode_record
+from damaskdeck.state.names import parse_ledger_name
+from damaskdeck.state.records import JobSnapshot, encode_record
 from damaskdeck.state.segments import Head, decode_segment, encode
 from damaskdeck.transport.api.app import build_app
 from damaskdeck.transport.api.credentials import Credentials
@@ -76,7 +80,7 @@
 
 REFUSED = Unsent("invalid_message")
 INVALID_REPLY = Unanswered("invalid_reply")
-LOAD = Load(slots=1, free=1, queued=0, service_time=0.1, targets=1, ejected=0)
+LOAD = ServiceLoad(slots=1, free=1, queued=0, service_time=0.1, targets=1, ejected=0)
 ODD_REPLIES = (None, {}, [], 1, {"outcome": {}}, {"state": "known"}, {"jobs": [{}]})
 
 fuzz = settings(
@@ -103,10 +107,10 @@
     return {"ledger": "00", "epoch": 1, "tasks": [task]}
 
 
-def make_course(daemon: WholeDaemon) -> Course:
+def make_request_context(daemon: WholeDaemon) -> RequestContext:
     """Return a request on its way through the daemon's router."""
     request = ServiceRequest("r", "s", "maps", b"", timedelta(seconds=1))
-    return Course(request, daemon.clock)
+    return RequestContext(request, daemon.clock)
 
 
 async def deliver(daemon: WholeDaemon, kind: type, value: Any) -> Any:
@@ -119,7 +123,7 @@
     """Return the types of the reports on heartbeats, by topic."""
     return {
         "workers": WorkerSummary,
-        "load": dict[str, Load],
+        "load": dict[str, ServiceLoad],
         "configuration": ConfigurationReport,
     }
 
@@ -136,7 +140,9 @@
         api_address="127.0.0.1:4",
         incarnation="d2-1",
     )
-    echo = Echo(number=daemon.members._number, session=daemon.members.tenure.session)
+    echo = Echo(
+        number=daemon.members._number, session=daemon.members.owner_lease.session
+    )
     fields = {t: ReportFields(version=number, value=v) for t, v in reports.items()}
     heartbeat = Heartbeat(
         member=member, number=number, session="d2-1.1", echo=echo, reports=fields
@@ -165,7 +171,7 @@
                 await send_reports(daemon, number, dict([report]))
                 await asyncio.sleep(0.3)
                 daemon.check()
-                daemon.router._find_place(make_course(daemon))
+                daemon.router._choose_route(make_request_context(daemon))
             await daemon.close()
 
         run_virtual(run())
@@ -187,7 +193,7 @@
         summary = {"zone": "z1", "classes": [part], "preemptible": []}
         report = {"workers": encode_message(summary)}
         await send_reports(daemon, 1, report)
-        owners = daemon.keeper.desks["00"].dispatcher._owners
+        owners = daemon.ledger_owner.controllers["00"].dispatcher._owners
         owners.refresh()
         self.assertNotIn("d2", owners._views)
         await daemon.close()
@@ -210,7 +216,7 @@
                 answer = await deliver(daemon, get_message_type(name), value)
                 is_coded = answer == REFUSED or isinstance(answer, Answered)
                 self.assertTrue(is_coded, (name, value, answer))
-            daemon.members.beat()
+            daemon.members.send_heartbeats()
             daemon.members.list_live()
             await asyncio.sleep(3)
             daemon.check()
@@ -263,7 +269,7 @@
             claim = {"team": "t", "service": "s", "key": "k", "digest": b""}
             answer = await deliver(daemon, ClaimKey, {**claim, "timeout": timeout})
             self.assertEqual(answer, REFUSED, timeout)
-        self.assertFalse(daemon.keeper.desks["00"].kept.table.keys)
+        self.assertFalse(daemon.ledger_owner.controllers["00"].ledger.table.keys)
         await daemon.close()
 
     @virtual
@@ -531,7 +537,7 @@
     daemon = await WholeDaemon().start()
     await daemon.relay.put(Kind.TEAM, make_team(), None)
     await daemon.relay.put(Kind.WORKLOAD, make_workload(), None)
-    view = await daemon.keeper.submit_job(Submission("tiles", "maps", b"{}"))
+    view = await daemon.ledger_owner.submit_job(Submission("tiles", "maps", b"{}"))
     return daemon, view.name
 
 
@@ -598,28 +604,30 @@
         await daemon.relay.put(Kind.WORKLOAD, make_workload(), None)
         await send_reports(daemon, 1, {"load": encode_message({"s": LOAD})})
         await asyncio.sleep(0.1)
-        daemon.ownership.find_owner = lambda thing: Owner("d2", 9)
-        peer, keeper = OddPeer(daemon), daemon.keeper
+        daemon.ownership.find_owner = lambda shard: Owner("d2", 9)
+        peer, ledger_owner = OddPeer(daemon), daemon.ledger_owner
         for value in ODD_REPLIES:
             peer.body = encode_message(value)
             told = [
-                await keeper.submit_job(Submission("tiles", "maps", b"")),
-                await keeper.read_job("tiles-00-x"),
-                await keeper.cancel_job("tiles-00-x"),
-                await keeper.list_jobs("maps", "", 5),
-                await keeper.claim_key("maps", "s", "k", b"", timedelta(seconds=1)),
+                await ledger_owner.submit_job(Submission("tiles", "maps", b"")),
+                await ledger_owner.read_job("tiles-00-x"),
+                await ledger_owner.cancel_job("tiles-00-x"),
+                await ledger_owner.list_jobs("maps", "", 5),
+                await ledger_owner.claim_key(
+                    "maps", "s", "k", b"", timedelta(seconds=1)
+                ),
             ]
             self.assertTrue(all(isinstance(each, Unknown) for each in told), told)
             self.assertFalse(
-                await keeper.settle_key("maps", "s", "k", Completed()), value
+                await ledger_owner.settle_key("maps", "s", "k", Completed()), value
             )
             forwarded = await daemon.router._forwarder.forward(
-                Redirect("d2", 1.0), make_course(daemon)
+                Redirect("d2", 1.0), make_request_context(daemon)
             )
-            self.assertIsInstance(forwarded, Gone)
+            self.assertIsInstance(forwarded, AnswerLost)
             self.assertFalse(await pull(daemon.peers, "d2", daemon.configuration))
             await daemon.observer.list_resources("worker")
-            await daemon.relay.ask_in_force()
+            await daemon.relay.read_in_force()
             await asyncio.sleep(1)
             daemon.check()
         await daemon.close()
@@ -709,14 +717,14 @@
     async def restart_with(self, key: str, make: Any) -> tuple[WholeDaemon, str]:
         """Restart with another value at a key of the job's ledger."""
         daemon, job = await start_with_job()
-        prefix = f"ledger/{read_ledger(job)}/"
+        prefix = f"ledger/{parse_ledger_name(job)}/"
         entries = daemon.platform.store.list(prefix + key).entries
         entry = max(entries, key=lambda entry: entry.revision)
         daemon.overwrite(entry.key, make(entry.value))
         daemon = await daemon.restart()
-        held = daemon.ownership.list_held("ledger")
+        held = daemon.ownership.list_owned("ledger")
         self.assertEqual(len(held), 1, "the other ledger is open")
-        self.assertNotIn(f"ledger/{read_ledger(job)}", held)
+        self.assertNotIn(f"ledger/{parse_ledger_name(job)}", held)
         return daemon, job
 
     async def assert_closed(self, key: str, make: Any) -> None:
@@ -725,7 +733,7 @@
             daemon, job = await self.restart_with(key, make)
         told = {record.extra.get("code") for record in logged.records}
         self.assertIn("unreadable_ledger", told)
-        answer = await daemon.keeper.read_job(job)
+        answer = await daemon.ledger_owner.read_job(job)
         self.assertIsInstance(answer, Refused)
         self.assertEqual(answer.code, "no_keeper")
         await daemon.close()
@@ -745,7 +753,7 @@
     @virtual
     async def test_a_record_that_makes_no_sense_closes_its_ledger_alone(self):
         fields = {"fields": {"name": "x", "state": "odd", "reasons": None}}
-        record = encode_record(fields, JobImage)
+        record = encode_record(fields, JobSnapshot)
 
         def replace(value: bytes) -> bytes:
             segment = decode_segment(value)
@@ -756,17 +764,19 @@
     @virtual
     async def test_a_ledger_spoilt_under_its_keeper_refuses_and_others_go_on(self):
         daemon, job = await start_with_job()
-        log = daemon.keeper.desks[read_ledger(job)].kept._ledger._log
+        log = daemon.ledger_owner.controllers[
+            parse_ledger_name(job)
+        ].ledger._ledger._log
         slot = log._keys.slot(log.last + 1, log.head.slots)
         daemon.platform.store.put(slot, b"odd", None, "")
         submission = Submission("tiles", "maps", b"{}")
-        first = await daemon.keeper.submit_job(submission)
+        first = await daemon.ledger_owner.submit_job(submission)
         self.assertIsInstance(first, Unknown)
-        second = await daemon.keeper.submit_job(submission)
+        second = await daemon.ledger_owner.submit_job(submission)
         self.assertEqual(second.code, "unreadable_ledger")
         await asyncio.sleep(10)
         daemon.check()
-        self.assertEqual((await daemon.keeper.read_job(job)).name, job)
+        self.assertEqual((await daemon.ledger_owner.read_job(job)).name, job)
         await daemon.close()
 
     @virtual
@@ -784,7 +794,7 @@
         for value in (b"\x80", b"\x81\xa5floor\x00", b"[]"):
             daemon.overwrite("ownership/z1/worker", value)
             await asyncio.sleep(5)
-            self.assertEqual(daemon.ownership.list_held("worker"), ("worker/w1",))
+            self.assertEqual(daemon.ownership.list_owned("worker"), ("worker/w1",))
             self.assertEqual(daemon.ownership.get_epoch("worker/w1"), 1)
             entry = daemon.platform.store.get("ownership/z1/worker").entry
             self.assertEqual(entry.value, value, "written over")
@@ -805,11 +815,11 @@
         store = daemon.platform.store.connect("d2")
         lease = (await store.grant_lease(timedelta(hours=1))).lease
         await store.put("member/z1/d2", b"of a newer version", 0, lease)
-        holder = Holder("d2", "d2-1.1", 5)
-        table = Document(things={"00": holder, "01": holder})
+        holder = OwnerEntry("d2", "d2-1.1", 5)
+        table = TableDocument(things={"00": holder, "01": holder})
         daemon.overwrite("ownership/ledger", msgspec.msgpack.encode(table))
         await asyncio.sleep(60)
-        self.assertEqual(daemon.ownership.list_held("ledger"), ())
+        self.assertEqual(daemon.ownership.list_owned("ledger"), ())
         await store.revoke_lease(lease)
         await asyncio.sleep(60)
         self.assertEqual(daemon.ownership.get_epoch("ledger/00"), 6)
--- a/tests/test_gang_plane.py
+++ b/tests/test_gang_plane.py
@@ -5,10 +5,10 @@
 from datetime import timedelta
 from unittest import mock
 
-from damaskdeck.coordination.queues import lategangs
+from damaskdeck.coordination.queues import starvinggangs
 from damaskdeck.protocol.handlers import Submission
 from damaskdeck.protocol.resources import Kind
-from damaskdeck.state.names import pick_ledger
+from damaskdeck.state.names import select_ledger
 from standins.loops import VirtualLoop
 from standins.plane import Plane
 
@@ -52,7 +52,7 @@
     def find_teams(self):
         """Find a team of each ledger."""
         names = [f"t{number}" for number in range(40)]
-        ledgers = {pick_ledger(name, self.ledgers): name for name in names}
+        ledgers = {select_ledger(name, self.ledgers): name for name in names}
         return [ledgers[ledger] for ledger in sorted(ledgers)]
 
     async def stream(self):
@@ -85,7 +85,7 @@
         self.keys += 1
         submission = Submission(workload, team, payload, f"k{self.keys}")
         daemon = sorted(self.plane.registry.daemons)[-1]
-        return await self.plane.find(daemon).keeper.submit_job(submission)
+        return await self.plane.find(daemon).ledger_owner.submit_job(submission)
 
     async def submit_gang(self, team="team"):
         return (await self.submit(f"gang-{team}", team)).name
@@ -102,7 +102,7 @@
         """Wait until room is kept by some owner; returns the owner."""
         for _ in range(400):
             for name, daemon in self.plane.registry.daemons.items():
-                if daemon.host.rooms.find_kept():
+                if daemon.host.allocator.find_reserved_gang():
                     return name
             await self.plane.clock.sleep(SECOND / 10)
         self.fail("no room was kept")
@@ -111,7 +111,9 @@
         """Count the owners that keep room after a while."""
         await self.plane.clock.sleep(SECOND / 10)
         daemons = self.plane.registry.daemons.values()
-        return sum(bool(daemon.host.rooms.find_kept()) for daemon in daemons)
+        return sum(
+            bool(daemon.host.allocator.find_reserved_gang()) for daemon in daemons
+        )
 
     async def restart(self, name):
         await self.plane.kill(name)
@@ -131,7 +133,9 @@
 
     def test_gang_starves_if_no_room_is_kept(self):
         async def test():
-            with mock.patch.object(lategangs, "GANG_WAIT", timedelta(days=1)):
+            with mock.patch.object(
+                starvinggangs, "STARVATION_LIMIT", timedelta(days=1)
+            ):
                 job = await self.submit_gang()
                 self.assertIsNone(await self.wait_for_start(job, 300))
 
@@ -141,10 +145,10 @@
         async def test():
             job = await self.submit_gang()
             await self.wait_for_kept_room()
-            await self.plane.find("d2").keeper.cancel_job(job)
+            await self.plane.find("d2").ledger_owner.cancel_job(job)
             await self.plane.clock.sleep(6 * SECOND)
             for daemon in self.plane.registry.daemons.values():
-                self.assertEqual(daemon.host.rooms.find_kept(), "")
+                self.assertEqual(daemon.host.allocator.find_reserved_gang(), "")
 
         self.run_plane(test)
 
@@ -196,7 +200,9 @@
         async def test():
             job = await self.submit_gang()
             await self.wait_for_kept_room()
-            self.assertEqual(self.plane.find("d2").host.rooms.find_kept(), job)
+            self.assertEqual(
+                self.plane.find("d2").host.allocator.find_reserved_gang(), job
+            )
             await self.restart("d2")
             self.assertIsNotNone(await self.wait_for_start(job, 2 * START_LIMIT))
 
@@ -234,7 +240,9 @@
             self.plane.find("d1").die()
             await self.plane.clock.sleep(6 * SECOND)
             for name in ("d2", "d3"):
-                self.assertEqual(self.plane.find(name).host.rooms.find_kept(), "")
+                self.assertEqual(
+                    self.plane.find(name).host.allocator.find_reserved_gang(), ""
+                )
 
         self.run_plane(test)
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -3,14 +3,14 @@
 import unittest
 from datetime import timedelta
 
+from damaskdeck.coordination.places.allocator import CapacityAllocator, Hold
 from damaskdeck.coordination.places.backfill import Backfill
 from damaskdeck.coordination.places.gangrooms import KEEP_LIMIT, REST_TIME
 from damaskdeck.coordination.places.placement import Placed, Placer
-from damaskdeck.coordination.places.rooms import Held, Rooms
-from damaskdeck.protocol.jobs import GangRequest, Request, SizeData
+from damaskdeck.protocol.jobs import GangRequest, ReservationRequest, SizeData
 from damaskdeck.protocol.resources import Urgency
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.state.accounts import Accounts, TaskNeed
+from damaskdeck.state.workeraccounts import TaskNeed, WorkerAccounts
 from standins.clock import ManualClock
 from tests.test_accounts import make_worker
 
@@ -23,7 +23,7 @@
 
     def setUp(self):
         self.clock = ManualClock()
-        self.accounts = Accounts()
+        self.accounts = WorkerAccounts()
         for name in ("w", "x", "y"):
             self.accounts.set_worker(make_worker(name, LARGE))
         self.times = {}
@@ -53,7 +53,7 @@
         if not isinstance(outcome, Placed):
             return None
         self.accounts.reserve(need, outcome.worker)
-        self.backfill.note_start(need, outcome.worker)
+        self.backfill.record_start(need, outcome.worker)
         return outcome.worker
 
     def test_the_plan_takes_the_workers_that_are_free_first(self):
@@ -119,29 +119,31 @@
 
     def setUp(self):
         self.clock = ManualClock()
-        self.accounts = Accounts()
+        self.accounts = WorkerAccounts()
         for name in ("w", "x"):
             self.accounts.set_worker(make_worker(name, LARGE))
-        self.rooms = Rooms(self.accounts, self.clock, lambda *_: None)
+        self.allocator = CapacityAllocator(self.accounts, self.clock, lambda *_: None)
 
     def ask(self, job, size=LARGE, submitted=None, count=2, index=0):
         task = f"{job}-{index}"
-        request = Request(task=task, attempt=1, size=SizeData(**size._asdict()))
+        request = ReservationRequest(
+            task=task, attempt=1, size=SizeData(**size._asdict())
+        )
         if submitted is not None:
             gang = GangRequest(submitted=submitted, index=index, count=count)
             request["gang"] = gang
-        return self.rooms.hold(request)
+        return self.allocator.hold(request)
 
     def run_small(self, number):
         """Hold and start a task of one workload; returns its worker."""
         held = self.ask(f"small-00-{number}", SMALL)
-        if isinstance(held, Held):
-            self.rooms.confirm(f"small-00-{number}-0", held.worker)
+        if isinstance(held, Hold):
+            self.allocator.confirm(f"small-00-{number}-0", held.worker)
         return held
 
     def end_small(self, number):
         held = self.accounts.release(f"small-00-{number}-0")
-        self.rooms.note_end(held.worker, held.need.task, "succeeded")
+        self.allocator.record_end(held.worker, held.need.task, "succeeded")
 
     def learn(self):
         """Let tasks of one workload be seen to run for ten seconds."""
@@ -167,7 +169,7 @@
         self.learn()
         self.fill(60)
         self.assertEqual(self.ask("gang-00-a", submitted=1), "room_kept")
-        self.assertIsInstance(self.run_small(20), Held)
+        self.assertIsInstance(self.run_small(20), Hold)
         self.assertEqual(self.ask("other-00-a", SMALL), "no_room")
 
     def test_short_work_is_refused_once_it_would_delay_the_gang(self):
@@ -176,7 +178,7 @@
         for _ in range(14):
             self.ask("gang-00-a", submitted=1)
             self.clock.move(4 * SECOND)
-        self.assertEqual(self.rooms.find_kept(), "gang-00-a")
+        self.assertEqual(self.allocator.find_reserved_gang(), "gang-00-a")
         self.assertEqual(self.run_small(20), "no_room")
 
     def test_first_gang_goes_before_others_whoever_asks_first(self):
@@ -184,7 +186,7 @@
         self.assertEqual(self.ask("gang-00-b", submitted=2), "room_kept")
         self.assertEqual(self.ask("gang-01-a", submitted=1), "room_kept")
         self.assertEqual(self.ask("gang-00-b", submitted=2), "no_room")
-        self.assertEqual(self.rooms.find_kept(), "gang-01-a")
+        self.assertEqual(self.allocator.find_reserved_gang(), "gang-01-a")
 
     def test_room_is_kept_for_a_bounded_time(self):
         self.fill(20 * 3600)
@@ -192,15 +194,15 @@
             self.assertEqual(self.ask("gang-00-a", submitted=1), "room_kept")
             self.clock.move(4 * SECOND)
         self.assertEqual(self.ask("gang-00-a", submitted=1), "no_room")
-        self.assertIsInstance(self.ask("other-00-a", SMALL), Held)
+        self.assertIsInstance(self.ask("other-00-a", SMALL), Hold)
         self.clock.move(REST_TIME)
-        self.rooms.expire()
+        self.allocator.expire()
         self.assertEqual(self.ask("gang-00-a", submitted=1), "room_kept")
 
     def test_room_ends_when_nobody_asks_again(self):
         self.fill(60)
         self.ask("gang-00-a", submitted=1)
         self.clock.move(6 * SECOND)
-        self.rooms.expire()
-        self.assertEqual(self.rooms.find_kept(), "")
-        self.assertIsInstance(self.ask("other-00-a", SMALL), Held)
+        self.allocator.expire()
+        self.assertEqual(self.allocator.find_reserved_gang(), "")
+        self.assertIsInstance(self.ask("other-00-a", SMALL), Hold)
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -11,7 +11,7 @@
     TASK_RENEWAL,
 )
 from damaskdeck.protocol.handlers import JobState, Submission
-from damaskdeck.protocol.jobs import SizeData, Start
+from damaskdeck.protocol.jobs import SizeData, TaskToStart
 from damaskdeck.protocol.ports import StartOrder
 from damaskdeck.protocol.sizes import Size
 from standins.faults import FaultKind
@@ -35,8 +35,8 @@
         self.job = await self.submit(payload)
 
     async def submit(self, payload):
-        keeper = self.plane.find("d1").keeper
-        view = await keeper.submit_job(Submission("batch", "team", payload))
+        ledger_owner = self.plane.find("d1").ledger_owner
+        view = await ledger_owner.submit_job(Submission("batch", "team", payload))
         return view.name
 
     async def sleep(self, seconds):
@@ -51,7 +51,7 @@
 
     async def order(self, daemon, epoch):
         """Order the start of a task that its keeper doesn't know."""
-        start = Start(
+        start = TaskToStart(
             task="x-00-1-0",
             attempt=1,
             worker="w1",
@@ -97,7 +97,7 @@
     async def test_adopted_task_is_spared_until_its_keeper_tells_of_it(self):
         await self.start(ENDLESS, urgency="low")
         await self.sleep(2)
-        self.plane.find("d1").keeper.desks["00"]._runner.cancel()
+        self.plane.find("d1").ledger_owner.controllers["00"]._runner.cancel()
         await self.plane.registry.hand_over("worker/w1", "d1")
         await self.sleep(1)
         accounts = self.plane.find("d1").host.accounts
@@ -146,7 +146,7 @@
         old = self.plane.find("d2").host.sessions["w1"]
         await self.plane.registry.take_over("worker/w1", "d1")
         await self.sleep(1)
-        start = Start(task="x-00-1-0", attempt=1, worker="w1", payload=b"")
+        start = TaskToStart(task="x-00-1-0", attempt=1, worker="w1", payload=b"")
         old.orders.start(start)
         await self.sleep(1)
         self.check_runs(1)
@@ -186,8 +186,8 @@
         worker = self.plane.platform.workers["w1"]
         self.plane.platform.cut_off("d1", "w1")
         await self.plane.registry.take_over("worker/w1", "d1")
-        followups = self.plane.find("d1").keeper.desks["00"].followups
-        followups._epochs["w1"] = self.plane.registry.owners["worker/w1"].epoch
+        tracker = self.plane.find("d1").ledger_owner.controllers["00"].tracker
+        tracker._epochs["w1"] = self.plane.registry.owners["worker/w1"].epoch
         worker.pause()
         job = await self.submit(LONG)
         await self.sleep(1)
@@ -266,7 +266,7 @@
         stand_in.start(host.sessions[other].epoch, order)
         await self.sleep(0.005)
         self.assertEqual(host.accounts.workers[other].free.millicores, 1000)
-        wrong = Start(**(granted | {"worker": other}), payload=ENDLESS)
+        wrong = TaskToStart(**(granted | {"worker": other}), payload=ENDLESS)
         message = {"ledger": "00", "epoch": 1, "tasks": [wrong]}
         reply = await host._start("d1", message)
         self.assertTrue(reply["refused"])
@@ -355,8 +355,8 @@
 
     async def let_go(self, name):
         """Let a worker's owner lose it."""
-        registry, thing = self.plane.registry, f"worker/{name}"
-        await registry.daemons[registry.owners[thing].instance].ownership.lose(thing)
+        registry, shard = self.plane.registry, f"worker/{name}"
+        await registry.daemons[registry.owners[shard].instance].ownership.lose(shard)
 
     @virtual
     async def test_renewal_on_its_way_when_a_worker_is_let_go_is_counted(self):
@@ -422,8 +422,8 @@
         self.plane.declare()
         await self.sleep(2)
         session = self.plane.find("d1").host.sessions["w1"]
-        keeper = self.plane.find("d1").keeper
-        view = await keeper.submit_job(Submission("batch", "team", LONG))
+        ledger_owner = self.plane.find("d1").ledger_owner
+        view = await ledger_owner.submit_job(Submission("batch", "team", LONG))
         for _ in range(2000):
             if session.roster.has_doubts():
                 break
@@ -542,7 +542,7 @@
         worker = await self.overload()
         self.assertGreater(worker.calls["stop"], 0)
         self.assertLess(len(worker.list_running()), 4)
-        view = await self.plane.find("d1").keeper.read_job(self.job)
+        view = await self.plane.find("d1").ledger_owner.read_job(self.job)
         self.assertTrue(any("worker_full" in reason for reason in view.reasons))
 
     @virtual
@@ -564,8 +564,8 @@
         plane.declare()
         await plane.registry.hand_over("worker/w1", "d2")
         before = plane.clock.monotonic()
-        keeper = plane.find("d1").keeper
-        await keeper.submit_job(Submission("batch", "team", ENDLESS))
+        ledger_owner = plane.find("d1").ledger_owner
+        await ledger_owner.submit_job(Submission("batch", "team", ENDLESS))
         await plane.clock.sleep(timedelta(seconds=10))
         waited = plane.platform.runs.starts[0].time - before
         self.assertGreaterEqual(waited, 2 * MEMBER_LEASE)
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -8,10 +8,10 @@
 from damaskdeck.errors import MessageError
 from damaskdeck.protocol.handlers import FINAL_JOB_STATES, JobState
 from damaskdeck.state import names, records
-from damaskdeck.state.changes import apply_record
-from damaskdeck.state.jobs import JobTable
+from damaskdeck.state.jobmodel import FINAL_TASK_STATES, TaskState
+from damaskdeck.state.jobtable import JobTable
 from damaskdeck.state.records import encode_record
-from damaskdeck.state.work import FINAL_TASK_STATES, TaskState
+from damaskdeck.state.replay import apply_record
 
 JOBS = ("a-00-1", "b-00-2")
 SPEC = {"team": "t", "type": "batch", "size": {"memory": 1}, "tasks": 2}
@@ -75,7 +75,7 @@
         )
     ),
     st.sampled_from(JOBS).map(
-        lambda job: ({"jobs": [job], "keys": []}, records.Forgotten)
+        lambda job: ({"jobs": [job], "keys": []}, records.RemovedJobs)
     ),
 )
 
@@ -103,7 +103,7 @@
         apply_all(changes[cut:], restored)
         self.assertEqual(restored.jobs, whole.jobs)
         self.assertEqual(restored.tasks, whole.tasks)
-        self.assertEqual(restored.forgotten, whole.forgotten)
+        self.assertEqual(restored.removed_jobs, whole.removed_jobs)
 
     @settings(derandomize=True, deadline=None, max_examples=200)
     @given(st.lists(changes, max_size=40))
@@ -168,17 +168,17 @@
     """Names tell the ledger, and the same key gives the same name."""
 
     def test_ledger_and_job_are_read_from_names(self):
-        job = names.name_job("w" * 60, "team", "03", "key")
-        self.assertEqual(names.read_ledger(job), "03")
-        self.assertEqual(names.read_job(names.name_task(job, 12)), job)
-        self.assertLessEqual(len(names.name_task(job, 3999)), 63)
-        self.assertIsNone(names.read_ledger("nonsense"))
+        job = names.build_job_name("w" * 60, "team", "03", "key")
+        self.assertEqual(names.parse_ledger_name(job), "03")
+        self.assertEqual(names.parse_job_name(names.build_task_name(job, 12)), job)
+        self.assertLessEqual(len(names.build_task_name(job, 3999)), 63)
+        self.assertIsNone(names.parse_ledger_name("nonsense"))
 
     def test_key_gives_the_name_and_no_key_a_new_one(self):
         first, again, other, none = (
-            names.name_job("w", team, "03", key)
+            names.build_job_name("w", team, "03", key)
             for team, key in (("t", "k"), ("t", "k"), ("u", "k"), ("t", ""))
         )
         self.assertEqual(first, again)
         self.assertNotEqual(first, other)
-        self.assertNotEqual(none, names.name_job("w", "t", "03", ""))
+        self.assertNotEqual(none, names.build_job_name("w", "t", "03", ""))
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from damaskdeck import defaults
-from damaskdeck.protocol.handlers import Claimed, JobState, Known, Submission
+from damaskdeck.protocol.handlers import ClaimedKey, JobState, KnownKey, Submission
 from damaskdeck.protocol.outcomes import Completed, Refused
 from damaskdeck.protocol.resources import POLICY_NAME, Kind
 from damaskdeck.protocol.sizes import Size
@@ -26,7 +26,7 @@
     async def test_job_is_submitted_run_and_read_from_any_daemon(self):
         plane = await Plane().start()
         plane.declare(tasks=2)
-        view = await plane.find("d2").keeper.submit_job(
+        view = await plane.find("d2").ledger_owner.submit_job(
             Submission("batch", "team", RESULT)
         )
         self.assertEqual(view.state, JobState.QUEUED)
@@ -39,13 +39,13 @@
     async def test_repeated_key_meets_the_first_job(self):
         plane = await Plane().start()
         plane.declare()
-        first = await plane.find("d1").keeper.submit_job(
+        first = await plane.find("d1").ledger_owner.submit_job(
             Submission("batch", "team", RESULT, "k1")
         )
-        again = await plane.find("d2").keeper.submit_job(
+        again = await plane.find("d2").ledger_owner.submit_job(
             Submission("batch", "team", RESULT, "k1")
         )
-        other = await plane.find("d2").keeper.submit_job(
+        other = await plane.find("d2").ledger_owner.submit_job(
             Submission("batch", "team", b"{}", "k1")
         )
         self.assertEqual(again.name, first.name)
@@ -57,7 +57,9 @@
     async def test_job_too_large_for_every_worker_is_refused_with_the_dimension(self):
         plane = await Plane().start()
         plane.declare(size={"processors": 1, "memory": 9000})
-        answer = await plane.find("d1").keeper.submit_job(Submission("batch", "team"))
+        answer = await plane.find("d1").ledger_owner.submit_job(
+            Submission("batch", "team")
+        )
         self.assertIsInstance(answer, Refused)
         self.assertEqual(answer.code, "impossible")
         self.assertIn("memory", answer.detail)
@@ -66,7 +68,7 @@
 async def submit(plane, payload=RESULT, workload="batch", at="d2", key=""):
     """Submit a job and return its view."""
     submission = Submission(workload, "team", payload, key)
-    return await plane.find(at).keeper.submit_job(submission)
+    return await plane.find(at).ledger_owner.submit_job(submission)
 
 
 class TestLostReplies(unittest.TestCase):
@@ -103,7 +105,7 @@
         self.assertIsInstance(view, Refused)
         await plane.clock.sleep(10 * SECOND)
         self.assertEqual(plane.platform.runs.starts, [])
-        self.assertEqual(await plane.find("d1").keeper.list_jobs("", "", 10), ())
+        self.assertEqual(await plane.find("d1").ledger_owner.list_jobs("", "", 10), ())
 
     @virtual
     async def test_queued_job_that_is_cancelled_is_refused(self):
@@ -112,7 +114,7 @@
         await submit(plane, ENDLESS)
         await plane.clock.sleep(SECOND)
         view = await submit(plane)
-        await plane.find("d2").keeper.cancel_job(view.name)
+        await plane.find("d2").ledger_owner.cancel_job(view.name)
         ended = await plane.wait_for_end(view.name)
         self.assertEqual((ended.state, ended.code), (JobState.REFUSED, "cancelled"))
         self.assertEqual(len(plane.platform.runs.starts), 1)
@@ -123,7 +125,7 @@
         plane.declare(tasks=3)
         view = await submit(plane, ENDLESS)
         await plane.clock.sleep(2 * SECOND)
-        await plane.find("d2").keeper.cancel_job(view.name)
+        await plane.find("d2").ledger_owner.cancel_job(view.name)
         ended = await plane.wait_for_end(view.name, seconds=5)
         self.assertEqual((ended.state, ended.code), (JobState.FAILED, "cancelled"))
         for worker in plane.platform.workers.values():
@@ -135,7 +137,7 @@
         plane.declare()
         view = await submit(plane)
         ended = await plane.wait_for_end(view.name)
-        again = await plane.find("d2").keeper.cancel_job(view.name)
+        again = await plane.find("d2").ledger_owner.cancel_job(view.name)
         self.assertEqual(again, ended)
 
     @virtual
@@ -204,7 +206,7 @@
         plane.declare(idempotent=False)
         await plane.clock.sleep(SECOND)
         view = await submit(plane, at="d1")
-        table = plane.find("d1").keeper.desks["00"].kept.table
+        table = plane.find("d1").ledger_owner.controllers["00"].ledger.table
         for _ in range(5000):
             if table.tasks[f"{view.name}-0"].state != "queued":
                 break
@@ -223,12 +225,12 @@
         plane.declare()
         view = await submit(plane, ENDLESS)
         await plane.clock.sleep(2 * SECOND)
-        desk = plane.find("d1").keeper.desks["00"]
-        task = desk.kept.table.tasks[f"{view.name}-0"]
+        controller = plane.find("d1").ledger_owner.controllers["00"]
+        task = controller.ledger.table.tasks[f"{view.name}-0"]
         news = {"task": task.name, "attempt": 0, "worker": "w1", "state": "lost"}
-        noted = await desk.followups.take_news([news])
+        noted = await controller.tracker.take_news([news])
         self.assertEqual(len(noted["noted"]), 1)
-        self.assertEqual(desk.kept.table.tasks[task.name], task)
+        self.assertEqual(controller.ledger.table.tasks[task.name], task)
 
     @virtual
     async def test_late_news_of_a_former_owner_settle_no_doubt(self):
@@ -236,14 +238,14 @@
         plane.declare()
         view = await submit(plane, ENDLESS)
         await plane.clock.sleep(2 * SECOND)
-        followups = plane.find("d1").keeper.desks["00"].followups
+        tracker = plane.find("d1").ledger_owner.controllers["00"].tracker
         task = f"{view.name}-0"
-        followups.doubt([task])
+        tracker.doubt([task])
         news = {"task": task, "attempt": 1, "worker": "w1", "state": "running"}
-        await followups.take_news([news])
-        self.assertIn(task, followups._doubts)
+        await tracker.take_news([news])
+        self.assertIn(task, tracker._doubts)
         await plane.clock.sleep(2 * SECOND)
-        self.assertNotIn(task, followups._doubts)
+        self.assertNotIn(task, tracker._doubts)
 
 
 class TestKeys(unittest.TestCase):
@@ -252,26 +254,26 @@
     @virtual
     async def test_key_is_claimed_once_and_its_outcome_is_remembered(self):
         plane = await Plane().start()
-        first, second = plane.find("d1").keeper, plane.find("d2").keeper
+        first, second = plane.find("d1").ledger_owner, plane.find("d2").ledger_owner
         claim = ("team", "orders", "k1", b"digest", 30 * SECOND)
         claims = await asyncio.gather(first.claim_key(*claim), second.claim_key(*claim))
-        self.assertEqual(claims.count(Claimed()), 1)
+        self.assertEqual(claims.count(ClaimedKey()), 1)
         other = await first.claim_key("team", "orders", "k1", b"other", SECOND)
         self.assertEqual(other.code, "key_reused")
         outcome = Completed(b"done", "text/plain")
         self.assertTrue(await second.settle_key("team", "orders", "k1", outcome))
         await plane.kill("d1")
-        self.assertEqual(await second.claim_key(*claim), Known(outcome))
+        self.assertEqual(await second.claim_key(*claim), KnownKey(outcome))
 
     @virtual
     async def test_claim_without_an_outcome_becomes_unknown(self):
         plane = await Plane().start()
-        keeper = plane.find("d2").keeper
+        ledger_owner = plane.find("d2").ledger_owner
         claim = ("team", "orders", "k1", b"digest", 3 * SECOND)
-        await keeper.claim_key(*claim)
-        self.assertEqual((await keeper.claim_key(*claim)).code, "in_progress")
+        await ledger_owner.claim_key(*claim)
+        self.assertEqual((await ledger_owner.claim_key(*claim)).code, "in_progress")
         await plane.clock.sleep(4 * SECOND)
-        known = await keeper.claim_key(*claim)
+        known = await ledger_owner.claim_key(*claim)
         self.assertEqual(known.outcome.code, "answer_lost")
 
 
@@ -290,9 +292,9 @@
         view = await submit(plane, ENDLESS, "gang")
         await plane.clock.sleep(10 * SECOND)
         self.assertEqual(len(plane.platform.runs.starts), 1)
-        jobs = await plane.find("d1").keeper.list_jobs("team", "", 10)
+        jobs = await plane.find("d1").ledger_owner.list_jobs("team", "", 10)
         small = next(job for job in jobs if job.workload == "small")
-        await plane.find("d1").keeper.cancel_job(small.name)
+        await plane.find("d1").ledger_owner.cancel_job(small.name)
         await plane.clock.sleep(5 * SECOND)
         self.assertEqual(len(plane.platform.runs.starts), 9)
         self.assertEqual((await submit_read(plane, view)).state, JobState.RUNNING)
@@ -318,7 +320,7 @@
         plane.configuration.declare(Kind.TEAM, "team", {"quota": quota})
         plane.declare("low", "other", urgency="low", checkpoint=True, tasks=4)
         plane.declare("urgent", urgency="urgent")
-        low = await plane.find("d1").keeper.submit_job(
+        low = await plane.find("d1").ledger_owner.submit_job(
             Submission("low", "other", b'{"run_time": 20}')
         )
         await plane.clock.sleep(5 * SECOND)
@@ -423,7 +425,9 @@
         plane.configuration.declare(Kind.TEAM, "other", {"quota": {"processors": 3}})
         plane.declare("batch", size={"processors": 1, "memory": 1000})
         plane.declare("others", "other", size={"processors": 3})
-        await plane.find("d1").keeper.submit_job(Submission("others", "other", ENDLESS))
+        await plane.find("d1").ledger_owner.submit_job(
+            Submission("others", "other", ENDLESS)
+        )
         await submit(plane, ENDLESS)
         await plane.clock.sleep(2 * SECOND)
         view = await submit(plane, ENDLESS)
@@ -498,8 +502,8 @@
         plane.declare()
         view = await submit(plane, key="k")
         await plane.wait_for_end(view.name)
-        desk = plane.find("d1").keeper.desks["00"]
-        desk._retention._retention = 60 * SECOND
+        controller = plane.find("d1").ledger_owner.controllers["00"]
+        controller._retention._retention = 60 * SECOND
         await plane.clock.sleep(150 * SECOND)
         self.assertEqual((await submit_read(plane, view)).code, "forgotten")
         self.assertEqual((await submit(plane, key="k")).code, "forgotten")
@@ -508,7 +512,7 @@
 
 async def submit_read(plane, view):
     """Read a job again."""
-    return await plane.find("d2").keeper.read_job(view.name)
+    return await plane.find("d2").ledger_owner.read_job(view.name)
 
 
 def count_running(plane):
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -4,7 +4,7 @@
 import unittest
 
 from damaskdeck import defaults
-from damaskdeck.coordination.jobs.kept import KeptLedger
+from damaskdeck.coordination.jobs.ownedledger import OwnedLedger
 from damaskdeck.state.records import KeyClaimed
 from standins.loops import LoopClock
 from standins.store import MemoryStore
@@ -23,7 +23,7 @@
         clock = LoopClock()
         store = MemoryStore(clock)
         ledgers = [
-            KeptLedger(
+            OwnedLedger(
                 f"{number:02d}",
                 1,
                 store.connect("entry-1"),
@@ -42,7 +42,7 @@
             task.cancel()
         return (store.calls["put"] - before) / SECONDS
 
-    async def commit_all(self, ledger: KeptLedger) -> None:
+    async def commit_all(self, ledger: OwnedLedger) -> None:
         """Commit one record after the other."""
         number = 0
         while True:
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -13,7 +13,7 @@
 from damaskdeck.cli import logs as explaining
 from damaskdeck.lines import IDENTIFIER_LIMIT, LineHandler, LineWriter
 from damaskdeck.logs import get_logger
-from damaskdeck.protocol.queues import QueuedState, StepSpec
+from damaskdeck.protocol.queues import QueueJobState, StepSpec
 from tests.poolcluster import SECOND, SMALL, PoolCluster, make_job
 from tests.virtual import virtual
 
@@ -63,7 +63,7 @@
             cluster = PoolCluster()
             await cluster.start()
             await cluster.submit("j1", make_job(StepSpec(2, SMALL, SECOND)))
-            await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+            await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
             cluster.close()
 
         with self.handler.applicationbound():
--- a/tests/test_lost_replies.py
+++ b/tests/test_lost_replies.py
@@ -18,12 +18,14 @@
         plane.declare()
         plane.switch.lose_replies("d2", "d1")
         submission = Submission("batch", "team", b"{}", "k")
-        keeper = plane.find("d2").keeper
-        task = asyncio.ensure_future(keeper.submit_job(submission))
+        ledger_owner = plane.find("d2").ledger_owner
+        task = asyncio.ensure_future(ledger_owner.submit_job(submission))
         await asyncio.sleep(1)
         during(plane)
         answer = await task
-        self.assertEqual(len(plane.find("d1").keeper.desks["00"].kept.table.jobs), 1)
+        self.assertEqual(
+            len(plane.find("d1").ledger_owner.controllers["00"].ledger.table.jobs), 1
+        )
         return answer
 
     @virtual
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,7 +7,7 @@
 from damaskdeck.coordination.members.digests import DIGEST_LIMIT, Relay
 from damaskdeck.coordination.members.membership import PROMISE_TIME, Membership
 from damaskdeck.coordination.members.rendezvous import choose_links
-from damaskdeck.coordination.members.tenures import Tenure
+from damaskdeck.coordination.members.tenures import OwnerLease
 from damaskdeck.protocol.members import Member
 from standins.clock import ManualClock, settle
 from standins.peers import PeerSwitch
@@ -82,7 +82,7 @@
         self.assertNotIn("a1", self.list_live("a2"))
         self.deployment.clock.move(SECOND)
         self.deployment.resume("a1")
-        self.members["a1"].beat()
+        self.members["a1"].send_heartbeats()
         self.assertIn("a2", self.list_live("a1"))
 
     async def test_death_after_the_own_pause_is_noticed_in_time(self):
@@ -200,9 +200,9 @@
         far = [f"b{index:03}" for index in range(300)]
         for name in far:
             member = Member(name, "zone-b", "r", "127.0.0.1:1", "", name)
-            beat = {"member": member._asdict(), "number": 1, "session": name}
-            beat["reports"] = {"load": {"version": 1, "value": bytes(200)}}
-            await daemon.members._take_heartbeat(name, beat)
+            send_heartbeats = {"member": member._asdict(), "number": 1, "session": name}
+            send_heartbeats["reports"] = {"load": {"version": 1, "value": bytes(200)}}
+            await daemon.members._handle_heartbeat(name, send_heartbeats)
         seen = set()
         relay, relayed = Relay(), daemon.members._list_relayed(True, timedelta())
         for _ in range(80):
@@ -218,26 +218,26 @@
     """The time during which a daemon may decide."""
 
     def setUp(self):
-        self.tenure = Tenure("s", "lease-1", 1)
-        self.tenure.renew(timedelta(), 3 * SECOND)
+        self.owner_lease = OwnerLease("s", "lease-1", 1)
+        self.owner_lease.renew(timedelta(), 3 * SECOND)
 
     def test_lease_ends_early_by_the_drift_of_clocks(self):
-        self.assertTrue(self.tenure.is_leased(2.9 * SECOND))
-        self.assertFalse(self.tenure.is_leased(2.98 * SECOND))
+        self.assertTrue(self.owner_lease.is_leased(2.9 * SECOND))
+        self.assertFalse(self.owner_lease.is_leased(2.98 * SECOND))
 
     def test_promises_prolong_it_without_a_gap_only(self):
-        self.tenure.prolong(4 * SECOND, 2 * SECOND)
-        self.assertTrue(self.tenure.is_valid(3.5 * SECOND))
-        self.assertFalse(self.tenure.is_leased(3.5 * SECOND))
-        self.tenure.prolong(6 * SECOND, 4.5 * SECOND)
-        self.assertFalse(self.tenure.is_valid(5 * SECOND))
+        self.owner_lease.prolong(4 * SECOND, 2 * SECOND)
+        self.assertTrue(self.owner_lease.is_valid(3.5 * SECOND))
+        self.assertFalse(self.owner_lease.is_leased(3.5 * SECOND))
+        self.owner_lease.prolong(6 * SECOND, 4.5 * SECOND)
+        self.assertFalse(self.owner_lease.is_valid(5 * SECOND))
 
     def test_renewed_lease_bridges_a_gap(self):
-        self.assertFalse(self.tenure.is_valid(3.5 * SECOND))
-        self.tenure.renew(3.4 * SECOND, 3 * SECOND)
-        self.assertTrue(self.tenure.is_valid(3.5 * SECOND))
+        self.assertFalse(self.owner_lease.is_valid(3.5 * SECOND))
+        self.owner_lease.renew(3.4 * SECOND, 3 * SECOND)
+        self.assertTrue(self.owner_lease.is_valid(3.5 * SECOND))
 
     def test_ended_tenure_is_over_at_once(self):
-        self.tenure.prolong(SECOND + PROMISE_TIME, SECOND)
-        self.tenure.end()
-        self.assertFalse(self.tenure.is_valid(SECOND))
+        self.owner_lease.prolong(SECOND + PROMISE_TIME, SECOND)
+        self.owner_lease.end()
+        self.assertFalse(self.owner_lease.is_valid(SECOND))
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -21,22 +21,24 @@
         plane = await Plane(workers=1).start()
         plane.declare(tasks=3, size={"processors": 1, "memory": 1})
         submission = Submission("batch", "team", RESULT)
-        view = await plane.find("d1").keeper.submit_job(submission)
+        view = await plane.find("d1").ledger_owner.submit_job(submission)
         await asyncio.sleep(3)
-        desk = plane.find("d1").keeper.desks["00"]
+        controller = plane.find("d1").ledger_owner.controllers["00"]
         news = [
-            jobs.TaskNews(
+            jobs.TaskUpdate(
                 task=task.name,
                 attempt=task.attempt,
                 worker=task.worker,
                 state="succeeded",
                 result=b"done",
             )
-            for task in desk.kept.table.tasks.values()
+            for task in controller.ledger.table.tasks.values()
         ]
         with mock.patch.object(defaults, "RESULTS_LIMIT", 9):
-            await asyncio.gather(*(desk.followups.take_news(n) for n in split(news)))
-        return desk.kept.table.jobs[view.name]
+            await asyncio.gather(
+                *(controller.tracker.take_news(n) for n in split(news))
+            )
+        return controller.ledger.table.jobs[view.name]
 
     @virtual
     async def test_results_of_one_batch_are_limited_together(self):
@@ -62,13 +64,13 @@
         plane = await Plane(workers=2).start()
         plane.declare(tasks=2, size={"processors": 4, "memory": 1})
         submission = Submission("batch", "team", b'{"run_time": 5}')
-        view = await plane.find("d1").keeper.submit_job(submission)
+        view = await plane.find("d1").ledger_owner.submit_job(submission)
         await plane.wait_for_end(view.name)
-        followups = plane.find("d1").keeper.desks["00"].followups
-        self.assertEqual(set(followups._on_worker), {"w1", "w2"})
+        tracker = plane.find("d1").ledger_owner.controllers["00"].tracker
+        self.assertEqual(set(tracker._on_worker), {"w1", "w2"})
         plane.platform.remove("w1")
         await asyncio.sleep(60)
-        known = (followups._on_worker, followups._epochs, followups._gone)
+        known = (tracker._on_worker, tracker._epochs, tracker._gone)
         self.assertEqual([set(names) for names in known], [{"w2"}, {"w2"}, set()])
 
 
@@ -85,22 +87,22 @@
         plane = await Plane(workers=3).start()
         plane.declare()
         submission = Submission("batch", "team", RESULT)
-        view = await plane.find("d1").keeper.submit_job(submission)
-        desk = plane.find("d1").keeper.desks["00"]
+        view = await plane.find("d1").ledger_owner.submit_job(submission)
+        controller = plane.find("d1").ledger_owner.controllers["00"]
         for _ in range(times):
-            (task,) = desk.kept.table.tasks.values()
+            (task,) = controller.ledger.table.tasks.values()
             while not task.worker:
                 await asyncio.sleep(1)
-                (task,) = desk.kept.table.tasks.values()
-            news = jobs.TaskNews(
+                (task,) = controller.ledger.table.tasks.values()
+            news = jobs.TaskUpdate(
                 task=task.name,
                 attempt=task.attempt,
                 worker=task.worker,
                 state="lost",
                 code=code,
             )
-            await desk.followups.take_news([news])
-        return desk.kept.table.jobs[view.name]
+            await controller.tracker.take_news([news])
+        return controller.ledger.table.jobs[view.name]
 
     @virtual
     async def test_a_batch_task_ends_after_three_workers(self):
@@ -126,11 +128,11 @@
         plane = await Plane(workers=2).start()
         plane.declare()
         submission = Submission("batch", "team", RESULT)
-        await plane.find("d1").keeper.submit_job(submission)
+        await plane.find("d1").ledger_owner.submit_job(submission)
         await asyncio.sleep(3)
-        desk = plane.find("d1").keeper.desks["00"]
-        (name,) = desk.kept.table.tasks
-        late = jobs.TaskNews(task=name, attempt=0, worker="w1", state="stopped")
-        desk.followups.doubt([name])
-        await desk.followups.take_news([late])
-        self.assertIn(name, desk.followups._doubts)
+        controller = plane.find("d1").ledger_owner.controllers["00"]
+        (name,) = controller.ledger.table.tasks
+        late = jobs.TaskUpdate(task=name, attempt=0, worker="w1", state="stopped")
+        controller.tracker.doubt([name])
+        await controller.tracker.take_news([late])
+        self.assertIn(name, controller.tracker._doubts)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -12,7 +12,7 @@
 from damaskdeck.coordination.members.membership import NEWCOMER_WAIT, OUTAGE_PROMISE
 from damaskdeck.coordination.members.mirrors import Mirror
 from damaskdeck.coordination.members.rendezvous import assign_things
-from damaskdeck.coordination.members.tables import Change, Holder, Table
+from damaskdeck.coordination.members.tables import Change, OwnerEntry, Table
 from standins.clock import ManualClock, settle
 from standins.faults import FaultKind
 from standins.store import MemoryStore
@@ -38,24 +38,24 @@
 
     def count_held(self):
         """Count what each daemon decides about."""
-        return {name: len(daemon.list_held()) for name, daemon in self.daemons.items()}
+        return {name: len(daemon.list_owned()) for name, daemon in self.daemons.items()}
 
     def assert_all_owned(self):
         """Everything has exactly one decider."""
-        for thing in THINGS:
-            self.assertEqual(len(self.deployment.find_deciders(thing)), 1, thing)
+        for shard in THINGS:
+            self.assertEqual(len(self.deployment.find_deciders(shard)), 1, shard)
 
 
 class TestTakeover(OwnershipCase):
     """What a dead, paused or cut off owner held."""
 
     async def test_things_of_a_dead_owner_get_higher_epochs_elsewhere(self):
-        thing = "worker/" + self.daemons["a"].list_held()[0].partition("/")[2]
-        before = self.daemons["a"].ownership.get_epoch(thing)
+        shard = "worker/" + self.daemons["a"].list_owned()[0].partition("/")[2]
+        before = self.daemons["a"].ownership.get_epoch(shard)
         self.deployment.kill("a")
         await self.deployment.advance(5)
         self.assert_all_owned()
-        (after,) = self.deployment.find_deciders(thing).values()
+        (after,) = self.deployment.find_deciders(shard).values()
         self.assertGreater(after, before)
 
     async def test_takeover_of_all_things_is_one_write_by_each_taker(self):
@@ -66,11 +66,11 @@
         self.assertLessEqual(self.deployment.store.calls["put"] - writes, 2 * 2)
 
     async def test_paused_owner_decides_nothing_after_its_lease(self):
-        held = self.daemons["a"].list_held()
+        held = self.daemons["a"].list_owned()
         self.assertTrue(held)
         self.deployment.pause("a")
         await self.deployment.advance(6)
-        self.assertEqual(self.daemons["a"].list_held(), ())
+        self.assertEqual(self.daemons["a"].list_owned(), ())
         self.assert_all_owned()
         self.deployment.resume("a")
         await self.deployment.advance(1)
@@ -88,18 +88,18 @@
         self.assertEqual(self.daemons["a"].losses, [])
 
     async def test_owner_cut_off_alone_stops_before_others_take_over(self):
-        held = self.daemons["a"].list_held()
+        held = self.daemons["a"].list_owned()
         self.deployment.isolate("a")
         await self.deployment.advance(6)
-        self.assertEqual(self.daemons["a"].list_held(), ())
-        for thing in held:
-            self.assertEqual(len(self.deployment.find_deciders(thing)), 1)
+        self.assertEqual(self.daemons["a"].list_owned(), ())
+        for shard in held:
+            self.assertEqual(len(self.deployment.find_deciders(shard)), 1)
 
     async def test_owner_cut_off_from_the_store_goes_on_with_its_peers_promises(self):
-        before = {thing: self.deployment.find_deciders(thing) for thing in THINGS[:6]}
+        before = {shard: self.deployment.find_deciders(shard) for shard in THINGS[:6]}
         self.faults.cut_off.add("a")
         await self.deployment.advance(20)
-        after = {thing: self.deployment.find_deciders(thing) for thing in THINGS[:6]}
+        after = {shard: self.deployment.find_deciders(shard) for shard in THINGS[:6]}
         self.assertEqual(after, before)
 
     async def test_one_way_cut_between_owners_moves_nothing_while_the_store_works(self):
@@ -109,36 +109,36 @@
         self.assertEqual(self.count_held(), before)
 
     async def test_promise_holds_until_the_owner_has_stopped(self):
-        held = self.daemons["a"].list_held()
+        held = self.daemons["a"].list_owned()
         self.faults.cut_off.add("a")
         await self.deployment.advance(6)
-        self.assertEqual(self.daemons["a"].list_held(), held)
+        self.assertEqual(self.daemons["a"].list_owned(), held)
         self.deployment.isolate("a")
         await self.deployment.advance(6)
-        for thing in held:
-            self.assertEqual(len(self.deployment.find_deciders(thing)), 1)
+        for shard in held:
+            self.assertEqual(len(self.deployment.find_deciders(shard)), 1)
 
     async def test_promise_counts_from_before_it_was_asked_for(self):
         self.deployment.switch.delay = timedelta(milliseconds=600)
         await self.deployment.advance(2)
-        held = self.daemons["a"].list_held()
+        held = self.daemons["a"].list_owned()
         self.faults.cut_off.add("a")
         await self.deployment.advance(6)
-        self.assertEqual(self.daemons["a"].list_held(), held)
+        self.assertEqual(self.daemons["a"].list_owned(), held)
         for other in ("b", "c"):
             self.deployment.switch.cut("a", other)
         await self.deployment.advance(6)
-        for thing in held:
-            self.assertEqual(len(self.deployment.find_deciders(thing)), 1)
+        for shard in held:
+            self.assertEqual(len(self.deployment.find_deciders(shard)), 1)
 
     async def test_newcomer_takes_nothing_from_an_owner_that_cannot_know_it(self):
-        held = self.daemons["a"].list_held()
+        held = self.daemons["a"].list_owned()
         self.faults.cut_off.add("a")
         await self.deployment.advance(5)
         self.deployment.switch.cut_both("a", "d")
         self.deployment.add("d")
         await self.deployment.advance(8)
-        self.assertEqual(self.daemons["a"].list_held(), held)
+        self.assertEqual(self.daemons["a"].list_owned(), held)
         self.deployment.switch.heal_all()
         await self.deployment.advance(8)
         self.assert_all_owned()
@@ -150,20 +150,20 @@
         new = self.deployment.add("a")
         for _ in range(40):
             await self.deployment.advance(0.25)
-            both = set(old.list_held("ledger")) & set(new.list_held("ledger"))
+            both = set(old.list_owned("ledger")) & set(new.list_owned("ledger"))
             self.assertEqual(both, set())
         self.assert_all_owned()
         old.stop()
 
     async def test_restarted_owner_takes_its_things_back_with_higher_epochs(self):
-        held = self.daemons["a"].list_held()
-        before = {thing: self.deployment.find_deciders(thing)["a"] for thing in held}
+        held = self.daemons["a"].list_owned()
+        before = {shard: self.deployment.find_deciders(shard)["a"] for shard in held}
         self.deployment.kill("a")
         self.deployment.add("a")
         await self.deployment.advance(12)
         self.assert_all_owned()
-        for thing, epoch in before.items():
-            (after,) = self.deployment.find_deciders(thing).values()
+        for shard, epoch in before.items():
+            (after,) = self.deployment.find_deciders(shard).values()
             self.assertGreater(after, epoch)
 
 
@@ -171,28 +171,28 @@
     """The store is away for long."""
 
     async def test_owners_of_workers_go_on_through_an_outage_and_after_it(self):
-        before = {thing: self.deployment.find_deciders(thing) for thing in THINGS[:6]}
+        before = {shard: self.deployment.find_deciders(shard) for shard in THINGS[:6]}
         self.faults.outage = True
         for _ in range(15):
             await self.deployment.advance(2)
-            now = {thing: self.deployment.find_deciders(thing) for thing in THINGS[:6]}
+            now = {shard: self.deployment.find_deciders(shard) for shard in THINGS[:6]}
             self.assertEqual(now, before)
         self.faults.outage = False
         await self.deployment.advance(5)
-        now = {thing: self.deployment.find_deciders(thing) for thing in THINGS[:6]}
+        now = {shard: self.deployment.find_deciders(shard) for shard in THINGS[:6]}
         self.assertEqual(now, before)
 
     async def test_ledgers_wait_for_the_store_and_come_back_with_new_epochs(self):
-        before = {thing: self.deployment.find_deciders(thing) for thing in THINGS[6:]}
+        before = {shard: self.deployment.find_deciders(shard) for shard in THINGS[6:]}
         self.faults.outage = True
         await self.deployment.advance(5)
-        for thing in THINGS[6:]:
-            self.assertEqual(self.deployment.find_deciders(thing), {})
+        for shard in THINGS[6:]:
+            self.assertEqual(self.deployment.find_deciders(shard), {})
         self.faults.outage = False
         await self.deployment.advance(5)
-        for thing in THINGS[6:]:
-            (after,) = self.deployment.find_deciders(thing).values()
-            self.assertGreater(after, *before[thing].values())
+        for shard in THINGS[6:]:
+            (after,) = self.deployment.find_deciders(shard).values()
+            self.assertGreater(after, *before[shard].values())
 
     async def test_owner_cut_off_alone_in_an_outage_stops_and_the_rest_stop_too(self):
         self.faults.outage = True
@@ -222,15 +222,15 @@
     async def test_long_promise_of_an_outage_is_kept_after_it(self):
         self.faults.outage = True
         await self.deployment.advance(10)
-        held = self.daemons["a"].list_held()
+        held = self.daemons["a"].list_owned()
         self.faults.outage = False
         self.deployment.isolate("a")
         for name in ("b", "c"):
             self.daemons[name].members._newcomer_wait = NEWCOMER_WAIT
         await self.deployment.advance(OUTAGE_PROMISE.total_seconds() + 6)
-        for thing in held:
-            self.assertEqual(len(self.deployment.find_deciders(thing)), 1)
-        self.assertEqual(self.daemons["a"].list_held(), ())
+        for shard in held:
+            self.assertEqual(len(self.deployment.find_deciders(shard)), 1)
+        self.assertEqual(self.daemons["a"].list_owned(), ())
 
     async def test_promises_from_before_a_return_bind_the_one_that_returns(self):
         self.deployment.pause("c")
@@ -239,7 +239,7 @@
         self.deployment.resume("c")
         await self.deployment.advance(2)
         self.faults.cut_off.clear()
-        self.assertTrue(self.daemons["b"].list_held())
+        self.assertTrue(self.daemons["b"].list_owned())
         self.deployment.pause("b")
         await self.deployment.advance(45)
         self.assert_all_owned()
@@ -264,7 +264,7 @@
 
     async def test_member_that_left_decides_nothing_though_it_handed_over_nothing(self):
         await self.daemons["a"].members.leave()
-        self.assertEqual(self.daemons["a"].list_held(), ())
+        self.assertEqual(self.daemons["a"].list_owned(), ())
         await self.deployment.advance(6)
         self.assert_all_owned()
 
@@ -281,22 +281,22 @@
     """Drains and joins."""
 
     async def test_drain_hands_over_without_the_clock_moving(self):
-        held = self.daemons["a"].list_held()
+        held = self.daemons["a"].list_owned()
         began = self.deployment.clock.monotonic()
         await self.daemons["a"].ownership.drain()
         await settle()
         self.deployment.check()
         self.assert_all_owned()
         self.assertEqual(self.deployment.clock.monotonic(), began)
-        self.assertEqual(self.daemons["a"].list_held(), ())
+        self.assertEqual(self.daemons["a"].list_owned(), ())
         self.assertTrue(set(held) <= set(self.daemons["a"].losses))
 
     async def test_loss_handlers_return_before_the_successor_may_decide(self):
         deciders = []
 
-        async def note(thing, epoch):
+        async def note(shard, epoch):
             await settle()
-            deciders.append(self.deployment.find_deciders(thing))
+            deciders.append(self.deployment.find_deciders(shard))
 
         self.daemons["a"].ownership.on_loss("worker", note)
         await self.daemons["a"].ownership.drain()
@@ -306,62 +306,62 @@
     async def test_gaining_daemon_decides_only_after_its_handlers_returned(self):
         gate = asyncio.Event()
 
-        async def wait(thing, epoch):
+        async def wait(shard, epoch):
             await gate.wait()
 
         for name in ("b", "c"):
             self.daemons[name].ownership.on_gain("worker", wait)
-        held = self.daemons["a"].list_held()
+        held = self.daemons["a"].list_owned()
         await self.daemons["a"].ownership.drain()
         await self.deployment.advance(1)
-        for thing in held:
-            self.assertEqual(self.deployment.find_deciders(thing), {})
+        for shard in held:
+            self.assertEqual(self.deployment.find_deciders(shard), {})
         gate.set()
         await self.deployment.advance(0.25)
         self.assert_all_owned()
 
     async def test_join_moves_few_things_and_no_thing_twice(self):
-        before = {thing: self.deployment.find_deciders(thing) for thing in THINGS}
+        before = {shard: self.deployment.find_deciders(shard) for shard in THINGS}
         self.deployment.add("d")
         await self.deployment.advance(10)
         self.assert_all_owned()
-        after = {thing: self.deployment.find_deciders(thing) for thing in THINGS}
-        moved = [thing for thing in THINGS if before[thing] != after[thing]]
-        self.assertTrue(any("d" in after[thing] for thing in moved))
+        after = {shard: self.deployment.find_deciders(shard) for shard in THINGS}
+        moved = [shard for shard in THINGS if before[shard] != after[shard]]
+        self.assertTrue(any("d" in after[shard] for shard in moved))
         self.assertLessEqual(len(moved), 4)
-        for thing in moved:
-            (old,), (new,) = before[thing].values(), after[thing].values()
+        for shard in moved:
+            (old,), (new,) = before[shard].values(), after[shard].values()
             self.assertEqual(new, old + 1)
 
     async def test_change_that_arrives_during_a_handover_gives_nothing_back(self):
         gate = asyncio.Event()
         daemon = self.daemons["a"]
 
-        async def wait(thing, epoch):
+        async def wait(shard, epoch):
             await gate.wait()
 
         daemon.ownership.on_loss("worker", wait)
-        held = daemon.list_held()
+        held = daemon.list_owned()
         drain = asyncio.ensure_future(daemon.ownership.drain())
         await self.deployment.advance(0)
-        self.daemons["b"].ownership.set_things("worker", (*WORKERS, "w9"))
-        self.daemons["c"].ownership.set_things("worker", (*WORKERS, "w9"))
+        self.daemons["b"].ownership.set_shards("worker", (*WORKERS, "w9"))
+        self.daemons["c"].ownership.set_shards("worker", (*WORKERS, "w9"))
         await self.deployment.advance(3)
-        self.assertEqual(daemon.list_held(), ())
+        self.assertEqual(daemon.list_owned(), ())
         gate.set()
         await drain
         await self.deployment.advance(1)
-        for thing in held:
-            self.assertEqual(len(self.deployment.find_deciders(thing)), 1)
+        for shard in held:
+            self.assertEqual(len(self.deployment.find_deciders(shard)), 1)
 
     async def test_removed_thing_comes_back_with_a_higher_epoch(self):
         (before,) = self.deployment.find_deciders("worker/w0").values()
         for daemon in self.daemons.values():
-            daemon.ownership.set_things("worker", WORKERS[1:])
+            daemon.ownership.set_shards("worker", WORKERS[1:])
         await self.deployment.advance(13)
         self.assertEqual(self.deployment.find_deciders("worker/w0"), {})
         for daemon in self.daemons.values():
-            daemon.ownership.set_things("worker", WORKERS)
+            daemon.ownership.set_shards("worker", WORKERS)
         await self.deployment.advance(2)
         (after,) = self.deployment.find_deciders("worker/w0").values()
         self.assertGreater(after, before)
@@ -378,26 +378,26 @@
 
     async def lose_puts(self, kind):
         """Lose the writes of a takeover; each thing still rises by one epoch."""
-        held = self.daemons["a"].list_held()
-        before = {thing: self.deployment.find_deciders(thing)["a"] for thing in held}
+        held = self.daemons["a"].list_owned()
+        before = {shard: self.deployment.find_deciders(shard)["a"] for shard in held}
         self.deployment.kill("a")
         self.faults.plan("put", kind, kind)
         await self.deployment.advance(6)
         self.assertEqual(self.faults.planned["put"], [])
         self.assert_all_owned()
-        for thing, epoch in before.items():
-            (after,) = self.deployment.find_deciders(thing).values()
+        for shard, epoch in before.items():
+            (after,) = self.deployment.find_deciders(shard).values()
             self.assertEqual(after, epoch + 1)
 
     async def test_lost_answer_of_a_handover_leaves_one_decider(self):
         self.faults.plan("put", FaultKind.LOSE_ANSWER)
         drain = asyncio.ensure_future(self.daemons["a"].ownership.drain())
         await settle()
-        self.assertEqual(self.daemons["a"].list_held(), ())
+        self.assertEqual(self.daemons["a"].list_owned(), ())
         await self.deployment.advance(2)
         await drain
         self.assert_all_owned()
-        self.assertEqual(self.daemons["a"].list_held(), ())
+        self.assertEqual(self.daemons["a"].list_owned(), ())
 
     async def test_drain_tries_again_when_a_write_is_refused_or_overtaken(self):
         for kind in (FaultKind.REFUSE, FaultKind.LOSE_CALL):
@@ -406,7 +406,7 @@
         drain = asyncio.ensure_future(self.daemons["a"].ownership.drain())
         await self.deployment.advance(2)
         await drain
-        self.assertEqual(self.daemons["a"].list_held(), ())
+        self.assertEqual(self.daemons["a"].list_owned(), ())
         self.assert_all_owned()
 
     async def test_drain_in_an_outage_ends_and_keeps_what_it_cannot_hand_over(self):
@@ -421,13 +421,13 @@
         self.faults.delay = timedelta(milliseconds=100)
         for index, daemon in enumerate(self.daemons.values()):
             names = (*WORKERS, *(f"x{number}" for number in range(index, index + 4)))
-            daemon.ownership.set_things("worker", names)
+            daemon.ownership.set_shards("worker", names)
         await self.deployment.advance(5)
         deciders = self.deployment.find_deciders("worker/x2")
         self.assertEqual(len(deciders), 1)
 
     async def test_refused_handover_leaves_the_thing_where_it_was(self):
-        held = self.daemons["a"].list_held()
+        held = self.daemons["a"].list_owned()
         self.faults.plan("put", FaultKind.REFUSE, FaultKind.REFUSE)
         self.deployment.add("d")
         await self.deployment.advance(10)
@@ -448,7 +448,8 @@
             self.tables.append(Table("ownership/x", mirror, client, self.clock))
         self.first, self.second = self.tables
         self.claims = [
-            {"w0": Change(None, Holder(name, f"{name}.1", 1))} for name in ("a", "b")
+            {"w0": Change(None, OwnerEntry(name, f"{name}.1", 1))}
+            for name in ("a", "b")
         ]
 
     async def test_second_of_two_claims_is_refused_and_shown_the_first(self):
@@ -459,7 +460,7 @@
     async def test_change_of_something_else_than_expected_writes_nothing(self):
         self.assertTrue(await self.first.commit(self.claims[0]))
         before = self.store.revision
-        stale = {"w0": Change(Holder("a", "a.0", 1), Holder("b", "b.1", 2))}
+        stale = {"w0": Change(OwnerEntry("a", "a.0", 1), OwnerEntry("b", "b.1", 2))}
         self.assertFalse(await self.first.commit(stale))
         self.assertEqual(self.store.revision, before)
 
@@ -471,8 +472,10 @@
             (FaultKind.LOSE_CALL, False),
         ):
             holder = self.first.things.get("w0")
-            mine = {"w0": Change(holder, Holder("a", "a.1", 7))}
-            theirs = {"w1": Change(self.second.things.get("w1"), Holder("b", "b", 2))}
+            mine = {"w0": Change(holder, OwnerEntry("a", "a.1", 7))}
+            theirs = {
+                "w1": Change(self.second.things.get("w1"), OwnerEntry("b", "b", 2))
+            }
             self.store.faults.plan("put", kind)
             commit = asyncio.ensure_future(self.first.commit(mine))
             await settle()
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -8,10 +8,10 @@
 import unittest
 from random import Random
 
-from damaskdeck.coordination.pools.paces import LEAST_RUNS, Paces
+from damaskdeck.coordination.pools.speedranks import LEAST_RUNS, SpeedRanks
 from damaskdeck.protocol.queues import StepSpec
-from damaskdeck.state.board import Job, Run
 from damaskdeck.state.jobrecords import JobRecord
+from damaskdeck.state.pooljobs import Job, Run
 from tests.poolcluster import SECOND, SMALL, make_job, make_queue
 
 SPEEDS = {"slow": 0.8, "usual": 1.0, "fast": 1.25}
@@ -30,7 +30,7 @@
 
     def setUp(self) -> None:
         self.random = Random(7)
-        self.paces = Paces()
+        self.paces = SpeedRanks()
 
     def play(self, steps: int, first: int = 0, **fields) -> None:
         """Let steps complete on workers of all speeds."""
@@ -41,7 +41,7 @@
                 worker = self.random.choice(list(SPEEDS))
                 run = Run(task, worker, 1, 0.0)
                 uneven = math.exp(self.random.gauss(0, 0.3))
-                self.paces.note_completed(run, work * uneven / SPEEDS[worker])
+                self.paces.record_completion(run, work * uneven / SPEEDS[worker])
 
     def test_kinds_are_told_apart_after_some_tens_of_steps(self):
         self.play(60)
@@ -64,6 +64,6 @@
 
     def test_a_step_that_ends_early_leaves_nothing_behind(self):
         step = make_step(1)
-        self.paces.note_completed(Run(step.tasks[0], "fast", 1, 0.0), 1.0)
-        self.paces.forget(step)
+        self.paces.record_completion(Run(step.tasks[0], "fast", 1, 0.0), 1.0)
+        self.paces.discard(step)
         self.assertEqual(self.paces._took, {})
--- a/tests/test_pending.py
+++ b/tests/test_pending.py
@@ -9,12 +9,12 @@
 import unittest
 from datetime import timedelta
 
-from damaskdeck.coordination.pools import dispatching
+from damaskdeck.coordination.pools import dispatcher
 from damaskdeck.coordination.pools.candidates import Candidate, Candidates
 from damaskdeck.coordination.pools.pending import PendingSteps
-from damaskdeck.protocol.queues import QueuedState, StepSpec
-from damaskdeck.state.board import Job
+from damaskdeck.protocol.queues import QueueJobState, StepSpec
 from damaskdeck.state.jobrecords import JobRecord
+from damaskdeck.state.pooljobs import Job
 from standins.pools import Work
 from tests.poolcluster import SECOND, SMALL, PoolCase, make_job, make_queue
 from tests.virtual import virtual
@@ -32,7 +32,7 @@
         """Return a job and let it be known."""
         record = JobRecord(name, make_queue(), make_job(*steps), 1, 0.0, ())
         job = Job(record, 0.0)
-        self.pending.touch(job)
+        self.pending.mark_changed(job)
         return job
 
     def list_names(self) -> list[str]:
@@ -45,22 +45,22 @@
         self.assertEqual(self.list_names(), ["j.0.0"])
         first = job.occurrences[0][0]
         first.complete(first.tasks[0])
-        self.pending.touch(job)
+        self.pending.mark_changed(job)
         self.assertEqual(self.list_names(), ["j.0.1"])
 
     def test_what_nobody_touches_stays_as_it_was(self):
         job = self.make("j")
         self.assertEqual(self.list_names(), ["j.0.0"])
-        job.close(QueuedState.CANCELLED, 0.0)
+        job.close(QueueJobState.CANCELLED, 0.0)
         self.assertEqual(self.list_names(), ["j.0.0"])
-        self.pending.touch(job)
+        self.pending.mark_changed(job)
         self.assertEqual(self.list_names(), [])
 
     def test_a_step_is_tried_again_when_its_job_changes(self):
         job = self.make("j")
         self.pending.rank(0.0)[0].pending.is_tried = True
         self.assertTrue(self.pending.rank(0.0)[0].pending.is_tried)
-        self.pending.touch(job)
+        self.pending.mark_changed(job)
         self.assertFalse(self.pending.rank(0.0)[0].pending.is_tried)
 
     def test_the_most_urgent_comes_first(self):
@@ -91,16 +91,18 @@
             return build(candidates, worker)
 
         owner = cluster.find_owner().owner
-        full_look = dispatching.FULL_LOOK_SECONDS
-        dispatching.FULL_LOOK_SECONDS = 1e6
+        full_look = dispatcher.FULL_PASS_SECONDS
+        dispatcher.FULL_PASS_SECONDS = 1e6
         Candidates._build = count
         try:
-            for run in list(owner.board.jobs["full"].occurrences[0][0].list_runs())[:8]:
+            for run in list(owner.job_index.jobs["full"].occurrences[0][0].list_runs())[
+                :8
+            ]:
                 owner.stop(run)
                 await asyncio.sleep(0.02)
         finally:
             Candidates._build = build
-            dispatching.FULL_LOOK_SECONDS = full_look
+            dispatcher.FULL_PASS_SECONDS = full_look
         await asyncio.sleep(0.5)
         started = len(cluster.list_starts()) - before
         self.end()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,7 +9,12 @@
 from damaskdeck.coordination.places.placement import Impossible, Placed, Placer
 from damaskdeck.protocol.ports import InstanceState
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.state.accounts import Accounts, NoRoom, Reserved, TaskNeed
+from damaskdeck.state.workeraccounts import (
+    InsufficientCapacity,
+    Reserved,
+    TaskNeed,
+    WorkerAccounts,
+)
 from tests.naive_scheduler import NaiveScheduler
 from tests.test_accounts import make_worker
 
@@ -48,7 +53,7 @@
             for number, (size, zone, is_leaving) in enumerate(workers)
         ]
         naive, empty = NaiveScheduler(instances), NaiveScheduler(instances)
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         placer = Placer(accounts)
         for instance in instances:
             accounts.set_worker(instance)
@@ -81,22 +86,22 @@
                 )
 
     def test_the_index_follows_workers_that_close_leave_and_vanish(self):
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         placer = Placer(accounts)
         need = TaskNeed("t", Size(1000, 1000, 0))
-        self.assertEqual(placer.place(need), NoRoom("workers"))
+        self.assertEqual(placer.place(need), InsufficientCapacity("workers"))
         for name in ("w", "x", "y"):
             accounts.set_worker(make_worker(name, LARGE))
         accounts.close_worker("w", "quarantined")
         accounts.set_worker(make_worker("x", LARGE, leaving=True))
         self.assertEqual(placer.place(need).worker, "y")
         accounts.remove_worker("y")
-        self.assertIsInstance(placer.place(need), NoRoom)
+        self.assertIsInstance(placer.place(need), InsufficientCapacity)
         accounts.close_worker("w", "")
         self.assertEqual(placer.place(need).worker, "w")
 
     def test_avoided_workers_hide_no_other(self):
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         placer = Placer(accounts)
         for name in NAMES:
             accounts.set_worker(make_worker(name, LARGE))
@@ -107,7 +112,7 @@
         self.assertEqual(placer.place(need).worker, "fast")
 
     def test_a_refused_cell_hides_no_looser_one(self):
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         placer = Placer(accounts)
         accounts.set_worker(make_worker("tight", Size(8000, 4000, 0)))
         accounts.set_worker(make_worker("loose", Size(8000, 64_000, 0)))
@@ -115,7 +120,7 @@
         self.assertEqual(placer.place(need).worker, "loose")
 
     def test_no_room_names_what_lacks_or_the_filter_that_refuses(self):
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         placer = Placer(accounts)
         accounts.set_worker(make_worker("w", Size(8000, 8000, 2)))
         accounts.reserve(TaskNeed("r", Size(4000, 1000, 1)), "w")
@@ -124,15 +129,17 @@
             (Size(1, 8000, 0), "memory"),
             (Size(1, 1, 2), "accelerators"),
         ):
-            self.assertEqual(placer.place(TaskNeed("t", size)), NoRoom(lack))
+            self.assertEqual(
+                placer.place(TaskNeed("t", size)), InsufficientCapacity(lack)
+            )
         need = TaskNeed("t", Size(1, 1, 0), avoid=frozenset({"w"}))
-        self.assertEqual(placer.place(need), NoRoom("avoided"))
+        self.assertEqual(placer.place(need), InsufficientCapacity("avoided"))
         placer.add_filter("planned", lambda need: lambda account: False)
         need = TaskNeed("t", Size(1, 1, 0))
-        self.assertEqual(placer.place(need), NoRoom("planned"))
+        self.assertEqual(placer.place(need), InsufficientCapacity("planned"))
 
     def test_impossible_names_the_dimension_that_fails(self):
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         placer = Placer(accounts)
         accounts.set_worker(make_worker("w", Size(8000, 1000, 0)))
         accounts.set_worker(make_worker("x", Size(1000, 9000, 2)))
@@ -152,7 +159,7 @@
     """Preferences among workers that all have room."""
 
     def setUp(self):
-        self.accounts = Accounts()
+        self.accounts = WorkerAccounts()
         self.placer = Placer(self.accounts)
 
     def add(self, name, size=LARGE, zone="a", rack="r0"):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -31,16 +31,16 @@
 from damaskdeck.protocol.pools import (
     Advice,
     Consent,
-    Contents,
-    Declared,
+    DeclaredQueues,
     Declined,
     Done,
     EndKind,
     RefusalCode,
-    Registered,
+    RegisteredWorkers,
     RegistryChanges,
     Replaced,
     TaskStart,
+    WorkerTasks,
 )
 from damaskdeck.protocol.ports import (
     Events,
@@ -50,7 +50,7 @@
     Lost,
     Missing,
     Rejected,
-    TooOld,
+    RevisionTooOld,
     Written,
 )
 from damaskdeck.protocol.queues import StepSpec, TaskName
@@ -58,7 +58,7 @@
 from damaskdeck.protocol.transactions import (
     Mismatch,
     Page,
-    TooLong,
+    ReplyTooLarge,
     Transaction,
     Unchanged,
     Write,
@@ -186,10 +186,10 @@
         store = self.platform.store.store
         store.set("w/wide", b"x" * 9000)
         watched = await self.store.watch("w/", store.revision - 1, SECOND, 9000)
-        self.assertIsInstance(watched, TooLong)
+        self.assertIsInstance(watched, ReplyTooLarge)
         transaction = Transaction((("w/wide", 1),), (Write("w/other", b"1"),))
-        refused = await self.store.commit(transaction, longest=9000)
-        self.assertIsInstance(refused, TooLong)
+        refused = await self.store.commit(transaction, max_reply_bytes=9000)
+        self.assertIsInstance(refused, ReplyTooLarge)
         self.assertIsInstance(await self.store.read("w/other"), Missing)
         self.assertIsInstance(await self.store.commit(transaction), Mismatch)
 
@@ -210,7 +210,9 @@
         self.assertIsInstance(found, Events)
         self.assertEqual([e.value for e in found.events], [b"1", None])
         self.platform.store.store.forget_history()
-        self.assertIsInstance(await self.store.watch("w/", base, SECOND), TooOld)
+        self.assertIsInstance(
+            await self.store.watch("w/", base, SECOND), RevisionTooOld
+        )
 
     async def test_leases_carry_keys_and_lapse(self):
         lease = await self.store.grant_lease(SECOND)
@@ -235,13 +237,13 @@
         info = self.worker.info
         started = await self.workers.start(info, 3, self.order())
         self.assertIsInstance(started, Done)
-        held = await self.workers.hold(info, 3, 0, None, timedelta())
-        self.assertIsInstance(held, Contents)
+        held = await self.workers.poll(info, 3, 0, None, timedelta())
+        self.assertIsInstance(held, WorkerTasks)
         self.assertEqual([(r.task, r.attempt) for r in held.running], [(TASK, 1)])
         self.assertIsInstance(await self.workers.stop(info, 3, TASK, 1), Done)
-        held = await self.workers.hold(info, 3, 0, None, timedelta())
+        held = await self.workers.poll(info, 3, 0, None, timedelta())
         self.assertEqual([e.kind for e in held.ended], [EndKind.STOPPED])
-        held = await self.workers.hold(info, 3, held.ended[0].number, None, timedelta())
+        held = await self.workers.poll(info, 3, held.ended[0].number, None, timedelta())
         self.assertEqual(held.ended, ())
 
     async def test_refusals_are_told_by_their_reason(self):
@@ -283,7 +285,7 @@
     async def test_workers_are_listed_and_followed(self):
         registry = PlatformRegistry(self.store)
         listed = await registry.list_workers()
-        self.assertIsInstance(listed, Registered)
+        self.assertIsInstance(listed, RegisteredWorkers)
         (worker,) = listed.workers
         self.assertEqual((worker.pool, worker.rack), ("hub", "r1-1"))
         self.assertEqual(worker.size, self.platform.workers[0].size)
@@ -302,12 +304,12 @@
         self.assertIsNone((await queues.read_queues()).table)
         self.platform.declare(7)
         found = await queues.read_queues()
-        self.assertIsInstance(found, Declared)
+        self.assertIsInstance(found, DeclaredQueues)
         queue = found.table.find("a.example", "/plans/1234")
         self.assertEqual(
             (queue.name, queue.pool, queue.attempts), ("r-plans", "hub", 3)
         )
-        self.assertEqual(queue.advice.validity, timedelta(milliseconds=2500))
+        self.assertEqual(queue.advice.ticket_validity, timedelta(milliseconds=2500))
         self.assertIsNone(found.table.find("a.example", "/other/"))
         self.platform.declare(9, max_attempts=5)
         followed = await queues.follow_queues(found.revision, SECOND)
@@ -369,13 +371,13 @@
             is_gang=True,
             is_checkpointing=True,
             is_speculative=True,
-            is_lasting=True,
+            is_long_running=True,
             needs_one_rack=True,
             label="b",
             near="r1-2",
             spread=2,
             image="i",
-            may_miss=1,
+            max_missing=1,
         )
         self.assertEqual(step, wanted)
 
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -5,11 +5,17 @@
 
 from logbook import TestHandler
 
-from damaskdeck.protocol.callers import NoJob, NotTaken, Taken, Told, Unsettled
+from damaskdeck.protocol.callresults import (
+    JobAccepted,
+    JobNotAccepted,
+    JobNotFound,
+    JobStateFound,
+    JobUnconfirmed,
+)
 from damaskdeck.protocol.pools import EndKind
-from damaskdeck.protocol.queues import QueuedState, StepSpec
+from damaskdeck.protocol.queues import QueueJobState, StepSpec
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.state.jobrecords import JOBS
+from damaskdeck.state.jobrecords import JOBS_PREFIX
 from standins.faults import FaultKind
 from standins.pools import Work
 from tests.poolcluster import (
@@ -33,7 +39,7 @@
         cluster = await self.begin()
         await cluster.submit("j1", make_job())
         for name in cluster.daemons:
-            await cluster.wait_for_state("j1", QueuedState.COMPLETED, name)
+            await cluster.wait_for_state("j1", QueueJobState.COMPLETED, name)
         self.assertEqual(len(cluster.list_starts()), 1)
         self.end()
 
@@ -42,7 +48,7 @@
         cluster = await self.begin()
         for name in ("d0", "d1", "d2", "d0"):
             await cluster.submit("j1", make_job(), name)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         await cluster.submit("j1", make_job(), "d1")
         await asyncio.sleep(3)
         self.assertEqual(len(cluster.list_starts()), 1)
@@ -51,8 +57,12 @@
     @virtual
     async def test_an_unknown_job_is_none(self):
         cluster = await self.begin()
-        self.assertEqual(await cluster.daemons["d1"].desk.read_state("x"), NoJob())
-        self.assertEqual(await cluster.daemons["d1"].desk.cancel("x"), NoJob())
+        self.assertEqual(
+            await cluster.daemons["d1"].frontend.read_state("x"), JobNotFound()
+        )
+        self.assertEqual(
+            await cluster.daemons["d1"].frontend.cancel("x"), JobNotFound()
+        )
         self.end()
 
     @virtual
@@ -60,9 +70,9 @@
         cluster = await self.begin()
         daemon = cluster.daemons["d1"]
         daemon.store.faults.plan("commit", FaultKind.LOSE_ANSWER)
-        done = await daemon.desk.submit(make_queue(), "j1", make_job())
-        self.assertEqual(done, Taken())
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        done = await daemon.frontend.submit(make_queue(), "j1", make_job())
+        self.assertEqual(done, JobAccepted())
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.assertEqual(len(cluster.list_starts()), 1)
         self.end()
 
@@ -73,8 +83,8 @@
         for each in cluster.daemons.values():
             each.store.late = True
             each.store.faults.plan("commit", *[FaultKind.LOSE_ANSWER] * 50)
-        done = await daemon.desk.submit(make_queue(), "j1", make_job())
-        self.assertIsInstance(done, Unsettled)
+        done = await daemon.frontend.submit(make_queue(), "j1", make_job())
+        self.assertIsInstance(done, JobUnconfirmed)
         self.end()
 
     @virtual
@@ -84,26 +94,26 @@
         for each in cluster.daemons.values():
             each.store.faults.plan("commit", *[FaultKind.REFUSE] * 100)
         began = cluster.clock.monotonic()
-        done = await daemon.desk.submit(make_queue(), "j1", make_job())
-        self.assertIsInstance(done, NotTaken)
+        done = await daemon.frontend.submit(make_queue(), "j1", make_job())
+        self.assertIsInstance(done, JobNotAccepted)
         self.assertGreater(done.retry, timedelta())
         self.assertLess(cluster.clock.monotonic() - began, SECOND)
         for each in cluster.daemons.values():
             each.store.faults.planned.clear()
         await asyncio.sleep(5)
-        self.assertNotIn(f"{JOBS}j1", cluster.store.entries)
+        self.assertNotIn(f"{JOBS_PREFIX}j1", cluster.store.entries)
         self.end()
 
     @virtual
     async def test_a_daemon_that_the_store_turns_away_lets_others_store_jobs(self):
         cluster = await self.begin()
-        other = cluster.find_other()
+        other = cluster.find_other_daemon()
         other.store.faults.outage = True
         await asyncio.sleep(0.5)
         began = cluster.clock.monotonic()
         await cluster.submit("j1", make_job(), other.name)
         self.assertLess(cluster.clock.monotonic() - began, timedelta(milliseconds=100))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, other.name)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, other.name)
         self.assertEqual(len(cluster.list_starts()), 1)
         self.end()
 
@@ -115,34 +125,34 @@
         await asyncio.sleep(2)
         daemon = cluster.daemons["d1"]
         began = cluster.clock.monotonic()
-        done = await daemon.desk.submit(make_queue(), "j1", make_job())
-        self.assertIsInstance(done, NotTaken)
+        done = await daemon.frontend.submit(make_queue(), "j1", make_job())
+        self.assertIsInstance(done, JobNotAccepted)
         self.assertLess(cluster.clock.monotonic() - began, timedelta(milliseconds=50))
         for each in cluster.daemons.values():
             each.store.faults.resume()
         await asyncio.sleep(5)
-        self.assertNotIn(f"{JOBS}j1", cluster.store.entries)
+        self.assertNotIn(f"{JOBS_PREFIX}j1", cluster.store.entries)
         self.end()
 
     @virtual
     async def test_a_job_that_its_owner_was_not_told_of_is_found(self):
         cluster = await self.begin()
-        owner, other = cluster.find_owner(), cluster.find_other()
+        owner, other = cluster.find_owner(), cluster.find_other_daemon()
         cluster.switch.cut(other.name, owner.name)
         await cluster.submit("j1", make_job(), other.name)
         cluster.switch.heal_all()
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, owner.name, 3)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, owner.name, 3)
         self.end()
 
     @virtual
     async def test_states_are_read_from_the_store_while_the_owner_is_cut_off(self):
         cluster = await self.begin()
-        owner, other = cluster.find_owner(), cluster.find_other()
+        owner, other = cluster.find_owner(), cluster.find_other_daemon()
         await cluster.submit("j1", make_job(), other.name)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, owner.name)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, owner.name)
         cluster.switch.cut_both(owner.name, other.name)
-        told = await other.desk.read_state("j1")
-        self.assertEqual(told, Told(QueuedState.COMPLETED))
+        told = await other.frontend.read_state("j1")
+        self.assertEqual(told, JobStateFound(QueueJobState.COMPLETED))
         self.end()
 
 
@@ -154,7 +164,7 @@
         cluster = await self.begin()
         first, second = StepSpec(3, SMALL, SECOND), StepSpec(2, SMALL, SECOND, (0,))
         await cluster.submit("j1", make_job(first, second))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         starts = cluster.list_starts()
         ends = [
             ended
@@ -170,7 +180,7 @@
     async def test_a_failed_task_is_tried_as_often_as_its_queue_allows(self):
         cluster = await self.begin(behave=lambda t, a: Work(HALF, EndKind.FAILED))
         await cluster.submit("j1", make_job())
-        await cluster.wait_for_state("j1", QueuedState.FAILED)
+        await cluster.wait_for_state("j1", QueueJobState.FAILED)
         self.assertEqual([row[2] for row in cluster.list_starts()], [1, 2, 3])
         self.end()
 
@@ -181,7 +191,7 @@
         await asyncio.sleep(0.3)
         gang = StepSpec(6, SMALL, SECOND, is_gang=True)
         await cluster.submit("j1", make_job(gang))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         starts = cluster.list_starts("j1")
         self.assertEqual(len(starts), 6)
         self.assertEqual(len({attempt for _, _, attempt, _ in starts}), 1)
@@ -196,7 +206,7 @@
         owner.workers.faults.plan("start", FaultKind.REFUSE)
         gang = StepSpec(4, SMALL, SECOND, is_gang=True)
         await cluster.submit("j1", make_job(gang))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         kinds = {
             (attempt, kind)
             for worker in cluster.workers.values()
@@ -213,7 +223,7 @@
         owner.workers.faults.plan("start", FaultKind.LOSE_ANSWER)
         gang = StepSpec(4, SMALL, SECOND, is_gang=True)
         await cluster.submit("j1", make_job(gang))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.assertEqual(len(cluster.list_starts()), 4)
         self.end()
 
@@ -222,8 +232,8 @@
         cluster = await self.begin(workers=2)
         await cluster.submit("j1", make_job(StepSpec(30, Size(1500, 10, 0), SECOND)))
         most = 0
-        while await cluster.daemons["d0"].desk.read_state("j1") != Told(
-            QueuedState.COMPLETED
+        while await cluster.daemons["d0"].frontend.read_state("j1") != JobStateFound(
+            QueueJobState.COMPLETED
         ):
             for worker in cluster.workers.values():
                 worker.settle()
@@ -236,7 +246,7 @@
     async def test_at_most_so_many_tasks_of_a_step_share_a_worker(self):
         cluster = await self.begin(workers=3)
         await cluster.submit("j1", make_job(StepSpec(3, SMALL, SECOND, spread=1)))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.assertEqual(len({row[3] for row in cluster.list_starts()}), 3)
         self.end()
 
@@ -244,7 +254,7 @@
     async def test_a_label_binds_a_step_to_the_workers_that_carry_it(self):
         cluster = await self.begin()
         await cluster.submit("j1", make_job(StepSpec(6, SMALL, SECOND, label="r1")))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.assertEqual({row[3] for row in cluster.list_starts()}, {"w1", "w3"})
         self.end()
 
@@ -255,7 +265,7 @@
             queues=(make_queue(advice=TERMS),),
         )
         await cluster.submit("j1", make_job(StepSpec(2, SMALL, SECOND)))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.assertEqual({row[3] for row in cluster.list_starts()}, {"w2"})
         self.end()
 
@@ -267,7 +277,7 @@
         with TestHandler().applicationbound() as handler:
             for number in range(8):
                 await cluster.submit(f"j{number}", make_job())
-                await cluster.wait_for_state(f"j{number}", QueuedState.COMPLETED)
+                await cluster.wait_for_state(f"j{number}", QueueJobState.COMPLETED)
         told = [r.message for r in handler.records if r.channel == "advising"]
         self.assertEqual(told[0], "No advice.")
         self.assertIn("Advice comes again.", told)
@@ -288,17 +298,17 @@
             worker.info = worker.info._replace(is_leaving=False)
         lost = make_job(StepSpec(20, SMALL, timedelta(milliseconds=1)))
         await cluster.submit("short", lost)
-        await cluster.wait_for_state("short", QueuedState.COMPLETED, seconds=12)
+        await cluster.wait_for_state("short", QueueJobState.COMPLETED, seconds=12)
         self.end()
 
     @virtual
     async def test_a_leaving_worker_gets_no_more_tasks(self):
         cluster = await self.begin(workers=2)
-        await cluster.complete_a_job()
+        await cluster.run_first_job()
         cluster.retire("w0")
         await asyncio.sleep(0.5)
         await cluster.submit("j1", make_job(StepSpec(4, SMALL, SECOND)))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.assertEqual({row[3] for row in cluster.list_starts("j1")}, {"w1"})
         self.end()
 
@@ -311,7 +321,7 @@
         )
         began = cluster.clock.monotonic()
         await cluster.submit("j1", spec)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         times = [
             round((row[0] - began).total_seconds())
             for row in sorted(cluster.list_starts())
@@ -328,8 +338,8 @@
         cluster = await self.begin(behave=lambda t, a: Work(timedelta(seconds=30)))
         await cluster.submit("j1", make_job(StepSpec(20, SMALL, SECOND)))
         await asyncio.sleep(0.5)
-        told = await cluster.daemons["d1"].desk.cancel("j1")
-        self.assertEqual(told, Told(QueuedState.CANCELLED))
+        told = await cluster.daemons["d1"].frontend.cancel("j1")
+        self.assertEqual(told, JobStateFound(QueueJobState.CANCELLED))
         starts = len(cluster.list_starts())
         await asyncio.sleep(1)
         running = sum(len(worker.running) for worker in cluster.workers.values())
@@ -343,12 +353,12 @@
     @virtual
     async def test_a_cancel_reaches_an_owner_that_could_not_be_asked(self):
         cluster = await self.begin(behave=lambda t, a: Work(timedelta(seconds=30)))
-        owner, other = cluster.find_owner(), cluster.find_other()
+        owner, other = cluster.find_owner(), cluster.find_other_daemon()
         await cluster.submit("j1", make_job(), other.name)
         await asyncio.sleep(0.5)
         cluster.switch.cut_both(owner.name, other.name)
-        told = await other.desk.cancel("j1")
-        self.assertEqual(told, Told(QueuedState.CANCELLED))
+        told = await other.frontend.cancel("j1")
+        self.assertEqual(told, JobStateFound(QueueJobState.CANCELLED))
         await asyncio.sleep(1)
         running = sum(len(worker.running) for worker in cluster.workers.values())
         self.assertEqual(running, 0)
--- a/tests/test_pools_accounts.py
+++ b/tests/test_pools_accounts.py
@@ -4,21 +4,21 @@
 from datetime import timedelta
 from unittest import mock
 
-from damaskdeck.coordination.pools.allowances import Allowances
+from damaskdeck.coordination.pools.accountlimits import AccountLimits
 from damaskdeck.coordination.pools.contacts import WorkerContact
 from damaskdeck.coordination.pools.owner import PoolOwner
-from damaskdeck.protocol.accounts import digest_key
-from damaskdeck.protocol.callers import (
-    BarCode,
-    Barred,
+from damaskdeck.protocol.callresults import (
     Caller,
-    NoJob,
-    NotTaken,
-    Taken,
-    Told,
+    CallRejected,
+    CallRejectionCode,
+    JobAccepted,
+    JobNotAccepted,
+    JobNotFound,
+    JobStateFound,
 )
+from damaskdeck.protocol.clientaccounts import digest_key
 from damaskdeck.protocol.ports import Written
-from damaskdeck.protocol.queues import QueuedState, StepSpec, TaskName
+from damaskdeck.protocol.queues import QueueJobState, StepSpec, TaskName
 from damaskdeck.protocol.sizes import ZERO_SIZE, Size, add_sizes
 from standins.pools import Work
 from tests.poolcluster import (
@@ -60,8 +60,8 @@
 
     async def submit(self, job: str, spec=None, daemon: str = "d0", caller=KIOSK):
         """Hand a job in."""
-        desk = self.cluster.daemons[daemon].desk
-        return await desk.submit(QUEUE, job, spec or make_job(), caller)
+        frontend = self.cluster.daemons[daemon].frontend
+        return await frontend.submit(QUEUE, job, spec or make_job(), caller)
 
     def find_overuse(self) -> list[str]:
         """Return the starts beyond a quota, of all that the workers saw."""
@@ -84,24 +84,28 @@
     @virtual
     async def test_another_account_sees_a_job_as_absent(self):
         cluster = await self.begin_accounts()
-        self.assertEqual(await self.submit("j1"), Taken())
+        self.assertEqual(await self.submit("j1"), JobAccepted())
         for daemon in cluster.daemons.values():
-            self.assertEqual(await daemon.desk.read_state("j1", OTHER), NoJob())
-            self.assertEqual(await daemon.desk.cancel("j1", OTHER), NoJob())
+            self.assertEqual(
+                await daemon.frontend.read_state("j1", OTHER), JobNotFound()
+            )
+            self.assertEqual(await daemon.frontend.cancel("j1", OTHER), JobNotFound())
         await asyncio.sleep(3)
-        done = Told(QueuedState.COMPLETED)
+        done = JobStateFound(QueueJobState.COMPLETED)
         for daemon in cluster.daemons.values():
-            self.assertEqual(await daemon.desk.read_state("j1", KIOSK), done)
-            self.assertEqual(await daemon.desk.read_state("j1", OTHER), NoJob())
+            self.assertEqual(await daemon.frontend.read_state("j1", KIOSK), done)
+            self.assertEqual(
+                await daemon.frontend.read_state("j1", OTHER), JobNotFound()
+            )
         self.end()
 
     @virtual
     async def test_another_account_does_not_hand_the_same_job_in(self):
         cluster = await self.begin_accounts()
-        self.assertEqual(await self.submit("j1"), Taken())
-        self.assertEqual(await self.submit("j1", daemon="d1"), Taken())
+        self.assertEqual(await self.submit("j1"), JobAccepted())
+        self.assertEqual(await self.submit("j1", daemon="d1"), JobAccepted())
         again = await self.submit("j1", daemon="d1", caller=OTHER)
-        self.assertEqual(again, Barred(BarCode.IDENTIFIER_IN_USE))
+        self.assertEqual(again, CallRejected(CallRejectionCode.IDENTIFIER_IN_USE))
         await asyncio.sleep(2)
         self.assertEqual(len(cluster.list_starts("j1")), 1)
         self.end()
@@ -112,23 +116,25 @@
         cluster.declare((QUEUE._replace(is_public=True),), make_accounts())
         await asyncio.sleep(0.1)
         anyone = Caller(queue="plans")
-        self.assertEqual(await self.submit("j1", caller=anyone), Taken())
+        self.assertEqual(await self.submit("j1", caller=anyone), JobAccepted())
         self.assertIsInstance(
-            await cluster.daemons["d1"].desk.read_state("j1", KIOSK), Told
+            await cluster.daemons["d1"].frontend.read_state("j1", KIOSK), JobStateFound
         )
         self.end()
 
     @virtual
     async def test_without_the_owner_the_store_tells_whose_a_job_is(self):
         cluster = await self.begin_accounts()
-        self.assertEqual(await self.submit("j1"), Taken())
-        daemon = cluster.find_other()
+        self.assertEqual(await self.submit("j1"), JobAccepted())
+        daemon = cluster.find_other_daemon()
         for other in cluster.daemons:
             if other != daemon.name:
                 cluster.switch.cut_both(daemon.name, other)
-        self.assertIsInstance(await daemon.desk.read_state("j1", KIOSK), Told)
-        self.assertEqual(await daemon.desk.read_state("j1", OTHER), NoJob())
-        self.assertEqual(await daemon.desk.cancel("j1", OTHER), NoJob())
+        self.assertIsInstance(
+            await daemon.frontend.read_state("j1", KIOSK), JobStateFound
+        )
+        self.assertEqual(await daemon.frontend.read_state("j1", OTHER), JobNotFound())
+        self.assertEqual(await daemon.frontend.cancel("j1", OTHER), JobNotFound())
         self.end()
 
 
@@ -138,11 +144,11 @@
     @virtual
     async def test_a_commit_is_refused_whatever_the_daemon_believes(self):
         cluster = await self.begin_accounts()
-        desk = cluster.daemons["d0"].desk
+        frontend = cluster.daemons["d0"].frontend
         # The key goes while the call is under way; no watch has told yet.
         cluster.declare((QUEUE,), make_accounts(keys=()))
-        done = await desk.submit(QUEUE, "j1", make_job(), KIOSK)
-        self.assertEqual(done, Barred(BarCode.UNKNOWN_KEY))
+        done = await frontend.submit(QUEUE, "j1", make_job(), KIOSK)
+        self.assertEqual(done, CallRejected(CallRejectionCode.UNKNOWN_KEY))
         self.assertNotIn("damaskdeck/inbox/jobs/j1", cluster.store.entries)
         self.end()
 
@@ -151,7 +157,7 @@
         cluster = await self.begin_accounts()
         daemon = cluster.daemons["d0"]
 
-        async def lose_answer(transaction, timeout=None, longest=None):
+        async def lose_answer(transaction, timeout=None, max_reply_bytes=None):
             daemon.store.commit = commit
             # Before it is tried again the key goes, and no watch tells of it yet; the
             # job is stored, and will run.
@@ -160,53 +166,53 @@
             return await commit(transaction)
 
         commit, daemon.store.commit = daemon.store.commit, lose_answer
-        self.assertEqual(await self.submit("j1"), Taken())
+        self.assertEqual(await self.submit("j1"), JobAccepted())
         self.end()
 
     @virtual
     async def test_another_document_keeps_a_call_that_is_still_allowed(self):
         cluster = await self.begin_accounts()
         cluster.declare((QUEUE,), make_accounts(keys=("key-1", "key-9")))
-        self.assertEqual(await self.submit("j1"), Taken())
+        self.assertEqual(await self.submit("j1"), JobAccepted())
         self.end()
 
     @virtual
     async def test_a_daemon_that_is_turned_away_hands_nothing_in(self):
         cluster = await self.begin_accounts()
-        daemon = cluster.find_other()
+        daemon = cluster.find_other_daemon()
         daemon.store.faults.outage = True
         await asyncio.sleep(1)
         # Its helpers have the store, and judge the key by their own document.
-        self.assertEqual(await self.submit("j1", daemon=daemon.name), Taken())
+        self.assertEqual(await self.submit("j1", daemon=daemon.name), JobAccepted())
         cluster.declare((QUEUE,), make_accounts(keys=()))
         await asyncio.sleep(0.1)
         done = await self.submit("j2", daemon=daemon.name)
-        self.assertIsInstance(done, NotTaken)
+        self.assertIsInstance(done, JobNotAccepted)
         self.assertNotIn("damaskdeck/inbox/jobs/j2", cluster.store.entries)
         self.end()
 
     @virtual
     async def test_a_restart_behind_a_cut_admits_nobody(self):
         cluster = await self.begin_accounts()
-        daemon = cluster.find_other()
+        daemon = cluster.find_other_daemon()
         daemon.kill()
         fresh = cluster.add_daemon(daemon.name)
         fresh.store.faults.outage = True
         fresh.start()
         await asyncio.sleep(2)
-        judged = fresh.admission.judge("a.example", "/plans/0a", b"key-1")
-        self.assertEqual(judged, Barred(BarCode.NO_DOCUMENT))
+        judged = fresh.authorizer.authorize("a.example", "/plans/0a", b"key-1")
+        self.assertEqual(judged, CallRejected(CallRejectionCode.NO_DOCUMENT))
         self.end()
 
     @virtual
     async def test_a_suspend_ends_what_was_sure(self):
         cluster = await self.begin_accounts()
-        daemon = cluster.find_other()
+        daemon = cluster.find_other_daemon()
         daemon.freeze()
         daemon.store.faults.outage = True
         await asyncio.sleep(6)
-        judged = daemon.admission.judge("a.example", "/plans/0a", b"key-1")
-        self.assertEqual(judged, Barred(BarCode.STALE_DOCUMENT))
+        judged = daemon.authorizer.authorize("a.example", "/plans/0a", b"key-1")
+        self.assertEqual(judged, CallRejected(CallRejectionCode.STALE_DOCUMENT))
         daemon.thaw()
         self.end()
 
@@ -218,11 +224,11 @@
     async def test_a_wide_step_runs_in_waves(self):
         cluster = await self.begin_accounts()
         spec = make_job(StepSpec(7, SMALL, SECOND))
-        self.assertEqual(await self.submit("j1", spec), Taken())
+        self.assertEqual(await self.submit("j1", spec), JobAccepted())
         await asyncio.sleep(6)
         self.assertEqual(
-            await cluster.daemons["d0"].desk.read_state("j1", KIOSK),
-            Told(QueuedState.COMPLETED),
+            await cluster.daemons["d0"].frontend.read_state("j1", KIOSK),
+            JobStateFound(QueueJobState.COMPLETED),
         )
         self.assert_within_quota()
         # Four waves of a second each, and hardly more.
@@ -259,10 +265,10 @@
         queue = QUEUE._replace(advice=TERMS)
         cluster = await self.begin(queues=(queue,), accounts=make_accounts())
         await asyncio.sleep(0.1)
-        desk = cluster.daemons["d0"].desk
+        frontend = cluster.daemons["d0"].frontend
         gang = StepSpec(2, SMALL, SECOND, is_gang=True)
         for name in ("g1", "g2", "g3"):
-            await desk.submit(queue, name, make_job(gang), KIOSK)
+            await frontend.submit(queue, name, make_job(gang), KIOSK)
             await asyncio.sleep(0.2)
         asked = {
             step.partition(".")[0]
@@ -292,7 +298,9 @@
 
         Workers' rooms count as known: the quota alone has to hold the owner back.
         """
-        rooms = mock.patch.object(WorkerContact, "is_room_sure", lambda self, now: True)
+        rooms = mock.patch.object(
+            WorkerContact, "is_capacity_fresh", lambda self, now: True
+        )
         self.enterContext(rooms)
         cluster = await self.begin_accounts(Size(6000, 6000, 0))
         owner = cluster.find_owner()
@@ -322,7 +330,7 @@
 
     @virtual
     async def test_the_checker_sees_an_owner_that_goes_by_an_old_quota(self):
-        trusting = mock.patch.object(PoolOwner, "are_quotas_sure", lambda self: True)
+        trusting = mock.patch.object(PoolOwner, "are_quotas_fresh", lambda self: True)
         with trusting:
             _, late = await self.lower_behind_an_outage()
         self.assertNotEqual(late, [])
@@ -358,7 +366,7 @@
         await self.submit("j1", make_job(StepSpec(9, SMALL, SECOND)))
         await self.submit("j2", make_job(StepSpec(3, SMALL, SECOND)), caller=OTHER)
         owner = cluster.find_owner().owner
-        allowances: Allowances = owner.allowances
+        account_limits: AccountLimits = owner.account_limits
         for _ in range(60):
             await asyncio.sleep(0.07)
             counted = {"kiosk": ZERO_SIZE, "other": ZERO_SIZE}
@@ -368,6 +376,6 @@
                     size = run.task.step.spec.size
                     counted[name] = add_sizes(counted[name], size)
             for name, size in counted.items():
-                self.assertEqual(allowances.read_use(name), size)
-        self.assertEqual(allowances.read_use("kiosk"), ZERO_SIZE)
+                self.assertEqual(account_limits.get_usage(name), size)
+        self.assertEqual(account_limits.get_usage("kiosk"), ZERO_SIZE)
         self.end()
--- a/tests/test_pools_accounts_chaos.py
+++ b/tests/test_pools_accounts_chaos.py
@@ -5,11 +5,11 @@
 from datetime import timedelta
 from unittest import mock
 
-from damaskdeck.coordination.pools.admitting import Admission, Admitted
-from damaskdeck.coordination.pools.allowances import Allowances
+from damaskdeck.coordination.pools.accountlimits import AccountLimits
+from damaskdeck.coordination.pools.authorization import AuthorizedCall, CallAuthorizer
 from damaskdeck.coordination.pools.declarations import Declarations
-from damaskdeck.protocol.accounts import UNLIMITED
-from damaskdeck.protocol.callers import Caller, Taken, Told
+from damaskdeck.protocol.callresults import Caller, JobAccepted, JobStateFound
+from damaskdeck.protocol.clientaccounts import UNLIMITED
 from damaskdeck.protocol.queues import Queue, TaskName
 from damaskdeck.protocol.sizes import Size
 from standins.loops import run_virtual
@@ -96,8 +96,8 @@
                 sent = self.cluster.clock.monotonic()
                 if daemon.is_killed or not daemon.clock.runs.is_set():
                     continue
-                judged = daemon.admission.judge("a.example", "/plans/1", key)
-                if isinstance(judged, Admitted):
+                judged = daemon.authorizer.authorize("a.example", "/plans/1", key)
+                if isinstance(judged, AuthorizedCall):
                     self.check_key(key, sent)
 
     def heal(self) -> None:
@@ -116,7 +116,7 @@
     def __init__(self, chaos: AccountsChaos, daemon) -> None:
         self._chaos = chaos
         self._daemon = daemon
-        self._desk = daemon.desk
+        self._desk = daemon.frontend
 
     def __getattr__(self, name: str):
         return getattr(self._desk, name)
@@ -126,8 +126,12 @@
         numbers = self._chaos.random.sample(range(KEYS), KEYS)
         key = make_key(account, numbers[0])
         sent = self._chaos.cluster.clock.monotonic()
-        judged = self._daemon.admission.judge(queue.host, queue.prefix + job, key)
-        return (judged.caller if isinstance(judged, Admitted) else None), key, sent
+        judged = self._daemon.authorizer.authorize(queue.host, queue.prefix + job, key)
+        return (
+            (judged.caller if isinstance(judged, AuthorizedCall) else None),
+            key,
+            sent,
+        )
 
     async def submit(self, queue: Queue, job: str, spec):
         """Hand a job in with a key of its account."""
@@ -135,7 +139,7 @@
         if caller is None:
             return None
         done = await self._desk.submit(queue, job, spec, caller)
-        if done == Taken():
+        if done == JobAccepted():
             self._chaos.check_key(key, sent)
         return done
 
@@ -153,7 +157,7 @@
         if caller is None:
             return None
         told = await ask(job, caller)
-        if isinstance(told, Told):
+        if isinstance(told, JobStateFound):
             self._chaos.check_key(key, sent)
         return told
 
@@ -179,7 +183,7 @@
     def add_daemon(self, name: str, *args, **options):
         """Make a daemon whose desk asks for keys."""
         daemon = super().add_daemon(name, *args, **options)
-        daemon.desk = CallingDesk(self._chaos, daemon)
+        daemon.frontend = CallingDesk(self._chaos, daemon)
         return daemon
 
 
@@ -229,7 +233,7 @@
 class TestAccountsChaos(unittest.TestCase):
     """Whatever fails, no quota is passed and no key that went is served."""
 
-    def test_the_promises_hold_whatever_fails(self):
+    def test_the_invariants_hold_under_faults(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 problems, log = play(seed)
@@ -248,23 +252,23 @@
 
     def test_quotas_that_nobody_keeps_are_seen(self):
         free = mock.patch.object(
-            Allowances, "count_startable", lambda self, step, wanted: wanted
+            AccountLimits, "count_startable", lambda self, step, wanted: wanted
         )
         with free:
             self.assert_caught(" brings ")
 
     def test_a_document_that_is_believed_for_ever_is_seen(self):
-        believing = mock.patch.object(Declarations, "may_serve", True)
+        believing = mock.patch.object(Declarations, "can_verify_keys", True)
         with believing:
             self.assert_caught(" served ")
 
     def test_keys_that_nobody_looks_at_are_seen(self):
-        def judge(self, host, path, key):
+        def authorize(self, host, path, key):
             table = self._declarations.table
             queue = table.find(host, path) if table else None
             account = key.decode().partition("-")[0]
             caller = Caller(account, queue.name if queue else "")
-            return Admitted(queue, caller, table)
+            return AuthorizedCall(queue, caller, table)
 
-        with mock.patch.object(Admission, "judge", judge):
+        with mock.patch.object(CallAuthorizer, "authorize", authorize):
             self.assert_caught(" served ")
--- a/tests/test_pools_capacity.py
+++ b/tests/test_pools_capacity.py
@@ -3,7 +3,7 @@
 import asyncio
 from datetime import timedelta
 
-from damaskdeck.protocol.queues import QueuedState, StepSpec
+from damaskdeck.protocol.queues import QueueJobState, StepSpec
 from damaskdeck.protocol.sizes import Size
 from standins.pools import Work
 from tests.poolcluster import (
@@ -39,7 +39,7 @@
         await cluster.submit("j1", make_job(StepSpec(16, SMALL, SECOND)))
         await asyncio.sleep(0.5)
         cluster.resize("w0", QUARTER)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.assertGreater(len(cluster.list_starts("j1")), 12)
         self.end()
 
@@ -52,7 +52,7 @@
         await asyncio.sleep(3)
         began = cluster.clock.monotonic()
         await cluster.submit("j1", make_job(StepSpec(4, SMALL, SECOND)))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.assertLess(cluster.clock.monotonic() - began, 2 * SECOND)
         self.end()
 
@@ -64,7 +64,7 @@
             cluster.resize(worker, QUARTER)
         await asyncio.sleep(9)
         cluster.heal()
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.end()
 
     # Rooms were dated by their reading: one read as the store came back was believed.
@@ -92,7 +92,7 @@
             cluster.find_owner().kill()
         await asyncio.sleep((CONTACT + BEAT).total_seconds() + longer)
         cluster.heal()
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=120)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=120)
 
     # Nothing was started on any worker until the store had told of all.
     @virtual
--- a/tests/test_pools_chaos.py
+++ b/tests/test_pools_chaos.py
@@ -8,11 +8,11 @@
 from datetime import timedelta
 from random import Random
 
-from damaskdeck.protocol.callers import Taken, Told
+from damaskdeck.protocol.callresults import JobAccepted, JobStateFound
 from damaskdeck.protocol.pools import EndKind
-from damaskdeck.protocol.queues import FINAL_STATES, JobSpec, QueuedState, StepSpec
+from damaskdeck.protocol.queues import FINAL_STATES, JobSpec, QueueJobState, StepSpec
 from damaskdeck.protocol.sizes import Size, add_sizes, fits
-from damaskdeck.state.jobrecords import LEAD_KEY, MEMBERS
+from damaskdeck.state.jobrecords import LEAD_KEY, MEMBERS_PREFIX
 from standins.faults import FaultKind
 from standins.loops import run_virtual
 from standins.pools import Work
@@ -126,8 +126,8 @@
             if daemon.is_killed:
                 await asyncio.sleep(0.2)
                 continue
-            done = await daemon.desk.submit(queue, name, spec)
-            if done == Taken():
+            done = await daemon.frontend.submit(queue, name, spec)
+            if done == JobAccepted():
                 return
             await asyncio.sleep(random.uniform(0.1, 1.0))
         self.problems.append(f"{name} was never taken: {done}")
@@ -138,8 +138,8 @@
         daemon = self.pick_daemon()
         if daemon.is_killed:
             return
-        told = await daemon.desk.cancel(name)
-        if told == Told(QueuedState.CANCELLED):
+        told = await daemon.frontend.cancel(name)
+        if told == JobStateFound(QueueJobState.CANCELLED):
             self.cancelled[name] = self.cluster.clock.monotonic()
 
     # Run -----------------------------------------------------------------------
@@ -172,7 +172,7 @@
         await asyncio.gather(*jobs)
         await self.wait_for_ends()
         watch.cancel()
-        self.problems += self.cluster.find_broken_promises()
+        self.problems += self.cluster.find_violations()
         self.check_cancels()
         self.check_epochs()
         self.cluster.close()
@@ -213,8 +213,8 @@
             for daemon in self.cluster.daemons.values():
                 daemon.check()
             for name in sorted(open_jobs):
-                told = await self.pick_daemon().desk.read_state(name)
-                if isinstance(told, Told) and told.state in FINAL_STATES:
+                told = await self.pick_daemon().frontend.read_state(name)
+                if isinstance(told, JobStateFound) and told.state in FINAL_STATES:
                     open_jobs.discard(name)
                     self.check_final(name, told.state)
             await asyncio.sleep(0.5)
@@ -234,9 +234,9 @@
             if any(row[0] > limit for row in self.cluster.list_starts(name)):
                 self.problems.append(f"{name} started long after its cancel")
 
-    def check_final(self, name: str, state: QueuedState) -> None:
+    def check_final(self, name: str, state: QueueJobState) -> None:
         """Check a final state against what the workers saw."""
-        if state is not QueuedState.COMPLETED:
+        if state is not QueueJobState.COMPLETED:
             return
         completed = {
             row[0]
@@ -288,7 +288,7 @@
     """Let the store turn a daemon away, with its keys gone."""
     daemon = chaos.pick_daemon()
     daemon.store.faults.outage = True
-    chaos.cluster.store.revoke(MEMBERS + daemon.name)
+    chaos.cluster.store.revoke(MEMBERS_PREFIX + daemon.name)
     if chaos.random.random() < 0.5:
         chaos.cluster.store.revoke(LEAD_KEY)
 
@@ -367,7 +367,7 @@
     worker = chaos.pick_worker()
     if not worker.is_up:
         return
-    chaos.cluster.note_crash(worker)
+    chaos.cluster.record_crash(worker)
     worker.kill()
     chaos.cluster.store.set(f"workers/{worker.info.identifier}", None)
     chaos._lives += 1
@@ -432,10 +432,10 @@
         """Whether a job's first task crashes workers."""
         return Random(f"bad {job}").random() < self.share
 
-    def check_final(self, name: str, state: QueuedState) -> None:
+    def check_final(self, name: str, state: QueueJobState) -> None:
         """Check that a job that is told failed has a cause that the workers saw."""
         super().check_final(name, state)
-        if state is not QueuedState.FAILED:
+        if state is not QueueJobState.FAILED:
             return
         failures: Counter[tuple] = Counter()
         for worker in self.cluster.workers.values():
@@ -504,7 +504,7 @@
                 problems, faults = play(kind, seed)
                 self.assertEqual(problems, [], faults)
 
-    def test_the_promises_hold_whatever_fails(self):
+    def test_the_invariants_hold_under_faults(self):
         self.play(Chaos)
 
     def test_the_promises_hold_where_zones_are_cut_off(self):
--- a/tests/test_pools_crashes.py
+++ b/tests/test_pools_crashes.py
@@ -12,7 +12,7 @@
 from datetime import timedelta
 
 from damaskdeck.coordination.pools.crashes import MOST_CRASHES
-from damaskdeck.protocol.queues import QueuedState, StepSpec, TaskName
+from damaskdeck.protocol.queues import QueueJobState, StepSpec, TaskName
 from standins.pools import StandinRegistry, Work
 from tests.poolcluster import SECOND, SIZE, SMALL, PoolCase, make_job
 from tests.virtual import virtual
@@ -21,7 +21,7 @@
 AT_ONCE = timedelta(milliseconds=10)
 # Five starts with three seconds between them, and as long again.
 ENOUGH_SECONDS = 40
-LASTING = StepSpec(1, SMALL, SECOND, is_lasting=True)
+LASTING = StepSpec(1, SMALL, SECOND, is_long_running=True)
 
 Behaviour = Callable[[TaskName, int], Work]
 
@@ -55,7 +55,9 @@
     async def test_a_task_that_crashes_its_workers_is_given_up(self):
         cluster = await self.begin(workers=6, behave=crash_under("bad"))
         await cluster.submit("bad", make_job())
-        await cluster.wait_for_state("bad", QueuedState.FAILED, seconds=ENOUGH_SECONDS)
+        await cluster.wait_for_state(
+            "bad", QueueJobState.FAILED, seconds=ENOUGH_SECONDS
+        )
         self.assertLessEqual(len(cluster.list_starts("bad")), 5)
         self.end()
 
@@ -64,8 +66,10 @@
         cluster = await self.begin(workers=3, behave=crash_under("bad"))
         await cluster.submit("good", make_job(StepSpec(14, SMALL, SECOND)))
         await cluster.submit("bad", make_job())
-        await cluster.wait_for_state("bad", QueuedState.FAILED, seconds=ENOUGH_SECONDS)
-        await cluster.wait_for_state("good", QueuedState.COMPLETED)
+        await cluster.wait_for_state(
+            "bad", QueueJobState.FAILED, seconds=ENOUGH_SECONDS
+        )
+        await cluster.wait_for_state("good", QueueJobState.COMPLETED)
         self.assertGreater(len(cluster.list_starts("good")), 14)
         self.end()
 
@@ -75,7 +79,9 @@
         behave = crash_under("bad", after=late, duration=3 * SECOND)
         cluster = await self.begin(workers=6, behave=behave)
         await cluster.submit("bad", make_job())
-        await cluster.wait_for_state("bad", QueuedState.FAILED, seconds=ENOUGH_SECONDS)
+        await cluster.wait_for_state(
+            "bad", QueueJobState.FAILED, seconds=ENOUGH_SECONDS
+        )
         self.end()
 
     @virtual
@@ -84,14 +90,18 @@
         cluster = await self.begin(workers=6, behave=behave)
         step = StepSpec(4, SIZE, SECOND, is_gang=True)
         await cluster.submit("bad", make_job(step))
-        await cluster.wait_for_state("bad", QueuedState.FAILED, seconds=ENOUGH_SECONDS)
+        await cluster.wait_for_state(
+            "bad", QueueJobState.FAILED, seconds=ENOUGH_SECONDS
+        )
         self.end()
 
     @virtual
     async def test_a_lasting_task_that_crashes_them_at_its_start_is_given_up(self):
         cluster = await self.begin(workers=6, behave=crash_under("bad"))
         await cluster.submit("bad", make_job(LASTING))
-        await cluster.wait_for_state("bad", QueuedState.FAILED, seconds=ENOUGH_SECONDS)
+        await cluster.wait_for_state(
+            "bad", QueueJobState.FAILED, seconds=ENOUGH_SECONDS
+        )
         self.end()
 
 
@@ -106,7 +116,7 @@
             await asyncio.sleep(16)
             cluster.crash(cluster.find_host("j1"))
         await asyncio.sleep(8)
-        await cluster.wait_for_state("j1", QueuedState.RUNNING)
+        await cluster.wait_for_state("j1", QueueJobState.RUNNING)
         self.end()
 
     @virtual
@@ -117,7 +127,7 @@
             await cluster.wait(lambda: cluster.find_host("j1") is not None)
             await asyncio.sleep(2)
             cluster.crash(cluster.find_host("j1"))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.end()
 
     @virtual
@@ -127,7 +137,7 @@
         for _ in range(MOST_CRASHES - 1):
             await cluster.wait(lambda: cluster.find_host("j1") is not None)
             cluster.crash(cluster.find_host("j1"))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.end()
 
     @virtual
@@ -141,7 +151,7 @@
             await asyncio.sleep(0.3)
             worker.kill()
             cluster.add_worker(f"next{number}", worker.info.address)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.end()
 
 
@@ -161,7 +171,7 @@
         cluster.store.set(StandinRegistry.prefix + worker.info.identifier, None)
         cluster.add_worker("next", worker.info.address)
         await cluster.wait(lambda: cluster.find_host("j1") is not None)
-        step = next(cluster.find_owner().owner.board.jobs["j1"].list_steps())
+        step = next(cluster.find_owner().owner.job_index.jobs["j1"].list_steps())
         self.assertEqual(step.crashes, {})
         self.end()
 
@@ -175,7 +185,7 @@
         await asyncio.sleep(1.8)
         cluster.find_owner().kill()
         await cluster.wait(lambda: cluster.find_host("j1") is not None)
-        step = next(cluster.find_owner().owner.board.jobs["j1"].list_steps())
+        step = next(cluster.find_owner().owner.job_index.jobs["j1"].list_steps())
         self.assertEqual(step.crashes, {0: {1}})
         self.end()
 
@@ -190,7 +200,7 @@
             if cluster.find_owner().name != "d5":
                 cluster.find_owner().kill()
         await cluster.wait_for_state(
-            "bad", QueuedState.FAILED, "d5", seconds=ENOUGH_SECONDS
+            "bad", QueueJobState.FAILED, "d5", seconds=ENOUGH_SECONDS
         )
         self.assertLessEqual(len(cluster.list_starts("bad")), MOST_CRASHES)
         self.end()
--- a/tests/test_pools_kinds.py
+++ b/tests/test_pools_kinds.py
@@ -3,12 +3,12 @@
 import asyncio
 from datetime import timedelta
 
-from damaskdeck.coordination.pools.ordering import Outlook, judge_step
+from damaskdeck.coordination.pools.urgency import DeadlineStatus, measure_urgency
 from damaskdeck.protocol.pools import Declined, EndKind, RefusalCode
-from damaskdeck.protocol.queues import QueuedState, StepSpec
+from damaskdeck.protocol.queues import QueueJobState, StepSpec
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.state.board import Job
 from damaskdeck.state.jobrecords import JobRecord, ProgressRecord, StepProgress
+from damaskdeck.state.pooljobs import Job
 from standins.pools import Work
 from tests.poolcluster import SECOND, SMALL, PoolCase, make_job, make_queue
 from tests.virtual import virtual
@@ -31,11 +31,11 @@
         cluster = await self.begin(
             behave=lambda t, a: Work(SECOND, kinds[a % len(kinds)], SECOND / 2)
         )
-        lasting = StepSpec(2, SMALL, is_lasting=True)
+        lasting = StepSpec(2, SMALL, is_long_running=True)
         await cluster.submit("j1", make_job(lasting))
         await asyncio.sleep(12)
         self.assertGreaterEqual(len(cluster.list_starts()), 16)
-        await cluster.wait_for_state("j1", QueuedState.RUNNING)
+        await cluster.wait_for_state("j1", QueueJobState.RUNNING)
         self.cluster.close()
 
     @virtual
@@ -43,13 +43,13 @@
         cluster = await self.begin(
             behave=lambda t, a: Work(timedelta(hours=1), startup=SECOND / 2)
         )
-        await cluster.submit("j1", make_job(StepSpec(3, SMALL, is_lasting=True)))
+        await cluster.submit("j1", make_job(StepSpec(3, SMALL, is_long_running=True)))
         await asyncio.sleep(1)
         cluster.find_owner().kill()
-        survivor = cluster.find_other()
+        survivor = cluster.find_other_daemon()
         await asyncio.sleep(10)
         self.assertEqual(len(cluster.list_starts()), 3)
-        await survivor.desk.cancel("j1")
+        await survivor.frontend.cancel("j1")
         await asyncio.sleep(3)
         running = [task for w in cluster.workers.values() for task in w.running]
         self.assertEqual(running, [])
@@ -57,9 +57,9 @@
 
     @virtual
     async def test_a_lasting_task_is_in_time_whenever_it_is_down(self):
-        job = make_board_job(make_job(StepSpec(1, SMALL, SECOND, is_lasting=True)))
-        urgency = judge_step(next(job.list_steps()), 10_000.0)
-        self.assertEqual(urgency.outlook, Outlook.PUNCTUAL)
+        job = make_board_job(make_job(StepSpec(1, SMALL, SECOND, is_long_running=True)))
+        urgency = measure_urgency(next(job.list_steps()), 10_000.0)
+        self.assertEqual(urgency.deadline_status, DeadlineStatus.ON_TIME)
 
 
 class TestTimed(PoolCase):
@@ -71,8 +71,12 @@
         job = make_board_job(spec, arrived_at=0.0)
         job.open_occurrence(1, due_at=500.0)
         (step,) = job.occurrences[1]
-        self.assertEqual(judge_step(step, 500.0).outlook, Outlook.PUNCTUAL)
-        self.assertEqual(judge_step(step, 560.0).outlook, Outlook.LOST)
+        self.assertEqual(
+            measure_urgency(step, 500.0).deadline_status, DeadlineStatus.ON_TIME
+        )
+        self.assertEqual(
+            measure_urgency(step, 560.0).deadline_status, DeadlineStatus.LOST
+        )
 
     @virtual
     async def test_one_occurrence_is_not_judged_by_the_work_of_others(self):
@@ -81,9 +85,9 @@
         job.open_occurrence(0, due_at=100.0)
         job.open_occurrence(1, due_at=101.0)
         (first,), (second,) = job.occurrences[0], job.occurrences[1]
-        before = judge_step(second, 101.0)
+        before = measure_urgency(second, 101.0)
         first.complete(first.tasks[0])
-        self.assertEqual(judge_step(second, 101.0), before)
+        self.assertEqual(measure_urgency(second, 101.0), before)
 
     @virtual
     async def test_an_occurrence_between_others_that_lasted_is_not_passed_over(self):
@@ -97,11 +101,11 @@
         record = JobRecord("j1", make_queue(), spec, 1, wall - 30)
         job = Job(record, owner.now())
         job.restore(ProgressRecord("", True, steps), owner.now())
-        owner.board.add(job)
-        owner.dispatcher.take(job)
+        owner.job_index.add(job)
+        owner.dispatcher.add_job(job)
         await cluster.wait(lambda: bool(cluster.list_starts("j1")), 5)
         self.assertEqual(cluster.list_starts("j1")[0][1].occurrence, 1)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.end()
 
 
@@ -112,7 +116,7 @@
     async def test_a_step_runs_near_its_data(self):
         cluster = await self.begin()
         await cluster.submit("j1", make_job(StepSpec(4, SMALL, LONG, near="r1")))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.assertLessEqual({row[3] for row in cluster.list_starts()}, {"w1", "w3"})
         self.end()
 
@@ -123,7 +127,7 @@
         await cluster.submit("j0", make_job(full))
         await cluster.wait(lambda: len(cluster.list_starts("j0")) == 2)
         await cluster.submit("j1", make_job(StepSpec(2, SMALL, LONG, near="r1")))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         started = {row[3] for row in cluster.list_starts("j1")}
         self.assertLessEqual(started, {"w1", "w3"})
         self.end()
@@ -153,7 +157,7 @@
         cluster = await self.begin()
         step = StepSpec(6, SMALL, SECOND, needs_one_rack=True)
         await cluster.submit("j1", make_job(step))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         racks = {cluster.workers[row[3]].info.rack for row in cluster.list_starts()}
         self.assertEqual(len(racks), 1)
         self.end()
@@ -163,7 +167,7 @@
         cluster = await self.begin()
         gang = StepSpec(12, SMALL, SECOND, is_gang=True, needs_one_rack=True)
         await cluster.submit("j1", make_job(gang))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=5)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=5)
         self.end()
 
     @virtual
@@ -200,5 +204,5 @@
         await asyncio.sleep(2)
         self.assertLess(len(asked), 10)
         worker.start = start
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.end()
--- a/tests/test_pools_overload.py
+++ b/tests/test_pools_overload.py
@@ -12,14 +12,14 @@
 import unittest
 from datetime import timedelta
 
-from damaskdeck.coordination.pools.signs import (
+from damaskdeck.coordination.pools.liveness import (
     FIRST_SILENCE,
     LEAST_SILENCE,
     LONGEST_SILENCE,
     LifeSigns,
 )
-from damaskdeck.protocol.poolcalls import AskWaiting
-from damaskdeck.protocol.queues import QueuedState
+from damaskdeck.protocol.poolmessages import CountWaitingJobs
+from damaskdeck.protocol.queues import QueueJobState
 from standins.clock import ManualClock
 from tests.poolcluster import SECOND, PoolCase, PoolCluster, make_job
 from tests.virtual import virtual
@@ -42,7 +42,9 @@
             asker = self.cluster.daemons[rng.choice(names)]
             calls.append(
                 asyncio.ensure_future(
-                    asker.peers.call(owner, {"queue": "plans"}, AskWaiting, SECOND)
+                    asker.peers.call(
+                        owner, {"queue": "plans"}, CountWaitingJobs, SECOND
+                    )
                 )
             )
             await asyncio.sleep(1 / rate)
@@ -51,7 +53,7 @@
     async def begin_slow(self):
         """Start a cluster whose processes need time for each message."""
         cluster = await self.begin(daemons=DAEMONS, workers=8)
-        await cluster.complete_a_job()
+        await cluster.run_first_job()
         cluster.epochs.clear()
         for name in cluster.daemons:
             cluster.switch.work[name] = WORK
@@ -63,7 +65,7 @@
         await self.press(rate=1.3 / WORK.total_seconds(), seconds=8)
         self.assertLessEqual(len(cluster.epochs), 1)
         await cluster.submit("j1", make_job())
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=5)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=5)
         self.end()
 
     @virtual
@@ -76,15 +78,15 @@
         cluster.find_owner().kill()
         await pressing
         self.assertEqual(len(cluster.epochs), 1)
-        survivor = cluster.find_other().name
+        survivor = cluster.find_other_daemon().name
         await cluster.submit("j1", make_job(), survivor)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, survivor, seconds=5)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, survivor, seconds=5)
         self.end()
 
     @virtual
     async def test_a_successor_is_heard_while_beats_to_the_lost_owner_hang(self):
         cluster = await self.begin(daemons=7)
-        await cluster.complete_a_job()
+        await cluster.run_first_job()
         owner = cluster.find_owner()
         cluster.switch.pause(owner.name)
         owner.freeze()
@@ -102,11 +104,11 @@
     @virtual
     async def test_doubting_an_owner_asks_as_few_in_a_large_system(self):
         cluster = await self.begin(daemons=48, workers=2)
-        await cluster.complete_a_job()
+        await cluster.run_first_job()
         owner = cluster.find_owner()
-        watch = cluster.find_other().watch
+        watch = cluster.find_other_daemon().watch
         before = sum(cluster.switch.messages.values())
-        await watch._doubt(owner.name, owner.owner.mandate.epoch)
+        await watch._doubt(owner.name, owner.owner.term.epoch)
         asked = sum(cluster.switch.messages.values()) - before
         self.assertLess(asked, 60)
         self.end()
--- a/tests/test_pools_store.py
+++ b/tests/test_pools_store.py
@@ -9,13 +9,13 @@
 import unittest
 from datetime import timedelta
 
-from damaskdeck.coordination.pools.health import (
+from damaskdeck.coordination.pools.monitoredstore import (
     LONGEST_TIMEOUT,
     SHORTEST_TIMEOUT,
-    HealthyStore,
+    MonitoredStore,
 )
 from damaskdeck.protocol.ports import Events, Lost, Rejected, Written
-from damaskdeck.protocol.queues import QueuedState, StepSpec
+from damaskdeck.protocol.queues import QueueJobState, StepSpec
 from damaskdeck.protocol.transactions import Transaction
 from standins.loops import LoopClock
 from standins.pools import Work
@@ -64,7 +64,7 @@
     def setUp(self) -> None:
         self.clock = LoopClock()
         self.script = ScriptedStore(self.clock)
-        self.store = HealthyStore(self.script, self.clock)
+        self.store = MonitoredStore(self.script, self.clock)
 
     @virtual
     async def test_a_commit_that_hangs_is_given_up_soon(self):
@@ -130,18 +130,18 @@
     @virtual
     async def test_its_return_is_noticed_within_a_fifth_of_a_second(self):
         cluster = await self.begin()
-        await cluster.complete_a_job()
+        await cluster.run_first_job()
         for daemon in cluster.daemons.values():
             daemon.store.faults.pause()
         await asyncio.sleep(4)
-        health = [daemon.desk._store for daemon in cluster.daemons.values()]
+        health = [daemon.frontend._store for daemon in cluster.daemons.values()]
         self.assertTrue(all(store.is_failing for store in health))
         for daemon in cluster.daemons.values():
             daemon.store.faults.resume()
         await asyncio.sleep(0.2)
         self.assertFalse(any(store.is_failing for store in health))
         await cluster.submit("j1", make_job())
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=3)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=3)
         self.end()
 
 
@@ -154,12 +154,12 @@
             return Work(SECOND / 2 + task.index * 40 * MILLISECOND)
 
         cluster = await self.begin(behave=behave)
-        await cluster.complete_a_job()
+        await cluster.run_first_job()
         for daemon in cluster.daemons.values():
             daemon.store.faults.delay = 240 * MILLISECOND
         steps = [StepSpec(4, SMALL, SECOND, tuple(range(n))) for n in range(4)]
         await cluster.submit("j1", make_job(*steps))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=10)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=10)
         starts = {row[1].step: row[0] for row in cluster.list_starts("j1")}
         longest = SECOND / 2 + 3 * 40 * MILLISECOND
         gaps = [starts[n + 1] - starts[n] - longest for n in range(3)]
--- a/tests/test_pools_takeover.py
+++ b/tests/test_pools_takeover.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from damaskdeck.protocol.ports import Lost, Written
-from damaskdeck.protocol.queues import QueuedState, StepSpec
+from damaskdeck.protocol.queues import QueueJobState, StepSpec
 from damaskdeck.state.jobrecords import LEAD_KEY, OWNER_KEY
 from standins.pools import Work
 from tests.poolcluster import (
@@ -28,8 +28,8 @@
         await cluster.submit("j1", make_job(StepSpec(6, SMALL, SECOND)))
         await asyncio.sleep(1)
         cluster.find_owner().kill()
-        survivor = cluster.find_other().name
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, survivor)
+        survivor = cluster.find_other_daemon().name
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, survivor)
         self.assertEqual(len(cluster.list_starts()), 6)
         self.end()
 
@@ -42,27 +42,27 @@
         owner.store.faults.outage = True
         await asyncio.sleep(1)
         owner.kill()
-        survivor = cluster.find_other().name
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, survivor)
+        survivor = cluster.find_other_daemon().name
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, survivor)
         self.assertEqual(len(cluster.list_starts()), 6)
         self.end()
 
     @virtual
     async def test_workers_known_from_the_roster_get_tasks_from_the_successor(self):
         cluster = await self.begin()
-        await cluster.complete_a_job()
+        await cluster.run_first_job()
         cluster.find_owner().kill()
-        survivor = cluster.find_other().name
+        survivor = cluster.find_other_daemon().name
         await cluster.wait(lambda: cluster.find_owner() is not None)
         await cluster.submit("j1", make_job(StepSpec(8, SMALL, SECOND)), survivor)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, survivor, 5)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, survivor, 5)
         self.end()
 
     @virtual
     async def test_a_successor_starts_within_three_seconds_of_a_death(self):
         cluster = await self.begin()
-        await cluster.complete_a_job()
-        other = cluster.find_other().name
+        await cluster.run_first_job()
+        other = cluster.find_other_daemon().name
         cluster.find_owner().kill()
         died = cluster.clock.monotonic()
         await cluster.submit("j1", make_job(), other)
@@ -74,7 +74,7 @@
     @virtual
     async def test_daemons_that_hear_no_owner_do_not_wait_for_its_lease(self):
         cluster = await self.begin(daemons=5)
-        other = cluster.find_other().name
+        other = cluster.find_other_daemon().name
         cluster.find_owner().kill()
         died = cluster.clock.monotonic()
         await cluster.submit("j1", make_job(), other)
@@ -86,7 +86,7 @@
     @virtual
     async def test_an_owner_whose_process_is_gone_is_succeeded_at_once(self):
         cluster = await self.begin(daemons=5)
-        await cluster.complete_a_job()
+        await cluster.run_first_job()
         cluster.find_owner().kill()
         died = cluster.clock.monotonic()
         await cluster.wait(lambda: cluster.find_owner() is not None)
@@ -102,13 +102,13 @@
         await asyncio.sleep(1)
         owner = cluster.find_owner()
         if owner is not strong:
-            self.assertEqual(owner.leadership.find_stronger(), "d9")
+            self.assertEqual(owner.leadership.find_stronger_member(), "d9")
             await owner.owner.drain()
             await owner.leadership.release(is_leaving=False)
         await cluster.wait(lambda: cluster.find_owner() is strong)
-        self.assertEqual(strong.leadership.find_stronger(), "")
+        self.assertEqual(strong.leadership.find_stronger_member(), "")
         await cluster.submit("j1", make_job())
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.end()
 
     @virtual
@@ -129,7 +129,7 @@
     @virtual
     async def test_daemons_cut_off_with_the_owner_are_not_waited_for(self):
         cluster = await self.begin(daemons=7, zones=3, workers=6)
-        await cluster.complete_a_job()
+        await cluster.run_first_job()
         owner = cluster.find_owner()
         # Those whose turn would come first.
         heirs = owner.leadership.list_heirs()
@@ -165,8 +165,8 @@
     @virtual
     async def test_an_explicit_handover_takes_less_than_a_third_of_a_second(self):
         cluster = await self.begin()
-        await cluster.complete_a_job()
-        owner, other = cluster.find_owner(), cluster.find_other().name
+        await cluster.run_first_job()
+        owner, other = cluster.find_owner(), cluster.find_other_daemon().name
         left = cluster.clock.monotonic()
         await owner.stop()
         del cluster.daemons[owner.name]
@@ -181,7 +181,7 @@
         cluster = await self.begin(
             workers=2, behave=lambda t, a: Work(timedelta(seconds=3))
         )
-        await cluster.complete_a_job()
+        await cluster.run_first_job()
         cluster.retire("w1")
         await asyncio.sleep(1)
         cluster.workers["w1"].kill()
@@ -198,8 +198,8 @@
     @virtual
     async def test_a_slow_store_is_asked_all_at_once_by_an_heir(self):
         cluster = await self.begin()
-        await cluster.complete_a_job()
-        owner, other = cluster.find_owner(), cluster.find_other()
+        await cluster.run_first_job()
+        owner, other = cluster.find_owner(), cluster.find_other_daemon()
         for daemon in cluster.daemons.values():
             daemon.store.faults.delay = timedelta(milliseconds=200)
         await asyncio.sleep(2)
@@ -211,7 +211,7 @@
         took = cluster.clock.monotonic() - left
         self.assertLess(took, timedelta(milliseconds=900))
         await cluster.submit("j1", make_job(), other.name)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, other.name)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, other.name)
         self.end()
 
     @virtual
@@ -223,7 +223,7 @@
         await cluster.wait(lambda: len(cluster.epochs) > 1)
         await cluster.wait(lambda: cluster.find_owner() is not None)
         await cluster.submit("j1", make_job())
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.end()
 
     @virtual
@@ -238,7 +238,7 @@
         for daemon in cluster.daemons.values():
             if daemon is not owner:
                 daemon.workers.cut_off.add("w0")
-        cluster.switch.cut_both(owner.name, cluster.find_other().name)
+        cluster.switch.cut_both(owner.name, cluster.find_other_daemon().name)
         owner.store.faults.pause()
         await cluster.wait(
             lambda: any(task.job == "j1" for task in cluster.workers["w9"].running)
@@ -261,22 +261,24 @@
     async def test_an_answer_to_a_takeover_that_was_overtaken_is_not_believed(self):
         cluster = await self.begin(daemons=4)
         owner = cluster.find_owner()
-        heir = cluster.daemons[cluster.find_other().leadership.list_heirs()[0]]
-        commit = heir.store.commit
+        preferred_successor = cluster.daemons[
+            cluster.find_other_daemon().leadership.list_heirs()[0]
+        ]
+        commit = preferred_successor.store.commit
 
-        async def commit_slowly(transaction, timeout=None, longest=None):
+        async def commit_slowly(transaction, timeout=None, max_reply_bytes=None):
             done = await commit(transaction, timeout)
             if any(write.key == OWNER_KEY for write in transaction.writes):
                 await asyncio.sleep(3)
             return done
 
-        heir.store.commit = commit_slowly
+        preferred_successor.store.commit = commit_slowly
         owner.kill()
         await cluster.wait(lambda: cluster.find_owner() is not None)
         successor = cluster.find_owner()
-        self.assertIsNot(successor, heir)
+        self.assertIsNot(successor, preferred_successor)
         await asyncio.sleep(5)
-        self.assertEqual(heir.mandates, [])
+        self.assertEqual(preferred_successor.mandates, [])
         self.assertIs(cluster.find_owner(), successor)
         self.end()
 
@@ -287,7 +289,7 @@
         commit = daemon.store.commit
         delayed = []
 
-        async def commit_late(transaction, timeout=None, longest=None):
+        async def commit_late(transaction, timeout=None, max_reply_bytes=None):
             is_takeover = any(write.key == OWNER_KEY for write in transaction.writes)
             if delayed or not is_takeover:
                 return await commit(transaction, timeout)
@@ -311,7 +313,7 @@
         for number in range(3):
             cluster.store.revoke(LEAD_KEY)
             await cluster.submit(f"j{number}", make_job())
-            await cluster.wait_for_state(f"j{number}", QueuedState.COMPLETED)
+            await cluster.wait_for_state(f"j{number}", QueueJobState.COMPLETED)
         self.assertEqual(len(cluster.list_starts()), 3)
         self.end()
 
@@ -330,5 +332,5 @@
         await cluster.start()
         await cluster.wait(lambda: len(cluster.list_starts()) > before)
         self.assertLess(cluster.clock.monotonic() - back, 4 * SECOND)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.end()
--- a/tests/test_pools_workers.py
+++ b/tests/test_pools_workers.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from damaskdeck.protocol.pools import EndKind
-from damaskdeck.protocol.queues import QueuedState, StepSpec
+from damaskdeck.protocol.queues import QueueJobState, StepSpec
 from standins.faults import FaultKind
 from standins.pools import Work
 from tests.poolcluster import (
@@ -28,7 +28,7 @@
         cluster = await self.begin()
         cluster.find_owner().workers.faults.plan("start", FaultKind.LOSE_ANSWER)
         await cluster.submit("j1", make_job())
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=5)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=5)
         self.assertEqual(len(cluster.list_starts()), 1)
         self.end()
 
@@ -39,7 +39,7 @@
         owner.workers.late = True
         owner.workers.faults.plan("start", *[FaultKind.LOSE_ANSWER] * 3)
         await cluster.submit("j1", make_job(StepSpec(3, SMALL, SECOND)))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=8)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=8)
         await asyncio.sleep(5)
         self.assertEqual(len(cluster.list_starts()), 3)
         self.end()
@@ -56,7 +56,7 @@
         crashed = cluster.clock.monotonic()
         await cluster.wait(lambda: len(cluster.workers["w0b"].starts) == 2)
         self.assertLess(cluster.clock.monotonic() - crashed, 3 * SECOND)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.end()
 
     @virtual
@@ -68,7 +68,7 @@
         await asyncio.sleep(1)
         owner = cluster.find_owner()
         owner.workers.cut_off.add("w0")
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=90)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=90)
         self.end()
 
     @virtual
@@ -81,7 +81,7 @@
         await asyncio.sleep(5)
         for daemon in cluster.daemons.values():
             daemon.store.faults.outage = False
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.assertEqual(len(cluster.list_starts()), 4)
         self.end()
 
@@ -89,12 +89,12 @@
     async def test_history_that_is_gone_is_read_anew(self):
         cluster = await self.begin()
         cluster.store.forget_history()
-        await cluster.submit("j1", make_job(), cluster.find_other().name)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.submit("j1", make_job(), cluster.find_other_daemon().name)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         cluster.add_worker("w9", "10.0.0.9:1")
         cluster.store.forget_history()
         await cluster.submit("j2", make_job(StepSpec(30, SMALL, SECOND)))
-        await cluster.wait_for_state("j2", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j2", QueueJobState.COMPLETED)
         self.assertTrue(cluster.workers["w9"].starts)
         self.end()
 
@@ -125,7 +125,7 @@
     @virtual
     async def test_what_would_be_cut_off_starts_elsewhere_at_once(self):
         await self.leave(StepSpec(2, SMALL, timedelta(seconds=6)), 2)
-        await self.cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=8)
+        await self.cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=8)
         stops = self.find_stops()
         self.assertEqual(len(stops), 2)
         self.assertLess(max(stops), 0.8)
@@ -135,7 +135,7 @@
     async def test_what_keeps_checkpoints_works_on_as_long_as_it_may(self):
         step = StepSpec(2, SMALL, timedelta(seconds=6), is_checkpointing=True)
         await self.leave(step, 2)
-        await self.cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=10)
+        await self.cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=10)
         stops = self.find_stops()
         self.assertEqual(len(stops), 2)
         self.assertGreater(min(stops), 0.6)
@@ -145,7 +145,7 @@
     @virtual
     async def test_what_ends_in_time_is_left_alone(self):
         await self.leave(StepSpec(2, SMALL, timedelta(seconds=6)), 6)
-        await self.cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=8)
+        await self.cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=8)
         self.assertEqual(self.find_stops(), [])
         self.assertEqual(len(self.cluster.list_starts()), 2)
         self.end()
@@ -154,7 +154,7 @@
     async def test_a_gang_leaves_as_a_whole(self):
         gang = StepSpec(4, SMALL, timedelta(seconds=6), is_gang=True)
         await self.leave(gang, 2)
-        await self.cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=8)
+        await self.cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=8)
         self.assertEqual(len(self.find_stops()), 4)
         self.end()
 
@@ -166,7 +166,7 @@
     async def test_a_worker_that_fails_everything_is_told_from_failing_jobs(self):
         cluster = await self.begin(queues=(make_queue(attempts=6),))
         await cluster.submit("first", make_job(StepSpec(16, SMALL, SECOND)))
-        await cluster.wait_for_state("first", QueuedState.COMPLETED)
+        await cluster.wait_for_state("first", QueueJobState.COMPLETED)
         bad = cluster.workers["w1"]
         bad._behave = lambda task, attempt: Work(
             timedelta(milliseconds=100), EndKind.FAILED
@@ -175,7 +175,7 @@
             await cluster.submit(f"j{number}", make_job(StepSpec(2, SMALL, SECOND)))
             await asyncio.sleep(0.1)
         for number in range(60):
-            await cluster.wait_for_state(f"j{number}", QueuedState.COMPLETED)
+            await cluster.wait_for_state(f"j{number}", QueueJobState.COMPLETED)
         failed = sum(row[2] is EndKind.FAILED for row in bad.history)
         self.assertGreater(failed, 3)
         self.assertLess(failed, 15)
@@ -187,7 +187,7 @@
         for worker in cluster.workers.values():
             worker.hangs = worker.info.identifier == "w0"
         await cluster.submit("j1", make_job(StepSpec(8, SMALL, SECOND)))
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=5)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=5)
         stopped = [row[2] for row in cluster.workers["w0"].history]
         self.assertTrue(stopped)
         self.assertEqual(set(stopped), {EndKind.STOPPED})
@@ -201,7 +201,7 @@
         worker = cluster.workers["w0"]
         worker._measure = lambda run: 100
         await cluster.submit("j1", make_job())
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.assertEqual(len(cluster.list_starts()), 1)
         self.end()
 
@@ -216,7 +216,7 @@
         cluster.workers["w0"].hangs = True
         await asyncio.sleep(1.5)
         cluster.workers["w0"].hangs = False
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.assertEqual(len(cluster.list_starts()), 1)
         self.end()
 
@@ -231,12 +231,12 @@
             queues=(make_queue(slack=1.5, **terms),),
         )
         await cluster.submit("first", make_job(StepSpec(8, SMALL, 2 * SECOND)))
-        await cluster.wait_for_state("first", QueuedState.COMPLETED)
+        await cluster.wait_for_state("first", QueueJobState.COMPLETED)
         cluster.workers["w0"].slowness = 8.0
         for number in range(jobs):
             await cluster.submit(f"j{number}", make_job(step))
         for number in range(jobs):
-            await cluster.wait_for_state(f"j{number}", QueuedState.COMPLETED)
+            await cluster.wait_for_state(f"j{number}", QueueJobState.COMPLETED)
 
     @virtual
     async def test_what_would_be_late_on_a_slow_worker_starts_elsewhere(self):
@@ -269,7 +269,7 @@
         for number in range(4):
             await cluster.submit(f"j{number}", make_job(step))
         for number in range(4):
-            await cluster.wait_for_state(f"j{number}", QueuedState.COMPLETED)
+            await cluster.wait_for_state(f"j{number}", QueueJobState.COMPLETED)
         self.assertEqual(len(cluster.list_starts()), 12)
         self.end()
 
@@ -302,7 +302,7 @@
     @virtual
     async def test_a_copy_gets_a_fresh_ticket(self):
         step = StepSpec(3, SMALL, timedelta(seconds=2), is_speculative=True)
-        brief = TERMS._replace(validity=timedelta(milliseconds=400))
+        brief = TERMS._replace(ticket_validity=timedelta(milliseconds=400))
         await self.begin_slowly(step, 1, advice=brief)
         self.assertLess(self.cluster.clock.monotonic(), timedelta(seconds=9))
         copies = [row for row in self.cluster.list_starts("j0") if row[2] > 1]
