--- a/tests/test_pools_zones.py
+++ b/tests/test_pools_zones.py
@@ -9,9 +9,9 @@
 import unittest
 from datetime import timedelta
 
-from damaskdeck.coordination.pools.confining import ROOM_LASTS, ZoneRooms
-from damaskdeck.protocol.queues import JobSpec, QueuedState, StepSpec
-from damaskdeck.state.jobrecords import JOBS, decode_job
+from damaskdeck.coordination.pools.zoneconfinement import ROOM_LASTS, ZoneCapacities
+from damaskdeck.protocol.queues import JobSpec, QueueJobState, StepSpec
+from damaskdeck.state.jobrecords import JOBS_PREFIX, decode_job
 from standins.clock import ManualClock
 from standins.pools import Work
 from tests.poolcluster import SECOND, SMALL, PoolCase, make_job, make_queue
@@ -33,7 +33,7 @@
 
     def setUp(self) -> None:
         self.clock = ManualClock()
-        self.rooms = ZoneRooms(self.clock, timedelta(seconds=6))
+        self.rooms = ZoneCapacities(self.clock, timedelta(seconds=6))
         self.rooms.take({"epoch": 2, "zones": ROOMS})
 
     def choose(self, spec: JobSpec, job: str = "j") -> tuple[str, ...]:
@@ -54,7 +54,7 @@
 
     def test_what_lasts_or_is_choosy_is_not_confined(self):
         for step in (
-            StepSpec(2, SMALL, SECOND, is_lasting=True),
+            StepSpec(2, SMALL, SECOND, is_long_running=True),
             StepSpec(2, SMALL, SECOND, near="r1"),
             StepSpec(2, SMALL, SECOND, label="b"),
         ):
@@ -76,13 +76,13 @@
     async def begin_quick(self, **options):
         """Start a cluster and let its daemons learn of the room."""
         cluster = await self.begin(**{**SHAPE, **options})
-        await cluster.complete_a_job()
+        await cluster.run_first_job()
         await asyncio.sleep(1.2)
         return cluster
 
     def find_zones(self, job: str) -> tuple[str, ...]:
         """Return the zones that a job's record names."""
-        return decode_job(self.cluster.store.entries[JOBS + job].value).zones
+        return decode_job(self.cluster.store.entries[JOBS_PREFIX + job].value).zones
 
     def find_used(self, job: str) -> set[str]:
         """Return the zones in which a job's tasks started."""
@@ -95,7 +95,7 @@
         for number in range(9):
             await cluster.submit(f"j{number + 1}", make_quick())
         for number in range(9):
-            await cluster.wait_for_state(f"j{number + 1}", QueuedState.COMPLETED)
+            await cluster.wait_for_state(f"j{number + 1}", QueueJobState.COMPLETED)
             job = f"j{number + 1}"
             self.assertEqual(self.find_used(job), set(self.find_zones(job)))
         self.end()
@@ -111,19 +111,19 @@
             spec = make_job(
                 StepSpec(2, SMALL, SECOND), StepSpec(2, SMALL, SECOND, (0,))
             )
-            await cluster.submit(job, spec, cluster.find_other().name)
+            await cluster.submit(job, spec, cluster.find_other_daemon().name)
         cut_at = cluster.clock.monotonic()
         cluster.cut_zone("z0", (owner.name,))
         outside = next(d for d in cluster.daemons.values() if d is not owner).name
         free = [job for job in jobs if "z0" not in self.find_zones(job)]
         self.assertGreater(len(free), 3)
         for job in free:
-            await cluster.wait_for_state(job, QueuedState.COMPLETED, outside, 5)
+            await cluster.wait_for_state(job, QueueJobState.COMPLETED, outside, 5)
         took = cluster.clock.monotonic() - cut_at
         self.assertLess(took, timedelta(seconds=3.5))
         cluster.heal()
         for job in jobs:
-            await cluster.wait_for_state(job, QueuedState.COMPLETED, outside)
+            await cluster.wait_for_state(job, QueueJobState.COMPLETED, outside)
         self.end()
 
     @virtual
@@ -145,7 +145,9 @@
             unconfined = make_job(StepSpec(2, SMALL, 20 * SECOND))
             await cluster.submit(job, unconfined, outside.name)
             if owner.owner is not None:
-                owner.owner.intake.take_job(cluster.store.entries[JOBS + job].value)
+                owner.owner.intake.take_job(
+                    cluster.store.entries[JOBS_PREFIX + job].value
+                )
         await asyncio.sleep(1.5)
         by_old = [
             row
@@ -157,7 +159,7 @@
         cluster.heal()
         for number in range(6):
             await cluster.wait_for_state(
-                f"j{number + 1}", QueuedState.COMPLETED, outside.name
+                f"j{number + 1}", QueueJobState.COMPLETED, outside.name
             )
         self.end()
 
@@ -176,14 +178,14 @@
         # The lease is over for the owner before its tenure is, which counts from the
         # last commit.
         await cluster.submit("j2", slow)
-        await cluster.wait_for_state("j2", QueuedState.COMPLETED)
+        await cluster.wait_for_state("j2", QueueJobState.COMPLETED)
         other = "z1" if zone == "z0" else "z0"
         cluster.cut_zone(other, (owner.name,))
         await asyncio.sleep(9)
         self.assertEqual(len(cluster.list_starts("j1")), 1)
         cluster.heal()
         outside = next(d for d in cluster.daemons.values() if d is not owner)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, outside.name)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, outside.name)
         self.end()
 
     @virtual
@@ -194,10 +196,10 @@
         for worker in cluster.workers.values():
             if worker.info.zone == zone:
                 cluster.retire(worker.info.identifier)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=20)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=20)
         again = make_quick()
         await cluster.submit("j2", again)
-        await cluster.wait_for_state("j2", QueuedState.COMPLETED, seconds=20)
+        await cluster.wait_for_state("j2", QueueJobState.COMPLETED, seconds=20)
         self.end()
 
     @virtual
@@ -217,7 +219,7 @@
                 self.assertLessEqual(self.find_used(job), zones)
         owner.store.faults.outage = False
         for job in ("j1", "j2", "j3"):
-            await cluster.wait_for_state(job, QueuedState.COMPLETED, seconds=20)
+            await cluster.wait_for_state(job, QueueJobState.COMPLETED, seconds=20)
         self.end()
 
     @virtual
@@ -228,7 +230,7 @@
         await asyncio.sleep(0.3)
         (zone,) = self.find_used("j1")
         cluster.cut_zone(zone)
-        await cluster.wait_for_state("j1", QueuedState.COMPLETED, seconds=5)
+        await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=5)
         cluster.heal()
         await asyncio.sleep(3)
         self.cluster.close()
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -16,7 +16,7 @@
 )
 from damaskdeck.protocol.resources import Urgency
 from damaskdeck.protocol.sizes import Size, add_sizes, fits
-from damaskdeck.state.accounts import Accounts, TaskNeed
+from damaskdeck.state.workeraccounts import TaskNeed, WorkerAccounts
 from standins.clock import ManualClock
 from tests.test_accounts import make_worker
 
@@ -30,7 +30,7 @@
 
 def make_preemptor(workers, limit=100, per_task=3):
     """Make accounts of workers and a preemptor over them."""
-    accounts = Accounts()
+    accounts = WorkerAccounts()
     for worker in workers:
         accounts.set_worker(worker)
     clock = ManualClock()
@@ -124,7 +124,7 @@
         self.assertNotIsInstance(placer.place(other), Placed)
         self.assertEqual(preemptor.choose(first).stopped, ())
         accounts.release("low")
-        preemptor.note_end("low")
+        preemptor.record_end("low")
         self.assertNotIsInstance(placer.place(other), Placed)
         self.assertEqual(placer.place(first).worker, "w")
         preemptor.drop_claim("first")
@@ -156,7 +156,7 @@
             urgent = TaskNeed(f"u{number}", Size(1, 1, 0), urgency=Urgency.URGENT)
             victims = preemptor.choose(urgent)
             accounts.release("low")
-            preemptor.note_end("low")
+            preemptor.record_end("low")
             preemptor.drop_claim(f"u{number}")
         self.assertEqual(victims, NoVictims("no_victims"))
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from damaskdeck.coordination.places.failures import Failures
+from damaskdeck.coordination.places.failures import FailureHistory
 from damaskdeck.coordination.places.quarantine import (
     PAUSE,
     PAUSE_LIMIT,
@@ -24,7 +24,7 @@
 
     def __init__(self, fleet=FLEET, **options):
         self.clock = ManualClock()
-        self.quarantine = Quarantine(self.clock, Failures(), **options)
+        self.quarantine = Quarantine(self.clock, FailureHistory(), **options)
         self.quarantine.set_fleet(fleet)
         self.count = 0
 
@@ -33,8 +33,8 @@
         task = f"task-{self.count}"
         if not self.quarantine.may_start(worker, True):
             return False
-        self.quarantine.note_start(worker, task)
-        self.quarantine.note_end(
+        self.quarantine.record_start(worker, task)
+        self.quarantine.record_end(
             worker, workload, job or f"job-{self.count}", task, succeeded
         )
         return True
@@ -56,14 +56,14 @@
         cell.break_worker()
         self.assertEqual(cell.find_state(), WorkerState.QUARANTINED)
         self.assertFalse(cell.quarantine.may_start("w0", True))
-        self.assertEqual(cell.quarantine.held, {"w0"})
+        self.assertEqual(cell.quarantine.isolated, {"w0"})
 
     def test_a_worker_is_held_for_many_jobs_not_for_one_that_is_retried(self):
         cell = Cell()
         cell.run("w1", "checks", True)
         for _ in range(10):
             cell.run("w0", "checks", False, job="poison")
-        self.assertEqual(cell.quarantine.held, frozenset())
+        self.assertEqual(cell.quarantine.isolated, frozenset())
 
     def test_a_workload_that_fails_everywhere_holds_no_worker(self):
         cell, rng = Cell(), random.Random(1)
@@ -71,16 +71,16 @@
             cell.run(worker, "checks", True)
         for _ in range(400):
             cell.run(rng.choice(sorted(FLEET)), "broken", False)
-        self.assertEqual(cell.quarantine.held, frozenset())
+        self.assertEqual(cell.quarantine.isolated, frozenset())
 
     def test_a_workload_that_ran_nowhere_yet_speaks_once_against_a_worker(self):
         cell = Cell()
         for _ in range(10):
             cell.run("w0", "broken", False)
-        self.assertEqual(cell.quarantine.held, frozenset())
+        self.assertEqual(cell.quarantine.isolated, frozenset())
 
     def test_a_success_takes_the_blame_from_a_workload(self):
-        failures = Failures()
+        failures = FailureHistory()
         for worker in ("w0", "w1", "w2"):
             self.assertFalse(failures.is_workload_failing("checks"))
             failures.note_failure(worker, "checks", "job")
@@ -93,10 +93,10 @@
         cell.run("w9", "checks", True)
         for _ in range(5):
             cell.run("w0", "checks", False)
-        self.assertEqual(cell.quarantine.held, {"w0"})
+        self.assertEqual(cell.quarantine.isolated, {"w0"})
         for worker in ("w1", "w2", "w3"):
             cell.run(worker, "checks", False)
-        self.assertEqual(cell.quarantine.held, frozenset())
+        self.assertEqual(cell.quarantine.isolated, frozenset())
 
     def test_several_broken_workloads_hold_no_worker_that_runs_others_well(self):
         cell, rng = Cell(cap_share=1.0), random.Random(3)
@@ -104,7 +104,7 @@
         for _ in range(3000):
             workload = rng.choice((*broken, "checks", "reports", "orders"))
             cell.run(rng.choice(sorted(FLEET)), workload, workload not in broken)
-            self.assertEqual(cell.quarantine.held, frozenset())
+            self.assertEqual(cell.quarantine.isolated, frozenset())
 
     def test_many_failing_workers_do_not_make_workloads_look_broken(self):
         cell, rng = Cell(cap_share=0.5), random.Random(2)
@@ -113,12 +113,12 @@
         for _ in range(600):
             worker = rng.choice(sorted(failing)[:6] * 3 + sorted(FLEET))
             cell.run(worker, rng.choice(workloads), worker not in failing)
-        self.assertEqual(cell.quarantine.held, failing)
+        self.assertEqual(cell.quarantine.isolated, failing)
 
     def test_an_outsider_is_never_held(self):
         cell = Cell()
         cell.break_worker("gone")
-        self.assertEqual(cell.quarantine.held, frozenset())
+        self.assertEqual(cell.quarantine.isolated, frozenset())
 
 
 class TestReturn(unittest.TestCase):
@@ -135,11 +135,11 @@
             tasks = [f"probe-{passed}-{number}" for number in range(2**passed)]
             for task in tasks:
                 self.assertTrue(quarantine.may_start("w0", True))
-                quarantine.note_start("w0", task)
+                quarantine.record_start("w0", task)
             self.assertFalse(quarantine.may_start("w0", True))
             for task in tasks[1:]:
-                quarantine.note_end("w0", "checks", task, task, None)
-            quarantine.note_end("w0", "checks", "job", tasks[0], True)
+                quarantine.record_end("w0", "checks", task, task, None)
+            quarantine.record_end("w0", "checks", "job", tasks[0], True)
         self.assertEqual(cell.find_state(), WorkerState.OPEN)
         self.assertTrue(quarantine.may_start("w0", False))
 
@@ -160,7 +160,9 @@
         cell.break_worker()
         cell.clock.move(PAUSE)
         for number in range(5):
-            cell.quarantine.note_end("w0", "checks", f"{number}", f"old-{number}", True)
+            cell.quarantine.record_end(
+                "w0", "checks", f"{number}", f"old-{number}", True
+            )
         self.assertEqual(cell.find_state(), WorkerState.PROBING)
 
 
@@ -192,16 +194,18 @@
             else:
                 cell.run(worker, f"load-{workload}", kind == "ok")
             most = max(int(count * share), 1 if count > 1 else 0)
-            self.assertLessEqual(len(cell.quarantine.held), most)
-            self.assertTrue(all(int(name[1:]) < count for name in cell.quarantine.held))
+            self.assertLessEqual(len(cell.quarantine.isolated), most)
+            self.assertTrue(
+                all(int(name[1:]) < count for name in cell.quarantine.isolated)
+            )
 
     def test_a_smaller_fleet_lets_the_latest_held_go(self):
         cell = Cell()
         cell.break_worker("w0")
         cell.break_worker("w2")
-        self.assertEqual(cell.quarantine.held, {"w0", "w2"})
+        self.assertEqual(cell.quarantine.isolated, {"w0", "w2"})
         cell.quarantine.set_fleet(frozenset(f"w{n}" for n in range(5)))
-        self.assertEqual(cell.quarantine.held, {"w0"})
+        self.assertEqual(cell.quarantine.isolated, {"w0"})
 
     def test_the_cap_is_reached_when_everything_fails(self):
         cell = Cell()
@@ -209,4 +213,4 @@
         for worker in sorted(FLEET):
             for load in range(5):
                 cell.run(worker, f"load-{load}", False)
-        self.assertEqual(len(cell.quarantine.held), 2)
+        self.assertEqual(len(cell.quarantine.isolated), 2)
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -198,7 +198,7 @@
                 queue.remove(naive.jobs.pop(value % len(naive.jobs)).name)
             elif kind == "end" and naive.running:
                 quotas.release(*naive.running.pop(value % len(naive.running)))
-                queue.note_room(naive.find_room())
+                queue.unblock_fitting(naive.find_room())
             offers = Pass(queue, tries=100)
             while job := offers.next():
                 if fits(job.need, naive.find_room()):
@@ -459,9 +459,9 @@
         queue.push(make_job("big", size=Size(8, 8, 0)))
         queue.push(make_job("long", size=Size(2, 9, 0)))
         _fail_all(queue)
-        queue.note_room(Size(7, 7, 0))
+        queue.unblock_fitting(Size(7, 7, 0))
         self.assertIsNone(Pass(queue).next())
-        queue.note_room(Size(8, 8, 0))
+        queue.unblock_fitting(Size(8, 8, 0))
         self.assertEqual(_fail_all(queue), ["big"])
 
     def test_a_failure_is_believed_for_a_while_only(self):
@@ -479,9 +479,9 @@
         queue = make_queue(make_quotas(Size(1000, 1000, 0)), ManualClock())
         queue.push(make_job("gang", size=Size(4, 4, 0), tasks=9, gang=True))
         self.assertEqual(_fail_all(queue), ["gang"])
-        queue.note_room(Size(4, 3, 0))
+        queue.unblock_fitting(Size(4, 3, 0))
         self.assertEqual(_fail_all(queue), [])
-        queue.note_room(Size(4, 4, 0))
+        queue.unblock_fitting(Size(4, 4, 0))
         self.assertEqual(_fail_all(queue), ["gang"])
 
     def test_a_team_within_its_quota_is_tried_where_one_above_it_failed(self):
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -40,14 +40,14 @@
             quotas.charge(team, size, rank)
         elif kind == "want":
             self.wanted[team].append((size, rank))
-            quotas.add_want(team, size, rank)
+            quotas.add_demand(team, size, rank)
         elif kind == "start" and self.wanted[team]:
             self.used[team].append(self.wanted[team].pop())
-            quotas.charge_wanted(team, *self.used[team][-1])
+            quotas.charge_demand(team, *self.used[team][-1])
         elif kind == "release" and self.used[team]:
             quotas.release(team, *self.used[team].pop())
         elif kind == "unwant" and self.wanted[team]:
-            quotas.drop_want(team, *self.wanted[team].pop())
+            quotas.remove_demand(team, *self.wanted[team].pop())
 
     def sum_claims(self, but, index):
         return sum(self.claim(team, index) for team in TEAMS if team != but)
@@ -109,7 +109,7 @@
         quotas.set_quota("ash", Size(6, 0, 0))
         quotas.charge("ash", Size(4, 0, 0), 3)
         quotas.charge("ash", Size(2, 0, 0), 1)
-        quotas.add_want("birch", Size(4, 0, 0))
+        quotas.add_demand("birch", Size(4, 0, 0))
         quotas.set_quota("birch", Size(4, 0, 0))
         need = Size(3, 0, 0)
         found = [quotas.find_shortfall("ash", need, rank) for rank in range(4)]
@@ -124,10 +124,10 @@
         quotas.set_quota("birch", Size(4, 0, 0))
         quotas.charge("ash", Size(6, 0, 0))
         self.assertIsNone(quotas.find_shortfall("ash", Size(4, 0, 0)))
-        quotas.add_want("birch", Size(9, 0, 0))
+        quotas.add_demand("birch", Size(9, 0, 0))
         self.assertEqual(quotas.find_shortfall("ash", Size(1, 0, 0)), "millicores")
         self.assertIsNone(quotas.find_shortfall("birch", Size(4, 0, 0)))
-        quotas.drop_want("birch", Size(9, 0, 0))
+        quotas.remove_demand("birch", Size(9, 0, 0))
         self.assertIsNone(quotas.find_shortfall("ash", Size(4, 0, 0)))
 
     def test_a_dimension_that_is_not_needed_never_refuses(self):
@@ -172,7 +172,7 @@
         quotas = Quotas(Size(10, 0, 0))
         quotas.set_quota("ash", Size(8, 0, 0))
         quotas.charge("ash", Size(8, 0, 0))
-        quotas.drop_team("ash")
+        quotas.remove_quota("ash")
         self.assertEqual(
             quotas.list_givers(Size(1, 0, 0)), (Giver("ash", Size(8, 0, 0)),)
         )
@@ -207,11 +207,11 @@
             if ends and used[team]:
                 quotas.release(team, used[team].pop(0))
             idle = subtract_sizes(capacity, quotas.use)
-            quotas.add_want(team, need)
+            quotas.add_demand(team, need)
             wanted[team].append(need)
             if quotas.find_shortfall(team, need) or not fits(need, idle):
                 continue
-            quotas.drop_want(team, need)
+            quotas.remove_demand(team, need)
             wanted[team].remove(need)
             quotas.charge(team, need)
             used[team].append(need)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -73,11 +73,11 @@
         done = await self.cluster["d11"].put_weight(2.0)
         revision = done.resource["metadata"]["revision"]
         relay = self.cluster["d22"].relay
-        told = await relay.ask_in_force(revision)
+        told = await relay.read_in_force(revision)
         self.assertTrue(told.is_everywhere)
         self.assertEqual(len(told.revisions), 9)
         await self.cluster.pass_time(0.1)
-        told = await relay.ask_in_force(revision + 1)
+        told = await relay.read_in_force(revision + 1)
         self.assertFalse(told.is_everywhere)
         self.assertEqual(set(told.revisions.values()), {revision})
 
@@ -85,7 +85,7 @@
         done = await self.cluster["d11"].put_weight(2.0)
         revision = done.resource["metadata"]["revision"]
         self.cluster.switch.cut("d22", "d00")
-        asking = self.cluster["d22"].relay.ask_in_force(revision)
+        asking = self.cluster["d22"].relay.read_in_force(revision)
         told = await self.cluster.finish(asking, 1.5)
         self.assertEqual(len(told.revisions), 9)
         self.assertTrue(told.is_everywhere)
@@ -96,7 +96,7 @@
             if daemon.name != "d00":
                 self.cluster.switch.cut(daemon.name, "d00")
         done = await self.cluster["d11"].put_weight(2.0)
-        asking = self.cluster["d22"].relay.ask_in_force(
+        asking = self.cluster["d22"].relay.read_in_force(
             done.resource["metadata"]["revision"]
         )
         told = await self.cluster.finish(asking, 1.5)
@@ -230,7 +230,7 @@
         self.assertLessEqual(await self.cluster.measure(2.0), IN_FORCE_LIMIT)
         await self.cluster.pass_time(1)
         revision = done.resource["metadata"]["revision"]
-        told = await self.cluster["d10"].relay.ask_in_force(revision)
+        told = await self.cluster["d10"].relay.read_in_force(revision)
         self.assertTrue(told.is_everywhere)
 
     async def test_a_newcomer_takes_the_highest_of_its_peers(self):
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -7,9 +7,9 @@
 import asyncio
 from datetime import timedelta
 
-from damaskdeck.protocol.callers import Told
+from damaskdeck.protocol.callresults import JobStateFound
 from damaskdeck.protocol.ports import Lost, Rejected, Written
-from damaskdeck.protocol.queues import QueuedState, StepSpec
+from damaskdeck.protocol.queues import QueueJobState, StepSpec
 from damaskdeck.protocol.transactions import Mismatch, Transaction, Write
 from standins.faults import FaultKind
 from standins.pools import Work
@@ -36,12 +36,15 @@
     async def test_what_ends_meanwhile_is_told(self):
         cluster = await self.begin(behave=lambda task, attempt: Work(QUICK))
         owner = cluster.find_owner()
-        other = cluster.find_other()
+        other = cluster.find_other_daemon()
         await cluster.submit("j1", make_job(StepSpec(1, SMALL, QUICK)), other.name)
         owner.store.faults.outage = True
         await asyncio.sleep(0.9)
         self.assertIs(cluster.find_owner(), owner)
-        self.assertEqual(await other.desk.read_state("j1"), Told(QueuedState.COMPLETED))
+        self.assertEqual(
+            await other.frontend.read_state("j1"),
+            JobStateFound(QueueJobState.COMPLETED),
+        )
         self.end()
 
     @virtual
@@ -68,7 +71,7 @@
     async def test_who_cannot_help_is_left_alone_for_a_while(self):
         cluster, owner = await self.turn_owner_away("d0", "d1", "d2")
         change = Transaction((("k", 0),), (Write("k", b"v"),))
-        owner.commits._helpers._rests.clear()
+        owner.commits._delegates._suspended_until.clear()
         others = len(cluster.daemons) - 1
         asked = [await owner.commits.commit(change) for _ in range(others)]
         self.assertEqual({done.code for done in asked}, {"store_failing"})
@@ -80,20 +83,20 @@
     @virtual
     async def test_it_hands_over_to_who_has_the_store(self):
         cluster, owner = await self.turn_owner_away()
-        heir = owner.leadership._list_other_heirs()[0]
-        cluster.daemons[heir].store.faults.outage = True
+        successor = owner.leadership._list_other_heirs()[0]
+        cluster.daemons[successor].store.faults.outage = True
         for _ in cluster.daemons:
             await owner.commits.commit(Transaction(writes=(Write("k", b"v"),)))
-        self.assertTrue(owner.commits.is_helped)
+        self.assertTrue(owner.commits.is_delegating)
         await owner.owner.drain()
-        await owner.leadership.release_through(
-            owner.owner.fence, owner.commits.commit_through
+        await owner.leadership.release_via_delegate(
+            owner.owner.fence, owner.commits.commit_via_delegate
         )
         self.assertIsNone(owner.owner)
         began = cluster.clock.monotonic()
         await cluster.wait(lambda: cluster.find_owner() is not None)
         self.assertLess(cluster.clock.monotonic() - began, timedelta(seconds=0.3))
-        self.assertNotIn(cluster.find_owner().name, (owner.name, heir))
+        self.assertNotIn(cluster.find_owner().name, (owner.name, successor))
         self.end()
 
     @virtual
--- a/tests/test_request_plane.py
+++ b/tests/test_request_plane.py
@@ -97,7 +97,7 @@
 
     def count_held(self) -> dict[str, int]:
         return {
-            name: len(daemon.ownership.list_held("target"))
+            name: len(daemon.ownership.list_owned("target"))
             for name, daemon in self.daemons.items()
         }
 
--- a/tests/test_requests_model.py
+++ b/tests/test_requests_model.py
@@ -134,14 +134,14 @@
         return self.deployment.targets[TARGETS[number]]
 
     async def _hand_over(self, target: int, entry: int) -> None:
-        thing = f"target/{TARGETS[target]}"
+        shard = f"target/{TARGETS[target]}"
         name = self.alive[entry % len(self.alive)]
-        if self.deployment.table.owners[thing].instance in self.alive:
-            await self.deployment.table.hand_over(thing, name)
+        if self.deployment.table.owners[shard].instance in self.alive:
+            await self.deployment.table.hand_over(shard, name)
 
     async def _take_over(self, target: int, entry: int) -> None:
-        thing = f"target/{TARGETS[target]}"
-        await self.deployment.table.assign(thing, self.alive[entry % len(self.alive)])
+        shard = f"target/{TARGETS[target]}"
+        await self.deployment.table.assign(shard, self.alive[entry % len(self.alive)])
 
     async def _kill(self, entry: int, heir: int) -> None:
         if len(self.alive) < 2:
@@ -150,10 +150,10 @@
         self.deployment.kill_entry(name)
         for caller in self._callers[name]:
             caller.cancel()
-        for thing, owner in list(self.deployment.table.owners.items()):
+        for shard, owner in list(self.deployment.table.owners.items()):
             if owner.instance == name:
                 heir_name = self.alive[heir % len(self.alive)]
-                await self.deployment.table.assign(thing, heir_name)
+                await self.deployment.table.assign(shard, heir_name)
 
     async def _cut(self, sender: int, receiver: int) -> None:
         self.deployment.switch.cut(ENTRIES[sender], ENTRIES[receiver])
--- a/tests/test_reserving.py
+++ b/tests/test_reserving.py
@@ -11,7 +11,7 @@
 import random
 from datetime import timedelta
 
-from damaskdeck.protocol.callers import Taken
+from damaskdeck.protocol.callresults import JobAccepted
 from damaskdeck.protocol.queues import StepSpec
 from standins.pools import Work
 from tests.poolcluster import SECOND, SMALL, PoolCase, make_job, make_queue
@@ -47,8 +47,8 @@
 
     async def hand_in(self, queue, name: str, spec) -> None:
         """Hand a job in on a queue."""
-        done = await self.cluster.daemons["d0"].desk.submit(queue, name, spec)
-        self.assertEqual(done, Taken())
+        done = await self.cluster.daemons["d0"].frontend.submit(queue, name, spec)
+        self.assertEqual(done, JobAccepted())
 
     async def begin_pressed(self, seconds: float) -> None:
         """Start a cluster and fill its pool."""
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -8,8 +8,12 @@
 from datetime import timedelta
 from typing import Any
 
-from damaskdeck.protocol.forwarding import ForwardRequest, RequestsWaiting, SlotsOffered
-from damaskdeck.protocol.handlers import Claimed, Known
+from damaskdeck.protocol.forwarding import (
+    ForwardRequest,
+    OfferSlots,
+    ReportWaitingRequests,
+)
+from damaskdeck.protocol.handlers import ClaimedKey, KnownKey
 from damaskdeck.protocol.outcomes import Completed, Failed, Refused, Unknown
 from damaskdeck.protocol.ports import InstanceState, Lost, TargetAnswer, TargetCall
 from standins.faults import FaultKind
@@ -100,7 +104,7 @@
             send = deployment.switch.find("entry-0-0").send
 
             def note(instance, message, kind):
-                if kind is RequestsWaiting:
+                if kind is ReportWaitingRequests:
                     told.add(instance)
                 return send(instance, message, kind)
 
@@ -397,7 +401,7 @@
             await asyncio.sleep(0)
             asks[0].cancel()
             router = deployment.routers["entry-0-0"]
-            offer = SlotsOffered(service=SERVICE, count=1)
+            offer = OfferSlots(service=SERVICE, count=1)
             await router._sharing._take_offer("entry-0-1", offer)
             waiting = len(router._owned.get_lane(SERVICE).queue)
             await asyncio.gather(*first, return_exceptions=True)
@@ -612,9 +616,9 @@
             return Refused("store_down", retry_after=SECOND)
         if key in self.claimed:
             outcome = self.claimed[key]
-            return Known(outcome) if outcome else Refused("in_progress")
+            return KnownKey(outcome) if outcome else Refused("in_progress")
         self.claimed[key] = None
-        return Claimed()
+        return ClaimedKey()
 
     async def settle_key(self, team, service, key, outcome):
         self.calls.append("settle")
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -48,7 +48,9 @@
         plane = await Plane(workers=1).start()
         plane.declare("web", type="service", size={"processors": 8, "memory": 1})
         await plane.clock.sleep(200 * SECOND)
-        jobs = plane.find("d1").keeper.desks["00"].kept.table.jobs.values()
+        jobs = (
+            plane.find("d1").ledger_owner.controllers["00"].ledger.table.jobs.values()
+        )
         self.assertEqual([job.state for job in jobs], [JobState.QUEUED])
         plane.platform.add_worker("big", "z1", Size(8000, 8000, 0))
         await plane.clock.sleep(5 * SECOND)
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -18,7 +18,7 @@
 from damaskdeck.protocol.messages import decode_message, encode_message
 from damaskdeck.protocol.resources import Urgency
 from damaskdeck.protocol.sizes import Size
-from damaskdeck.state.accounts import Accounts, TaskNeed
+from damaskdeck.state.workeraccounts import TaskNeed, WorkerAccounts
 from tests.test_accounts import make_worker
 
 NOW = timedelta(seconds=100)
@@ -27,7 +27,7 @@
 
 def make_view(name, sizes, zone="a", age=0, accounts=None):
     """Make a keeper's view of an owner with workers of some sizes."""
-    accounts = accounts or Accounts()
+    accounts = accounts or WorkerAccounts()
     for number, size in enumerate(sizes):
         accounts.set_worker(make_worker(f"{name}-{number}", size, zone))
     data = encode_message(summarize_workers(accounts, zone))
@@ -39,7 +39,7 @@
     """What a summary says of the workers."""
 
     def test_a_summary_is_bounded_whatever_the_number_of_workers(self):
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         rng = random.Random(1)
         for number in range(790):
             size = Size(rng.randint(1, 256_000), rng.randint(1, 1 << 21), number % 9)
@@ -51,7 +51,7 @@
     @settings(derandomize=True, deadline=None, max_examples=200)
     @given(st.lists(SIZES, max_size=12), SIZES)
     def test_a_fresh_summary_of_few_workers_agrees_with_their_owner(self, sizes, size):
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         view = make_view("o", sizes, accounts=accounts)
         need = TaskNeed("t", size)
         outcome = Placer(accounts).place(need)
@@ -59,14 +59,14 @@
         self.assertEqual(isinstance(outcome, Placed), found is view)
 
     def test_closed_workers_are_left_out(self):
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         accounts.set_worker(make_worker("o-0", Size(4, 4, 0)))
         accounts.close_worker("o-0", "quarantined")
         view = make_view("o", [], accounts=accounts)
         self.assertIsNone(view.find_tightest(TaskNeed("t", Size(1, 1, 0))))
 
     def test_what_can_be_cleared_is_told_by_urgency(self):
-        accounts = Accounts()
+        accounts = WorkerAccounts()
         accounts.set_worker(make_worker("o-0", Size(9, 9, 0)))
         for task, urgency, idempotent in (
             ("low", Urgency.LOW, True),
@@ -126,11 +126,11 @@
         need = TaskNeed("t", Size(3, 3, 0))
         for _ in range(2):
             self.assertIsNotNone(choose_owner([view], need, random.Random(1), NOW))
-            view.note_asked(need)
+            view.deduct(need)
         self.assertIsNone(choose_owner([view], need, random.Random(1), NOW))
 
     def test_a_refusal_is_believed_for_needs_as_large(self):
         view = make_view("o", [Size(4, 4, 0), Size(2, 2, 0)])
-        view.note_refused(TaskNeed("t", Size(3, 3, 0)))
+        view.record_refusal(TaskNeed("t", Size(3, 3, 0)))
         self.assertIsNone(view.find_tightest(TaskNeed("t", Size(3, 3, 0))))
         self.assertIsNotNone(view.find_tightest(TaskNeed("t", Size(2, 2, 0))))
--- a/tests/test_task_plane.py
+++ b/tests/test_task_plane.py
@@ -64,8 +64,8 @@
     def submit(self, workload, daemon, payload):
         self.keys += 1
         submission = Submission(workload, "team", payload, f"k{self.keys}")
-        keeper = self.plane.find(daemon).keeper
-        view = self.run(keeper.submit_job(submission))
+        ledger_owner = self.plane.find(daemon).ledger_owner
+        view = self.run(ledger_owner.submit_job(submission))
         if isinstance(view, JobView):
             self.acknowledged[view.name] = submission
 
@@ -73,14 +73,14 @@
     def cancel(self, daemon, data):
         if self.acknowledged:
             job = data.draw(st.sampled_from(sorted(self.acknowledged)))
-            self.run(self.plane.find(daemon).keeper.cancel_job(job))
+            self.run(self.plane.find(daemon).ledger_owner.cancel_job(job))
 
     @rule(daemon=st.sampled_from(DAEMONS), data=st.data())
     def repeat(self, daemon, data):
         if self.acknowledged:
             job = data.draw(st.sampled_from(sorted(self.acknowledged)))
-            keeper = self.plane.find(daemon).keeper
-            view = self.run(keeper.submit_job(self.acknowledged[job]))
+            ledger_owner = self.plane.find(daemon).ledger_owner
+            view = self.run(ledger_owner.submit_job(self.acknowledged[job]))
             if isinstance(view, JobView):
                 assert view.name == job
 
@@ -102,22 +102,22 @@
         self.run(replace())
 
     @rule(
-        thing=st.sampled_from(("ledger/00", "worker/w1", "worker/w2")), data=st.data()
+        shard=st.sampled_from(("ledger/00", "worker/w1", "worker/w2")), data=st.data()
     )
-    def take_over(self, thing, data):
+    def take_over(self, shard, data):
         """A paused owner still believes in its lease while another takes over."""
-        owner = self.plane.registry.owners[thing].instance
+        owner = self.plane.registry.owners[shard].instance
         others = [name for name in DAEMONS if name != owner]
         self.run(
-            self.plane.registry.take_over(thing, data.draw(st.sampled_from(others)))
+            self.plane.registry.take_over(shard, data.draw(st.sampled_from(others)))
         )
 
-    @rule(thing=st.sampled_from(("ledger/00", "worker/w1")), data=st.data())
-    def hand_over(self, thing, data):
-        owner = self.plane.registry.owners[thing].instance
+    @rule(shard=st.sampled_from(("ledger/00", "worker/w1")), data=st.data())
+    def hand_over(self, shard, data):
+        owner = self.plane.registry.owners[shard].instance
         others = [name for name in DAEMONS if name != owner]
         self.run(
-            self.plane.registry.hand_over(thing, data.draw(st.sampled_from(others)))
+            self.plane.registry.hand_over(shard, data.draw(st.sampled_from(others)))
         )
 
     @rule(
@@ -218,9 +218,9 @@
         self.no_non_idempotent_task_starts_twice()
 
     async def have_all_ended(self):
-        keeper = self.plane.find("d2").keeper
+        ledger_owner = self.plane.find("d2").ledger_owner
         for name in self.acknowledged:
-            view = await keeper.read_job(name)
+            view = await ledger_owner.read_job(name)
             self.ends[name] = getattr(view, "state", view)
         return all(state in FINAL_JOB_STATES for state in self.ends.values())
 
--- a/tests/test_wide_documents.py
+++ b/tests/test_wide_documents.py
@@ -7,13 +7,13 @@
 from datetime import timedelta
 from types import SimpleNamespace
 
-from damaskdeck.coordination.pools.admitting import Admission, Admitted
+from damaskdeck.coordination.pools.authorization import AuthorizedCall, CallAuthorizer
 from damaskdeck.coordination.pools.declarations import Declarations
-from damaskdeck.coordination.pools.health import HealthyStore
-from damaskdeck.coordination.pools.storing import JobStoring
+from damaskdeck.coordination.pools.monitoredstore import MonitoredStore
+from damaskdeck.coordination.pools.submitter import JobSubmitter
 from damaskdeck.coordination.pools.times import PoolBounds, derive_times
 from damaskdeck.platform import PlatformQueues, PlatformStore
-from damaskdeck.protocol.callers import BarCode, Barred
+from damaskdeck.protocol.callresults import CallRejected, CallRejectionCode
 from standins.loops import LoopClock
 from standins.narrow import NarrowClient
 from standins.wire import WireStore
@@ -76,12 +76,12 @@
         self.clock = LoopClock()
         self.wire = WireStore(self.clock)
         self.client = NarrowClient(self.wire, self.clock, rate)
-        self.store = HealthyStore(PlatformStore(self.client, "store"), self.clock)
+        self.store = MonitoredStore(PlatformStore(self.client, "store"), self.clock)
         self.times = derive_times(BOUNDS)
         self.declarations = self._build_declarations()
-        self.admission = Admission(self.declarations)
+        self.authorizer = CallAuthorizer(self.declarations)
         self._numbers = itertools.count()
-        self.storing = JobStoring(
+        self.storing = JobSubmitter(
             self.store,
             SimpleNamespace(register=lambda kind, take: None),
             SimpleNamespace(owner=None, owner_revision=0, refresh=lambda entry: None),
@@ -97,8 +97,8 @@
         return Declarations(
             queues,
             self.clock,
-            self.times.keys_sure,
-            self.times.document_sure,
+            self.times.keys_max_age,
+            self.times.document_max_age,
             self.store.measure_silence,
         )
 
@@ -111,14 +111,16 @@
         """Of the document in force."""
         return self.declarations.table.version if self.declarations.table else 0
 
-    def judge(self, queue: int, key: bytes | None = b"key-1") -> Admitted | Barred:
+    def authorize(
+        self, queue: int, key: bytes | None = b"key-1"
+    ) -> AuthorizedCall | CallRejected:
         """Judge a call to a queue."""
-        return self.admission.judge(HOST, f"/queue{queue}/00000000000000aa", key)
+        return self.authorizer.authorize(HOST, f"/queue{queue}/00000000000000aa", key)
 
     async def hand_in(self, identifier: str = "") -> None:
         """Hand a job in, as a caller with a key does."""
-        judged = self.judge(1)
-        if isinstance(judged, Admitted):
+        judged = self.authorize(1)
+        if isinstance(judged, AuthorizedCall):
             identifier = identifier or f"{next(self._numbers):016x}"
             await self.storing.submit(
                 judged.queue, identifier, make_job(), judged.caller
@@ -203,7 +205,7 @@
         before, seconds = daemon.client.received, 20
         await asyncio.sleep(seconds)
         self.assertLess(daemon.client.received - before, CONTROL_RATE * seconds)
-        self.assertIsInstance(daemon.judge(1), Admitted)
+        self.assertIsInstance(daemon.authorize(1), AuthorizedCall)
         self.end()
 
     # A commit that was refused for another reason was answered with the document.
@@ -242,7 +244,7 @@
         daemon.client.loses = lambda path: path == "/kv-txn" and next(numbers) % 2 == 0
         for _ in range(300):
             await asyncio.sleep(0.1)
-            self.assertIsInstance(daemon.judge(1), Admitted)
+            self.assertIsInstance(daemon.authorize(1), AuthorizedCall)
         self.end()
 
     @virtual
@@ -268,8 +270,10 @@
         daemon.write(2, MANY)
         await asyncio.sleep(BOUNDS.in_force.total_seconds())
         calls = ((0, None), (1, b"key-1"), (FEW, b"key-1"))
-        judged = [daemon.judge(queue, key) for queue, key in calls]
-        self.assertEqual(judged, [Barred(BarCode.STALE_DOCUMENT)] * len(calls))
+        judged = [daemon.authorize(queue, key) for queue, key in calls]
+        self.assertEqual(
+            judged, [CallRejected(CallRejectionCode.STALE_DOCUMENT)] * len(calls)
+        )
         self.end()
 
     @virtual
@@ -278,7 +282,7 @@
         daemon.client.is_cut = True
         for _ in range(100):
             await asyncio.sleep(0.1)
-            self.assertIsInstance(daemon.judge(0, None), Admitted)
+            self.assertIsInstance(daemon.authorize(0, None), AuthorizedCall)
         daemon.client.is_cut = False
         daemon.write(2, FEW)
         await asyncio.sleep(0.5)
--- a/tests/usage.py
+++ b/tests/usage.py
@@ -5,7 +5,7 @@
 
 from damaskdeck.protocol.queues import TaskName
 from damaskdeck.protocol.sizes import ZERO_SIZE, Size, add_sizes, fits, subtract_sizes
-from damaskdeck.state.jobrecords import JOBS, JobRecord, decode_job
+from damaskdeck.state.jobrecords import JOBS_PREFIX, JobRecord, decode_job
 from tests.poolcluster import BOUNDS, PoolCluster
 
 
@@ -14,7 +14,7 @@
     records = (
         decode_job(event.value)
         for event in cluster.store._history
-        if event.key.startswith(JOBS) and event.value is not None
+        if event.key.startswith(JOBS_PREFIX) and event.value is not None
     )
     return {record.identifier: record for record in records}
 
