--- a/src/damaskdeck/coordination/members/__init__.py
+++ b/src/damaskdeck/coordination/members/__init__.py
@@ -1,1 +1,1 @@
-"""Who is up, and who decides about what."""
+"""Membership of the daemons, and ownership of shards by them."""
--- a/src/damaskdeck/coordination/members/digests.py
+++ b/src/damaskdeck/coordination/members/digests.py
@@ -1,54 +1,70 @@
-"""What is told of members of other zones, bounded in size."""
+"""Digests of members of other zones, relayed in heartbeats of bounded size."""
 
 from collections.abc import Sequence
 from datetime import timedelta
 
-from damaskdeck.coordination.members.contacts import Contact, to_fields, to_milliseconds
+from damaskdeck.coordination.members.peerstates import (
+    PeerState,
+    to_fields,
+    to_milliseconds,
+)
 from damaskdeck.protocol.heartbeats import Digest
 
-DIGEST_LIMIT = 2048
-AGE_LIMIT = 256
+MAX_DIGEST_BYTES = 2048
+MAX_AGES = 256
+# Estimated overhead of the encoding, per digest and per report.
 _FIXED_BYTES = 80
 _REPORT_BYTES = 4
 
 
-def write_ages(relayed: Sequence[Contact], now: timedelta) -> dict[str, int]:
-    """Return how long ago members were heard, by name, in milliseconds."""
+def write_ages(relayed: Sequence[PeerState], now: timedelta) -> dict[str, int]:
+    """Return how long ago members were last seen, by name, in milliseconds.
+
+    Only the first :data:`MAX_AGES` are included.
+    """
     return {
-        peer_state.member.name: to_milliseconds(now - peer_state.first_hand)
-        for peer_state in relayed[:AGE_LIMIT]
+        peer.member.name: to_milliseconds(now - peer.last_seen_outside_zone)
+        for peer in relayed[:MAX_AGES]
     }
 
 
-class Relay:
-    """Writes digests of members in turn, so that all come up within some rounds."""
+class DigestWriter:
+    """Writes digests of members in rotation.
+
+    Each round continues where the last one stopped, so that every member is
+    included within a few rounds.
+    """
 
     def __init__(self) -> None:
         self._start = 0
 
-    def write_digests(self, relayed: Sequence[Contact], now: timedelta) -> list[Digest]:
-        """Return the next digests, within ``DIGEST_LIMIT`` bytes together."""
+    def write_digests(
+        self, relayed: Sequence[PeerState], now: timedelta
+    ) -> list[Digest]:
+        """Return the next digests, at most ``MAX_DIGEST_BYTES`` in total."""
         start = self._start % (len(relayed) or 1)
-        room = DIGEST_LIMIT
+        bytes_left = MAX_DIGEST_BYTES
         digests: list[Digest] = []
-        for peer_state in (*relayed[start:], *relayed[:start]):
-            digest, size = _write_digest(peer_state, now, room)
-            room -= size
-            if room < 0:
+        for peer in (*relayed[start:], *relayed[:start]):
+            digest, size = _write_digest(peer, now, bytes_left)
+            bytes_left -= size
+            if bytes_left < 0:
                 break
             digests.append(digest)
         self._start = start + len(digests)
         return digests
 
 
-def _write_digest(peer_state: Contact, now: timedelta, room: int) -> tuple[Digest, int]:
-    fields = to_fields(peer_state.member)
-    size = _FIXED_BYTES + sum(len(value) for value in peer_state.member)
+def _write_digest(
+    peer: PeerState, now: timedelta, bytes_left: int
+) -> tuple[Digest, int]:
+    fields = to_fields(peer.member)
+    size = _FIXED_BYTES + sum(len(value) for value in peer.member)
     reports = {}
-    for topic, report in peer_state.reports.items():
+    for topic, report in peer.reports.items():
         cost = len(topic) + len(report.value) + _REPORT_BYTES
-        if size + cost <= room:
+        if size + cost <= bytes_left:
             reports[topic] = report.value
             size += cost
-    age = to_milliseconds(now - peer_state.first_hand)
+    age = to_milliseconds(now - peer.last_seen_outside_zone)
     return {"member": fields, "age": age, "reports": reports}, size
--- a/src/damaskdeck/coordination/members/mirrors.py
+++ b/src/damaskdeck/coordination/members/mirrors.py
@@ -1,4 +1,4 @@
-"""A copy in memory of the store's keys below a prefix; it never goes back."""
+"""In-memory copy of the store's keys below a prefix."""
 
 from datetime import timedelta
 
@@ -9,7 +9,9 @@
 
 
 class Mirror:
-    """Reads changes only, so that a refresh is one small call to the store.
+    """A copy whose revision never decreases.
+
+    A refresh reads only the changes, so it is one small call to the store.
 
     :ivar revision: the store's revision up to which all keys are known; -1
         before the first refresh.
@@ -22,12 +24,12 @@
         self._prefix = prefix
 
     async def refresh(self) -> bool:
-        """Read what has changed; tell whether the store answered."""
+        """Read what has changed; return whether the store answered."""
         if self.revision < 0:
-            return await self._list()
+            return await self._reload()
         found = await self._store.watch(self._prefix, self.revision, _NO_WAIT)
         if isinstance(found, RevisionTooOld):
-            return await self._list()
+            return await self._reload()
         if not isinstance(found, Events):
             return False
         for event in found.events:
@@ -35,11 +37,11 @@
         self.revision = max(self.revision, found.revision)
         return True
 
-    def note(self, key: str, value: bytes, revision: int) -> None:
-        """Take in a write that is known to have taken effect."""
+    def record_write(self, key: str, value: bytes, revision: int) -> None:
+        """Apply a write that is known to have taken effect."""
         self._apply(key, value, revision)
 
-    async def _list(self) -> bool:
+    async def _reload(self) -> bool:
         found = await self._store.list(self._prefix)
         if not isinstance(found, Listing):
             return False
--- a/src/damaskdeck/coordination/members/ownership.py
+++ b/src/damaskdeck/coordination/members/ownership.py
@@ -1,7 +1,8 @@
-"""Who decides about what: claims, takeovers and handovers through the store.
+"""Ownership of shards: claims, takeovers and handovers through the store.
 
-The promise behind it: "No task is ever running in two places at once", and no
-instance is given more than it holds, as one daemon at a time decides.
+One daemon at a time decides about a shard. This is what guarantees that "no task
+is ever running in two places at once" and that no instance is given more work
+than it can hold.
 """
 
 import asyncio
@@ -9,16 +10,16 @@
 from datetime import timedelta
 
 from damaskdeck.clock import Clock, wait_for_event
-from damaskdeck.coordination.members.membership import Membership, Registered
+from damaskdeck.coordination.members.membership import Membership, RegisteredMember
 from damaskdeck.coordination.members.mirrors import Mirror
-from damaskdeck.coordination.members.rendezvous import assign_things, rank_members
+from damaskdeck.coordination.members.ownerleases import OwnerLease
+from damaskdeck.coordination.members.rendezvous import assign_shards, rank_members
 from damaskdeck.coordination.members.tables import (
-    Change,
+    OwnerChange,
     OwnerEntry,
     Table,
     decode_document,
 )
-from damaskdeck.coordination.members.tenures import OwnerLease
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_drop
 from damaskdeck.protocol.heartbeats import TableChange
@@ -28,8 +29,8 @@
 
 PREFIX = "ownership/"
 GLOBAL_SCOPES = frozenset({"ledger"})
-SETTLE_INTERVAL = timedelta(milliseconds=1500)
-HASTE_INTERVAL = timedelta(milliseconds=250)
+RECONCILE_INTERVAL = timedelta(milliseconds=1500)
+FAST_RECONCILE_INTERVAL = timedelta(milliseconds=250)
 HANDOVER_DELAY = timedelta(seconds=2)
 ORPHAN_DELAY = timedelta(seconds=2)
 RELEASE_DELAY = timedelta(seconds=10)
@@ -38,29 +39,29 @@
 _log = get_logger("ownership")
 
 
-class Holding:
-    """A thing that the store's table gives to this daemon.
+class OwnedShard:
+    """A shard that the table in the store assigns to this daemon.
 
-    :ivar is_ready: whether the handlers have returned.
-    :ivar gain: the task that runs the handlers.
+    :ivar is_ready: whether the gain handlers have returned.
+    :ivar gain_task: the task that runs the gain handlers.
     """
 
-    __slots__ = ("epoch", "gain", "is_ready", "owner_lease")
+    __slots__ = ("epoch", "gain_task", "is_ready", "owner_lease")
 
     def __init__(self, epoch: int, owner_lease: OwnerLease) -> None:
         self.epoch = epoch
         self.owner_lease = owner_lease
         self.is_ready = False
-        self.gain: asyncio.Task[None] | None = None
+        self.gain_task: asyncio.Task[None] | None = None
 
 
 class StoreOwnership:
-    """Owners of all things, kept in the store; implements ``Ownership``.
+    """Owners of all shards, kept in the store; implements ``Ownership``.
 
-    Every daemon claims only for itself. Targets and workers may be decided on
-    past the lease while all others of the zone promise to leave them alone;
-    ledgers may not, as nothing can be committed without the store anyway and
-    their logs are fenced by compare-and-swap.
+    Every daemon claims shards only for itself. Targets and workers may be decided
+    on past the lease in the store while all other members of the zone have granted
+    the owner lease. Ledgers may not: nothing can be committed without the store
+    anyway, and their logs are fenced by compare-and-swap.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         peers: Peers,
         store: Store,
         clock: Clock,
-        interval: timedelta = SETTLE_INTERVAL,
+        interval: timedelta = RECONCILE_INTERVAL,
         handover_delay: timedelta = HANDOVER_DELAY,
     ) -> None:
         self._members = members
@@ -80,49 +81,49 @@
         self._handover_delay = handover_delay
         self._mirror = Mirror(store, PREFIX)
         self._tables: dict[str, Table] = {}
-        self._things: dict[str, frozenset[str]] = {}
-        self._held: dict[str, Holding] = {}
+        self._shards: dict[str, frozenset[str]] = {}
+        self._owned: dict[str, OwnedShard] = {}
         self._gain_handlers: dict[str, list[OwnershipHandler]] = {}
         self._loss_handlers: dict[str, list[OwnershipHandler]] = {}
-        self._moving: set[str] = set()
-        self._since: dict[tuple[str, str], timedelta] = {}
+        self._handing_over: set[str] = set()
+        self._eligible_since: dict[tuple[str, str], timedelta] = {}
         self._lock = asyncio.Lock()
         self._wake = asyncio.Event()
         self._is_draining = False
-        peers.register(TableChange, self._take_change)
+        peers.register(TableChange, self._handle_table_change)
 
-    # Ownership ------------------------------------------------------------------
+    # Ownership protocol ---------------------------------------------------------
 
     def get_epoch(self, shard: str) -> int | None:
         """Return the epoch when this daemon may decide about ``shard`` now."""
-        holding = self._held.get(shard)
-        if holding is None or not holding.is_ready:
+        owned = self._owned.get(shard)
+        if owned is None or not owned.is_ready:
             return None
-        return holding.epoch if self._is_valid(shard, holding) else None
+        return owned.epoch if self._is_valid(shard, owned) else None
 
     def find_owner(self, shard: str) -> Owner | None:
-        """Return the last known owner of ``shard``, in whatever zone."""
+        """Return the last known owner of ``shard``, in any zone."""
         scope, _, name = shard.partition("/")
         for table in self._list_tables(scope):
-            holder = table.things.get(name)
-            if holder is not None and holder.instance:
-                return Owner(holder.instance, holder.epoch)
+            entry = table.owners.get(name)
+            if entry is not None and entry.instance:
+                return Owner(entry.instance, entry.epoch)
         return None
 
     def list_owned(self, scope: str) -> tuple[str, ...]:
-        """List the things of ``scope`` that this daemon may decide about."""
+        """List the shards of ``scope`` that this daemon may decide about."""
         prefix = scope + "/"
         return tuple(
             shard
-            for shard in sorted(self._held)
+            for shard in sorted(self._owned)
             if shard.startswith(prefix) and self.get_epoch(shard) is not None
         )
 
     def set_shards(self, scope: str, names: tuple[str, ...]) -> None:
-        """Say which things of ``scope`` exist and need an owner."""
-        things = frozenset(names)
-        if self._things.get(scope) != things:
-            self._things[scope] = things
+        """Set which shards of ``scope`` exist and need an owner."""
+        shards = frozenset(names)
+        if self._shards.get(scope) != shards:
+            self._shards[scope] = shards
             self._wake.set()
 
     def on_gain(self, scope: str, handler: OwnershipHandler) -> None:
@@ -130,47 +131,50 @@
         self._gain_handlers.setdefault(scope, []).append(handler)
 
     def on_loss(self, scope: str, handler: OwnershipHandler) -> None:
-        """Call ``handler(shard, epoch)`` when a thing is lost or handed over."""
+        """Call ``handler(shard, epoch)`` when a shard is lost or handed over."""
         self._loss_handlers.setdefault(scope, []).append(handler)
 
-    # Running --------------------------------------------------------------------
+    # Background task ------------------------------------------------------------
 
     async def run(self) -> None:
-        """Claim, take over and hand over until cancelled."""
+        """Claim, take over and hand over shards until cancelled."""
         while True:
             self._wake.clear()
             async with self._lock:
-                is_hasty = await self._settle()
-            wait = HASTE_INTERVAL if is_hasty else self._interval
+                should_hurry = await self._reconcile()
+            wait = FAST_RECONCILE_INTERVAL if should_hurry else self._interval
             await wait_for_event(self._wake, wait, self._clock)
 
     async def drain(self) -> None:
-        """Hand everything over; returns when nothing can be handed over any more."""
+        """Hand over all shards; return when no more can be handed over."""
         self._is_draining = True
         self._members.is_leaving = True
         self._members.send_heartbeats()
         async with self._lock:
             for _ in range(DRAIN_ATTEMPTS):
-                for scope in list(self._things):
+                for scope in list(self._shards):
                     await self._hand_over_all(scope)
-                if not self._held:
+                if not self._owned:
                     return
-                await self._clock.sleep(HASTE_INTERVAL)
+                await self._clock.sleep(FAST_RECONCILE_INTERVAL)
                 await self._mirror.refresh()
 
-    async def _settle(self) -> bool:
-        """Bring what is held in line with the store; tell whether to hurry."""
-        await self._drop_invalid()
+    async def _reconcile(self) -> bool:
+        """Reconcile the owned shards with the store.
+
+        :returns: whether to reconcile again soon.
+        """
+        await self._release_expired()
         if not await self._mirror.refresh() or not await self._members.refresh():
             return False
-        is_hasty = False
-        for scope in list(self._things):
-            is_hasty = await self._settle_scope(scope) or is_hasty
-        return is_hasty
+        should_hurry = False
+        for scope in list(self._shards):
+            should_hurry = await self._reconcile_scope(scope) or should_hurry
+        return should_hurry
 
-    async def _settle_scope(self, scope: str) -> bool:
+    async def _reconcile_scope(self, scope: str) -> bool:
         table = self._get_table(scope)
-        await self._follow(scope, table)
+        await self._apply_table(scope, table)
         owner_lease = self._members.owner_lease
         if owner_lease is None or not owner_lease.is_leased(self._clock.monotonic()):
             return True
@@ -179,12 +183,12 @@
         if self._is_draining:
             await self._hand_over_all(scope)
             return False
-        wanted = assign_things(self._things[scope], self._list_names(scope))
+        wanted = assign_shards(self._shards[scope], self._list_names(scope))
         changes, is_waiting = self._list_claims(scope, table, wanted, owner_lease)
         changes.update(self._list_removals(scope, table))
         if changes:
             await self._commit(scope, table, changes)
-            await self._follow(scope, table)
+            await self._apply_table(scope, table)
         moves = self._list_moves(scope, table, wanted)
         if moves:
             await self._hand_over(scope, table, moves)
@@ -198,71 +202,76 @@
         table: Table,
         wanted: Mapping[str, str],
         owner_lease: OwnerLease,
-    ) -> tuple[dict[str, Change], bool]:
+    ) -> tuple[dict[str, OwnerChange], bool]:
         own = self._members.self.name
-        changes: dict[str, Change] = {}
+        changes: dict[str, OwnerChange] = {}
         is_waiting = False
-        for name in self._things[scope]:
-            holder = table.things.get(name)
+        for name in self._shards[scope]:
+            entry = table.owners.get(name)
             is_wanted = wanted.get(name) == own
             epoch = None
-            if holder is None:
+            if entry is None:
                 epoch = table.document.floor + 1 if is_wanted else None
-            elif holder.instance == own:
-                epoch = self._choose_epoch(f"{scope}/{name}", holder, owner_lease)
-            elif not self._is_gone(holder, table):
-                self._since.pop((scope, name), None)
-                is_waiting = is_waiting or not self._members.is_live(holder.instance)
-            elif self._may_take(scope, name, holder, is_wanted):
-                epoch = holder.epoch + 1
+            elif entry.instance == own:
+                epoch = self._choose_epoch(f"{scope}/{name}", entry, owner_lease)
+            elif not self._is_unregistered(entry, table):
+                self._eligible_since.pop((scope, name), None)
+                is_waiting = is_waiting or not self._members.is_live(entry.instance)
+            elif self._can_take_over(scope, name, entry, is_wanted):
+                epoch = entry.epoch + 1
             else:
                 is_waiting = True
             if epoch is not None:
-                changes[name] = Change(
-                    holder, OwnerEntry(own, owner_lease.session, epoch)
+                changes[name] = OwnerChange(
+                    entry, OwnerEntry(own, owner_lease.session, epoch)
                 )
         return changes, is_waiting
 
-    def _list_removals(self, scope: str, table: Table) -> dict[str, Change]:
-        """List things of gone owners that exist no more, for one member to remove."""
+    def _list_removals(self, scope: str, table: Table) -> dict[str, OwnerChange]:
+        """List entries of shards that no longer exist and whose owner is gone.
+
+        One member, chosen by hash, removes them.
+        """
         names = self._list_names(scope)
         if not names or rank_members(table.key, names)[0] != self._members.self.name:
             return {}
         removals = {}
-        for name, holder in table.things.items():
-            is_left = name not in self._things[scope] and self._is_gone(holder, table)
-            if is_left and self._may_take(scope, name, holder, True):
-                removals[name] = Change(holder, None)
+        for name, entry in table.owners.items():
+            is_removable = name not in self._shards[scope] and self._is_unregistered(
+                entry, table
+            )
+            if is_removable and self._can_take_over(scope, name, entry, True):
+                removals[name] = OwnerChange(entry, None)
         return removals
 
     def _choose_epoch(
-        self, shard: str, holder: OwnerEntry, owner_lease: OwnerLease
+        self, shard: str, entry: OwnerEntry, owner_lease: OwnerLease
     ) -> int | None:
-        """Return the epoch to bind an own thing to a new session with, if need be."""
-        if holder.session == owner_lease.session:
+        """Return the epoch to rebind an own shard to a new session with, if needed."""
+        if entry.session == owner_lease.session:
             return None
-        holding = self._held.get(shard)
-        if holding is not None and self._is_valid(shard, holding):
-            return holder.epoch
-        return holder.epoch + 1
+        owned = self._owned.get(shard)
+        if owned is not None and self._is_valid(shard, owned):
+            return entry.epoch
+        return entry.epoch + 1
 
-    def _is_gone(self, holder: OwnerEntry, table: Table) -> bool:
+    def _is_unregistered(self, entry: OwnerEntry, table: Table) -> bool:
         is_known = self._members.revision >= table.revision
-        return is_known and not self._members.is_registered(holder.instance)
+        return is_known and not self._members.is_registered(entry.instance)
 
-    def _may_take(
-        self, scope: str, name: str, holder: OwnerEntry, is_wanted: bool
+    def _can_take_over(
+        self, scope: str, name: str, entry: OwnerEntry, is_wanted: bool
     ) -> bool:
-        if scope not in GLOBAL_SCOPES and not self._members.may_take_from(
-            holder.instance
+        if scope not in GLOBAL_SCOPES and not self._members.can_take_over_from(
+            entry.instance
         ):
             return False
         now = self._clock.monotonic()
-        since = self._since.setdefault((scope, name), now)
+        since = self._eligible_since.setdefault((scope, name), now)
         return is_wanted or now - since >= ORPHAN_DELAY
 
     async def _commit(
-        self, scope: str, table: Table, changes: Mapping[str, Change]
+        self, scope: str, table: Table, changes: Mapping[str, OwnerChange]
     ) -> None:
         if not await table.commit(changes):
             return
@@ -277,53 +286,55 @@
             if member.name != self._members.self.name:
                 self._peers.send(member.name, change, TableChange)
 
-    async def _take_change(self, instance: str, change: TableChange) -> None:
+    async def _handle_table_change(self, instance: str, change: TableChange) -> None:
         if decode_document(change["value"]) is None:
             return
-        self._mirror.note(change["key"], change["value"], change["revision"])
-        for scope in self._things:
+        self._mirror.record_write(change["key"], change["value"], change["revision"])
+        for scope in self._shards:
             table = self._get_table(scope)
             if table.key == change["key"]:
-                self._adopt(scope, table)
+                self._adopt_shards(scope, table)
 
     # Handover -------------------------------------------------------------------
 
     def _list_moves(
         self, scope: str, table: Table, wanted: Mapping[str, str]
-    ) -> dict[str, Change]:
+    ) -> dict[str, OwnerChange]:
         own = self._members.self.name
         now = self._clock.monotonic()
         moves = {}
-        for name, holder in table.things.items():
-            if holder.instance != own:
+        for name, entry in table.owners.items():
+            if entry.instance != own:
                 continue
-            change = self._choose_move(scope, name, holder, wanted)
+            change = self._choose_move(scope, name, entry, wanted)
             if change is None:
-                self._since.pop((scope, name), None)
+                self._eligible_since.pop((scope, name), None)
                 continue
             delay = self._handover_delay if change.after else RELEASE_DELAY
-            if now - self._since.setdefault((scope, name), now) >= delay:
+            if now - self._eligible_since.setdefault((scope, name), now) >= delay:
                 moves[name] = change
         return moves
 
     def _choose_move(
-        self, scope: str, name: str, holder: OwnerEntry, wanted: Mapping[str, str]
-    ) -> Change | None:
-        """Return what should become of an own thing, if anything."""
-        if name not in self._things[scope]:
-            return Change(holder, None)
-        owner = wanted.get(name, holder.instance)
+        self, scope: str, name: str, entry: OwnerEntry, wanted: Mapping[str, str]
+    ) -> OwnerChange | None:
+        """Return the change that an own shard needs, if any."""
+        if name not in self._shards[scope]:
+            return OwnerChange(entry, None)
+        owner = wanted.get(name, entry.instance)
         successor = self._members.get_registered(owner)
-        if owner == holder.instance or successor is None:
+        if owner == entry.instance or successor is None:
             return None
-        return _succeed(holder, successor) if self._members.is_live(owner) else None
+        return (
+            _make_handover(entry, successor) if self._members.is_live(owner) else None
+        )
 
     async def _hand_over_all(self, scope: str) -> None:
         table = self._get_table(scope)
-        held = [
+        owned = [
             name
-            for name, holder in table.things.items()
-            if f"{scope}/{name}" in self._held
+            for name, entry in table.owners.items()
+            if f"{scope}/{name}" in self._owned
         ]
         names = [
             name
@@ -331,99 +342,101 @@
             if name != self._members.self.name and self._members.is_live(name)
         ]
         moves = {}
-        for name, owner in assign_things(held, names).items():
+        for name, owner in assign_shards(owned, names).items():
             successor = self._members.get_registered(owner)
             if successor is not None:
-                moves[name] = _succeed(table.things[name], successor)
+                moves[name] = _make_handover(table.owners[name], successor)
         if moves:
             await self._hand_over(scope, table, moves)
 
     async def _hand_over(
-        self, scope: str, table: Table, moves: Mapping[str, Change]
+        self, scope: str, table: Table, moves: Mapping[str, OwnerChange]
     ) -> None:
-        """Stop deciding about things, then write their successors."""
-        things = {f"{scope}/{name}" for name in moves}
+        """Stop deciding about shards, then write their successors to the table."""
+        shards = {f"{scope}/{name}" for name in moves}
         for name in moves:
-            self._since.pop((scope, name), None)
-        self._moving.update(things)
-        await asyncio.gather(*(self._lose(shard) for shard in things))
+            self._eligible_since.pop((scope, name), None)
+        self._handing_over.update(shards)
+        await asyncio.gather(*(self._release(shard) for shard in shards))
         await self._commit(scope, table, moves)
-        self._moving.difference_update(things)
-        await self._follow(scope, table)
+        self._handing_over.difference_update(shards)
+        await self._apply_table(scope, table)
 
-    # Holdings -------------------------------------------------------------------
+    # Owned shards ---------------------------------------------------------------
 
-    async def _follow(self, scope: str, table: Table) -> None:
-        """Let what is held follow the table."""
+    async def _apply_table(self, scope: str, table: Table) -> None:
+        """Release and adopt shards to match the table."""
         own = self._members.self.name
         prefix = scope + "/"
-        for shard, holding in list(self._held.items()):
+        for shard, owned in list(self._owned.items()):
             if not shard.startswith(prefix):
                 continue
-            holder = table.things.get(shard.removeprefix(prefix))
-            is_own = holder is not None and holder.instance == own
-            if not is_own or holder.epoch != holding.epoch:
-                await self._lose(shard)
-        self._adopt(scope, table)
+            entry = table.owners.get(shard.removeprefix(prefix))
+            is_own = entry is not None and entry.instance == own
+            if not is_own or entry.epoch != owned.epoch:
+                await self._release(shard)
+        self._adopt_shards(scope, table)
 
-    def _adopt(self, scope: str, table: Table) -> None:
+    def _adopt_shards(self, scope: str, table: Table) -> None:
         owner_lease = self._members.owner_lease
         if owner_lease is None:
             return
-        for name, holder in table.things.items():
-            is_own = holder.instance == self._members.self.name
-            if not is_own or holder.session != owner_lease.session:
+        for name, entry in table.owners.items():
+            is_own = entry.instance == self._members.self.name
+            if not is_own or entry.session != owner_lease.session:
                 continue
             shard = f"{scope}/{name}"
-            if shard in self._moving:
+            if shard in self._handing_over:
                 continue
-            holding = self._held.get(shard)
-            if holding is None:
-                holding = self._held[shard] = Holding(holder.epoch, owner_lease)
-                holding.gain = asyncio.ensure_future(self._gain(shard, holding))
-            elif holding.epoch == holder.epoch:
-                holding.owner_lease = owner_lease
-
-    async def _gain(self, shard: str, holding: Holding) -> None:
+            owned = self._owned.get(shard)
+            if owned is None:
+                owned = self._owned[shard] = OwnedShard(entry.epoch, owner_lease)
+                owned.gain_task = asyncio.ensure_future(
+                    self._run_gain_handlers(shard, owned)
+                )
+            elif owned.epoch == entry.epoch:
+                owned.owner_lease = owner_lease
+
+    async def _run_gain_handlers(self, shard: str, owned: OwnedShard) -> None:
         scope = shard.partition("/")[0]
         try:
             for handler in self._gain_handlers.get(scope, ()):
-                await handler(shard, holding.epoch)
+                await handler(shard, owned.epoch)
         except Exception as error:
             code = getattr(error, "code", "internal")
             count_drop("ownership", code)
             _log.error(
                 "A gain handler failed.", thing=shard, code=code, error=repr(error)
             )
-            if self._held.get(shard) is holding:
-                del self._held[shard]
+            if self._owned.get(shard) is owned:
+                del self._owned[shard]
             return
-        holding.is_ready = True
+        owned.is_ready = True
 
-    async def _lose(self, shard: str) -> None:
-        holding = self._held.pop(shard, None)
-        if holding is None:
+    async def _release(self, shard: str) -> None:
+        owned = self._owned.pop(shard, None)
+        if owned is None:
             return
-        if holding.gain is not None and not holding.gain.done():
-            holding.gain.cancel()
-            await asyncio.wait({holding.gain})
+        if owned.gain_task is not None and not owned.gain_task.done():
+            owned.gain_task.cancel()
+            await asyncio.wait({owned.gain_task})
         scope = shard.partition("/")[0]
         for handler in self._loss_handlers.get(scope, ()):
             try:
-                await handler(shard, holding.epoch)
+                await handler(shard, owned.epoch)
             except Exception as error:
                 _log.error("A loss handler failed.", thing=shard, error=repr(error))
 
-    async def _drop_invalid(self) -> None:
-        for shard, holding in list(self._held.items()):
-            if holding.owner_lease.has_lapsed and not self._is_valid(shard, holding):
-                await self._lose(shard)
+    async def _release_expired(self) -> None:
+        for shard, owned in list(self._owned.items()):
+            if owned.owner_lease.has_expired and not self._is_valid(shard, owned):
+                await self._release(shard)
 
-    def _is_valid(self, shard: str, holding: Holding) -> bool:
+    def _is_valid(self, shard: str, owned: OwnedShard) -> bool:
         now = self._clock.monotonic()
         if shard.partition("/")[0] in GLOBAL_SCOPES:
-            return holding.owner_lease.is_leased(now)
-        return holding.owner_lease.is_valid(now)
+            return owned.owner_lease.is_leased(now)
+        return owned.owner_lease.is_valid(now)
 
     # Tables ---------------------------------------------------------------------
 
@@ -432,9 +445,9 @@
             key = PREFIX + scope
         else:
             key = f"{PREFIX}{self._members.self.zone}/{scope}"
-        return self._open(key)
+        return self._get_table_by_key(key)
 
-    def _open(self, key: str) -> Table:
+    def _get_table_by_key(self, key: str) -> Table:
         if key not in self._tables:
             self._tables[key] = Table(key, self._mirror, self._store, self._clock)
         return self._tables[key]
@@ -444,13 +457,13 @@
         if scope not in GLOBAL_SCOPES:
             for key in list(self._mirror.entries):
                 if key.endswith("/" + scope):
-                    yield self._open(key)
+                    yield self._get_table_by_key(key)
 
     def _list_names(self, scope: str) -> list[str]:
         zone = "" if scope in GLOBAL_SCOPES else self._members.self.zone
         return [found.member.name for found in self._members.list_candidates(zone)]
 
 
-def _succeed(holder: OwnerEntry, successor: Registered) -> Change:
-    after = OwnerEntry(successor.member.name, successor.session, holder.epoch + 1)
-    return Change(holder, after)
+def _make_handover(entry: OwnerEntry, successor: RegisteredMember) -> OwnerChange:
+    after = OwnerEntry(successor.member.name, successor.session, entry.epoch + 1)
+    return OwnerChange(entry, after)
--- a/src/damaskdeck/coordination/members/rendezvous.py
+++ b/src/damaskdeck/coordination/members/rendezvous.py
@@ -1,28 +1,28 @@
-"""Rendezvous hashing: the same choice everywhere, with few moves on a change."""
+"""Rendezvous hashing: all daemons make the same choice, and changes move little."""
 
 import math
 from collections.abc import Iterable, Mapping, Sequence
 
 import xxhash
 
-LOAD_BOUND = 1.1
+MAX_LOAD_FACTOR = 1.1
 
 
 def rank_members(key: str, members: Iterable[str]) -> list[str]:
-    """Return members in the order in which ``key`` prefers them."""
+    """Return the members in the order in which ``key`` prefers them."""
     return sorted(members, key=lambda member: (_score(key, member), member))
 
 
-def assign_things(shards: Iterable[str], members: Sequence[str]) -> dict[str, str]:
-    """Give each thing to the member that it prefers and that has room.
+def assign_shards(shards: Iterable[str], members: Sequence[str]) -> dict[str, str]:
+    """Assign each shard to the member that it prefers among those below the limit.
 
-    :returns: member by thing; no member gets more than ``LOAD_BOUND`` times
+    :returns: member by shard; no member gets more than ``MAX_LOAD_FACTOR`` times
         the even share, rounded up.
     """
     names = sorted(shards)
     if not members:
         return {}
-    limit = math.ceil(LOAD_BOUND * len(names) / len(members))
+    limit = math.ceil(MAX_LOAD_FACTOR * len(names) / len(members))
     loads = dict.fromkeys(members, 0)
     owners: dict[str, str] = {}
     for name in names:
@@ -38,10 +38,10 @@
 ) -> set[str]:
     """Return the members of other zones that ``member`` exchanges heartbeats with.
 
-    Each pair of zones has ``count`` links, so their number for a zone depends
-    on the number of zones only.
+    Each pair of zones has ``count`` links, so the number of links of a zone
+    depends only on the number of zones.
 
-    :param zones: the members of each zone, ``member`` among them.
+    :param zones: the members of each zone, including ``member``.
     """
     links = set()
     for other, members in zones.items():
--- a/src/damaskdeck/coordination/members/tables.py
+++ b/src/damaskdeck/coordination/members/tables.py
@@ -1,4 +1,4 @@
-"""The table of a scope in the store: who owns what, changed by compare-and-swap."""
+"""Ownership table of a scope in the store, changed by compare-and-swap."""
 
 import secrets
 from collections.abc import Mapping
@@ -20,11 +20,11 @@
 
 
 class OwnerEntry(msgspec.Struct, array_like=True, frozen=True):
-    """Who owns a thing.
+    """The owner of a shard.
 
-    :param instance: the owner's name; empty when nobody owns it.
-    :param session: the owner's session when it got the thing.
-    :param epoch: rises with each change of owner.
+    :param instance: the owner's name; empty when nobody owns the shard.
+    :param session: the owner's session when it became the owner.
+    :param epoch: increases with each change of owner.
     """
 
     instance: str
@@ -32,10 +32,10 @@
     epoch: int
 
 
-class Change(NamedTuple):
-    """A wanted change of one thing; ``None`` means not on the table.
+class OwnerChange(NamedTuple):
+    """A requested change of one shard; ``None`` stands for no entry in the table.
 
-    :param before: what it must replace, or nothing is written.
+    :param before: the entry that must be replaced, or nothing is written.
     """
 
     before: OwnerEntry | None
@@ -45,8 +45,9 @@
 class TableDocument(msgspec.Struct, kw_only=True):
     """The value of a table's key.
 
-    :param write: identifies the write, to know it again after a lost answer.
-    :param floor: the highest epoch of a thing that was taken off the table.
+    :param write: identifies the write, to recognize it after a lost answer.
+    :param floor: the highest epoch of a shard that was removed from the table.
+    :param things: the owners, by name of shard.
     """
 
     write: str = ""
@@ -55,9 +56,9 @@
 
 
 class Table:
-    """One key of the store with the owners of all things of a scope.
+    """One key of the store with the owners of all shards of a scope.
 
-    :param mirror: shows the key, and is told of each write.
+    :param mirror: provides the key's value and is updated with each write.
     """
 
     def __init__(self, key: str, mirror: Mirror, store: Store, clock: Clock) -> None:
@@ -71,84 +72,84 @@
 
     @property
     def revision(self) -> int:
-        """The store's revision of the table, 0 when there is none."""
+        """The store's revision of the table; 0 when the key doesn't exist."""
         entry = self._mirror.entries.get(self.key)
         return entry.revision if entry else 0
 
     @property
     def document(self) -> TableDocument:
-        """The table as last seen; the last readable one if it was damaged."""
+        """The table as last read; the last valid one if the stored value is damaged."""
         if self._decoded != self.revision:
             entry = self._mirror.entries.get(self.key)
             found = decode_document(entry.value) if entry else TableDocument(things={})
             self.is_readable = found is not None
             if found is None:
-                _log.error("A table of owners can't be read.", key=self.key)
+                _log.error("An ownership table can't be decoded.", key=self.key)
             self._document = found or self._document
             self._decoded = self.revision
         return self._document
 
     @property
-    def things(self) -> Mapping[str, OwnerEntry]:
-        """The owners by name of thing."""
+    def owners(self) -> Mapping[str, OwnerEntry]:
+        """The owners, by name of shard."""
         return self.document.things
 
-    def _encode(self, changes: Mapping[str, Change]) -> bytes:
+    def _encode(self, changes: Mapping[str, OwnerChange]) -> bytes:
         document = self.document
-        things = dict(document.things)
+        owners = dict(document.things)
         floor = document.floor
         for name, change in changes.items():
             if change.after is not None:
-                things[name] = change.after
+                owners[name] = change.after
             elif change.before is not None:
-                floor = max(floor, things.pop(name).epoch)
+                floor = max(floor, owners.pop(name).epoch)
         write = secrets.token_hex(8)
         return msgspec.msgpack.encode(
-            TableDocument(write=write, floor=floor, things=things)
+            TableDocument(write=write, floor=floor, things=owners)
         )
 
-    async def commit(self, changes: Mapping[str, Change]) -> bool:
-        """Write ``changes`` and return once it is certain what became of them.
+    async def commit(self, changes: Mapping[str, OwnerChange]) -> bool:
+        """Write ``changes`` and return once it is certain whether they took effect.
 
-        After a lost answer the same bytes are written again with the same
-        expected revision: only one of the two can take effect.
+        After a lost answer the same bytes are written again with the same expected
+        revision, so only one of the two writes can take effect.
 
-        :returns: whether the table changed as wanted; if not, it shows what
-            somebody else wrote, or the store refused the write.
+        :returns: whether the table changed as requested; if not, it shows what another
+            daemon wrote, or the store refused the write.
         """
         if not self._matches({name: change.before for name, change in changes.items()}):
             return False
         expected = self.revision
         value = self._encode(changes)
-        has_lost = False
+        was_answer_lost = False
         while True:
             answer = await self._store.put(self.key, value, expected)
             if isinstance(answer, Written):
-                self._mirror.note(self.key, value, answer.revision)
+                self._mirror.record_write(self.key, value, answer.revision)
                 return True
             if isinstance(answer, Conflict):
-                return self._settle(answer, changes)
-            has_lost = has_lost or isinstance(answer, Lost)
-            if not has_lost:
+                return self._resolve_conflict(answer, changes)
+            was_answer_lost = was_answer_lost or isinstance(answer, Lost)
+            if not was_answer_lost:
                 return False
             count_retry("ownership", "lost_answer")
             await self._clock.sleep(RETRY_INTERVAL)
 
-    def _settle(
+    def _resolve_conflict(
         self, conflict: Conflict, changes: Mapping[str, OwnerEntry | None]
     ) -> bool:
         if conflict.current is None:
             return False
         current = conflict.current
-        self._mirror.note(self.key, current.value, current.revision)
+        self._mirror.record_write(self.key, current.value, current.revision)
         return self._matches({name: change.after for name, change in changes.items()})
 
-    def _matches(self, holders: Mapping[str, OwnerEntry | None]) -> bool:
-        return all(self.things.get(name) == holder for name, holder in holders.items())
+    def _matches(self, entries: Mapping[str, OwnerEntry | None]) -> bool:
+        return all(self.owners.get(name) == entry for name, entry in entries.items())
 
 
 def decode_document(value: bytes) -> TableDocument | None:
-    """Decode a table; ``None`` when it can't be read."""
+    """Return the decoded table, or ``None`` when it can't be decoded."""
     try:
         return msgspec.msgpack.decode(value, type=TableDocument)
     except DECODE_ERRORS:
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -1,4 +1,4 @@
-"""Daemons of one process, on stand-ins, whose pauses and deaths tests decide."""
+"""Daemons of one process, on stand-ins, that tests can pause and kill."""
 
 import asyncio
 import itertools
@@ -14,11 +14,11 @@
 STEP = timedelta(milliseconds=250)
 ZONE = "z1"
 WORKERS = tuple(f"w{index}" for index in range(6))
-THINGS = (*(f"worker/{name}" for name in WORKERS), "ledger/00", "ledger/01")
+SHARDS = (*(f"worker/{name}" for name in WORKERS), "ledger/00", "ledger/01")
 
 
 class PausableClock:
-    """The shared clock as a process sees it that may be paused."""
+    """The shared clock as seen by a process that can be paused."""
 
     def __init__(self, clock: ManualClock) -> None:
         self._clock = clock
@@ -62,15 +62,15 @@
         peers = deployment.switch.connect(name)
         store = deployment.store.connect(name)
         self.members = Membership(
-            member, peers, store, self.clock, newcomer_wait=deployment.newcomer_wait
+            member, peers, store, self.clock, newcomer_delay=deployment.newcomer_delay
         )
         self.ownership = StoreOwnership(self.members, peers, store, self.clock)
         self.ownership.set_shards("worker", WORKERS if zone == ZONE else ())
         self.ownership.set_shards("ledger", ("00", "01"))
         for scope in ("worker", "ledger"):
-            self.ownership.on_loss(scope, self._note_loss)
+            self.ownership.on_loss(scope, self._record_loss)
 
-    async def _note_loss(self, shard: str, epoch: int) -> None:
+    async def _record_loss(self, shard: str, epoch: int) -> None:
         self.losses.append(shard)
 
     def start(self) -> None:
@@ -88,11 +88,11 @@
 class Deployment:
     """Daemons that share a store, a switch and a clock."""
 
-    def __init__(self, newcomer_wait: timedelta = timedelta(hours=1)) -> None:
+    def __init__(self, newcomer_delay: timedelta = timedelta(hours=1)) -> None:
         self.clock = ManualClock()
         self.store = MemoryStore(self.clock)
         self.switch = PeerSwitch(self.clock)
-        self.newcomer_wait = newcomer_wait
+        self.newcomer_delay = newcomer_delay
         self.ports = itertools.count(1)
         self.daemons: dict[str, Daemon] = {}
         self.last_deciders: dict[str, tuple[Daemon, int]] = {}
@@ -104,17 +104,17 @@
         return daemon
 
     def kill(self, name: str) -> None:
-        """End a daemon's process without a word."""
+        """Kill a daemon's process without a shutdown."""
         self.daemons.pop(name).stop()
         self.switch.disconnect(name)
 
     def pause(self, name: str) -> None:
-        """Let a daemon's process stand still; its clock goes on."""
+        """Pause a daemon's process; its clock goes on."""
         self.daemons[name].clock.pause()
         self.switch.pause(name)
 
     def resume(self, name: str) -> None:
-        """Let a paused daemon go on."""
+        """Resume a paused daemon."""
         self.daemons[name].clock.resume()
         self.switch.resume(name)
 
@@ -125,7 +125,7 @@
             self.switch.cut_both(name, other)
 
     def find_deciders(self, shard: str) -> dict[str, int]:
-        """Return who says that it may decide about ``shard``, with its epoch."""
+        """Return the epochs of daemons that consider themselves owner of ``shard``."""
         found = {}
         for name, daemon in self.daemons.items():
             epoch = daemon.ownership.get_epoch(shard)
@@ -134,8 +134,8 @@
         return found
 
     def check(self) -> None:
-        """Fail when two daemons decide about one thing, or with an old epoch."""
-        for shard in THINGS:
+        """Fail when two daemons decide about one shard, or one with an old epoch."""
+        for shard in SHARDS:
             deciders = self.find_deciders(shard)
             assert len(deciders) <= 1, (shard, deciders, self.clock.monotonic())
             for name, epoch in deciders.items():
@@ -152,14 +152,14 @@
         self.last_deciders[shard] = decider, epoch
 
     async def advance(self, seconds: float) -> None:
-        """Move the clock in steps and check after each."""
+        """Advance the clock in steps and check after each."""
         end = self.clock.monotonic() + timedelta(seconds=seconds)
         while self.clock.monotonic() < end:
             await self.clock.advance(min(STEP, end - self.clock.monotonic()))
             self.check()
 
     async def close(self) -> None:
-        """End all daemons."""
+        """Stop all daemons."""
         for daemon in self.daemons.values():
             daemon.stop()
         self.switch.close()
--- a/tests/messages.py
+++ b/tests/messages.py
@@ -1,4 +1,4 @@
-"""Messages as other versions of a peer might send them, and a whole daemon."""
+"""Messages as peers of other versions may send them, and a complete daemon."""
 
 import asyncio
 import typing
@@ -30,7 +30,7 @@
 
 
 def draw_value(kind: Any) -> st.SearchStrategy[Any]:
-    """Draw plain data of a type, with odd numbers here and there."""
+    """Draw plain data of a type, sometimes with unusual numbers."""
     origin, arguments = typing.get_origin(kind), typing.get_args(kind)
     if origin in (typing.Required, typing.NotRequired, typing.Annotated):
         return draw_value(arguments[0])
@@ -49,7 +49,7 @@
 
 
 def draw_fields(kind: Any) -> st.SearchStrategy[dict[str, Any]]:
-    """Draw a ``TypedDict`` that a peer of the same version might send."""
+    """Draw a ``TypedDict`` as a peer of the same version may send it."""
     hints = typing.get_type_hints(kind, include_extras=True)
     drawn = {name: draw_value(hint) for name, hint in hints.items()}
     required = {name: drawn[name] for name in kind.__required_keys__}
@@ -59,7 +59,7 @@
 
 @st.composite
 def draw_message(draw: st.DrawFn, kind: Any) -> Any:
-    """Draw a message as an older, a newer or a broken peer might send it."""
+    """Draw a message as an older, a newer or a broken peer may send it."""
     value = draw(draw_value(kind))
     for _ in range(draw(st.integers(0, 2))):
         _spoil(draw, value)
@@ -67,7 +67,7 @@
 
 
 def _spoil(draw: st.DrawFn, value: Any) -> None:
-    """Drop, add or replace a field, somewhere inside."""
+    """Drop, add or replace a field at any depth."""
     while isinstance(value, dict | list) and value:
         keys = list(value) if isinstance(value, dict) else range(len(value))
         key = draw(st.sampled_from(keys))
@@ -96,7 +96,7 @@
 
 
 class WholeDaemon:
-    """All parts of daemon ``d1``, on stand-ins and with a peer ``d2``."""
+    """All components of daemon ``d1``, on stand-ins and with a peer ``d2``."""
 
     def __init__(self, platform: Platform | None = None) -> None:
         self.clock = clock = LoopClock()
@@ -110,7 +110,7 @@
         self.other = self.switch.connect("d2")
         member = Member("d1", "z1", "r", "127.0.0.1:1", "127.0.0.1:2", "d1-1")
         self.members = Membership(
-            member, self.peers, ports.store, clock, newcomer_wait=timedelta()
+            member, self.peers, ports.store, clock, newcomer_delay=timedelta()
         )
         shared = (self.members, self.peers, ports.store, clock)
         self.ownership = StoreOwnership(*shared)
@@ -133,11 +133,11 @@
 
     @property
     def handlers(self) -> dict[str, Any]:
-        """The handlers that all parts have registered, by wire name."""
+        """The handlers that all components have registered, by wire name."""
         return self.peers._handlers
 
     async def start(self, seconds: float = 10) -> "WholeDaemon":
-        """Run until it owns all it may own."""
+        """Run until it owns all that it may own."""
         parts = (self.fleet, self.members, self.ownership, self.relay)
         parts += (self.ledger_owner, self.host, self.router)
         self.tasks = [asyncio.ensure_future(part.run()) for part in parts]
@@ -146,25 +146,25 @@
         return self
 
     async def restart(self) -> "WholeDaemon":
-        """Return a daemon that knows only what the store holds."""
+        """Return a daemon whose only state is what the store holds."""
         await self.close()
         await asyncio.sleep(12)
         return await WholeDaemon(self.platform).start()
 
     def overwrite(self, key: str, value: bytes) -> None:
-        """Let the store hold another value, as by a fault or another version."""
+        """Overwrite a key in the store, as a fault or another version may do."""
         store = self.platform.store
         store.put(key, value, None, store.get(key).entry.lease)
 
     def check(self) -> None:
-        """Fail when a part has ended."""
+        """Fail when a component has ended."""
         for task in self.tasks:
             if task.done():
                 task.result()
                 raise AssertionError(f"ended: {task}")
 
     async def close(self) -> None:
-        """End all parts."""
+        """Stop all components."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,13 +1,13 @@
-"""Membership: who is live, reports, bounded messages and promises."""
+"""Membership: liveness, reports, bounded messages and lease grants."""
 
 import asyncio
 import unittest
 from datetime import timedelta
 
-from damaskdeck.coordination.members.digests import DIGEST_LIMIT, Relay
-from damaskdeck.coordination.members.membership import PROMISE_TIME, Membership
+from damaskdeck.coordination.members.digests import MAX_DIGEST_BYTES, DigestWriter
+from damaskdeck.coordination.members.membership import LEASE_GRANT, Membership
+from damaskdeck.coordination.members.ownerleases import OwnerLease
 from damaskdeck.coordination.members.rendezvous import choose_links
-from damaskdeck.coordination.members.tenures import OwnerLease
 from damaskdeck.protocol.members import Member
 from standins.clock import ManualClock, settle
 from standins.peers import PeerSwitch
@@ -36,19 +36,19 @@
         await self.deployment.close()
 
     def list_live(self, name, zone=""):
-        """Return the names that ``name`` thinks are live."""
+        """Return the names of the members that ``name`` considers live."""
         return [member.name for member in self.members[name].list_live(zone)]
 
 
 class TestLiveness(MembershipCase):
-    """Deaths, cuts and pauses as the others see them."""
+    """Deaths, cuts and pauses as seen by the other members."""
 
     async def test_all_members_of_all_zones_are_found(self):
         for name in self.NAMES:
             self.assertEqual(self.list_live(name), list(self.NAMES))
         self.assertEqual(self.list_live("a1", "zone-b"), ["b1", "b2"])
 
-    async def test_dead_member_is_noticed_everywhere(self):
+    async def test_dead_member_is_detected_in_all_zones(self):
         self.deployment.kill("a2")
         await self.deployment.advance(2)
         self.assertEqual(self.list_live("a1", "zone-a"), ["a1"])
@@ -66,17 +66,17 @@
         await self.deployment.advance(2)
         self.assertTrue(self.members["a1"].is_live("a2"))
 
-    async def test_zones_that_one_link_joins_no_more_still_see_each_other(self):
-        near = self.members["a1"]._list_targets() - {"a2"}
+    async def test_zones_stay_visible_when_one_of_their_links_is_cut(self):
+        near = self.members["a1"]._list_heartbeat_peers() - {"a2"}
         for far in near:
             self.deployment.switch.cut_both("a1", far)
         await self.deployment.advance(10)
-        linked = self.members["a2"]._list_targets() - {"a1"}
+        linked = self.members["a2"]._list_heartbeat_peers() - {"a1"}
         self.assertTrue(linked - near)
         for far in linked - near:
             self.assertIn(far, self.list_live("a1"))
 
-    async def test_paused_daemon_takes_nobody_for_dead_because_of_its_own_pause(self):
+    async def test_own_pause_makes_no_other_member_look_dead(self):
         self.deployment.pause("a1")
         await self.deployment.advance(5)
         self.assertNotIn("a1", self.list_live("a2"))
@@ -85,7 +85,7 @@
         self.members["a1"].send_heartbeats()
         self.assertIn("a2", self.list_live("a1"))
 
-    async def test_death_after_the_own_pause_is_noticed_in_time(self):
+    async def test_death_after_an_own_pause_is_detected_in_time(self):
         self.deployment.pause("a1")
         await self.deployment.advance(5)
         self.deployment.switch.resume("a1")
@@ -142,7 +142,7 @@
 
 
 class TestReports(MembershipCase):
-    """Reports on heartbeats, in the zone and beyond."""
+    """Reports in heartbeats, within the zone and across zones."""
 
     async def test_report_reaches_all_zones(self):
         self.members["a1"].publish("load", b"7")
@@ -175,7 +175,7 @@
 
 
 class TestBounds(unittest.IsolatedAsyncioTestCase):
-    """Messages stay few and small as the fleet grows."""
+    """The number and size of messages are bounded as the fleet grows."""
 
     def test_links_of_a_zone_depend_on_the_number_of_zones_only(self):
         for size in (3, 30):
@@ -194,28 +194,31 @@
                     far = "y" if zone == "x" else "x"
                     self.assertIn(name, choose_links(other, far, zones, 2))
 
-    async def test_digests_stay_below_their_limit_and_take_turns(self):
+    async def test_digests_stay_below_their_limit_and_rotate(self):
         deployment = Deployment()
         daemon = deployment.add("a1", zone="zone-a")
         far = [f"b{index:03}" for index in range(300)]
         for name in far:
             member = Member(name, "zone-b", "r", "127.0.0.1:1", "", name)
-            send_heartbeats = {"member": member._asdict(), "number": 1, "session": name}
-            send_heartbeats["reports"] = {"load": {"version": 1, "value": bytes(200)}}
-            await daemon.members._handle_heartbeat(name, send_heartbeats)
+            heartbeat = {"member": member._asdict(), "number": 1, "session": name}
+            heartbeat["reports"] = {"load": {"version": 1, "value": bytes(200)}}
+            await daemon.members._handle_heartbeat(name, heartbeat)
         seen = set()
-        relay, relayed = Relay(), daemon.members._list_relayed(True, timedelta())
+        digest_writer, relayed = (
+            DigestWriter(),
+            daemon.members._list_relayed(True, timedelta()),
+        )
         for _ in range(80):
-            digests = relay.write_digests(relayed, timedelta())
+            digests = digest_writer.write_digests(relayed, timedelta())
             size = sum(len(digest["reports"].get("load", b"")) for digest in digests)
-            self.assertLess(size, DIGEST_LIMIT)
+            self.assertLess(size, MAX_DIGEST_BYTES)
             seen.update(digest["member"]["name"] for digest in digests)
         self.assertEqual(len(seen), 300)
         await deployment.close()
 
 
-class TestTenure(unittest.TestCase):
-    """The time during which a daemon may decide."""
+class TestOwnerLease(unittest.TestCase):
+    """How long a daemon may act as an owner."""
 
     def setUp(self):
         self.owner_lease = OwnerLease("s", "lease-1", 1)
@@ -225,19 +228,19 @@
         self.assertTrue(self.owner_lease.is_leased(2.9 * SECOND))
         self.assertFalse(self.owner_lease.is_leased(2.98 * SECOND))
 
-    def test_promises_prolong_it_without_a_gap_only(self):
-        self.owner_lease.prolong(4 * SECOND, 2 * SECOND)
+    def test_grants_extend_it_only_without_a_gap(self):
+        self.owner_lease.extend(4 * SECOND, 2 * SECOND)
         self.assertTrue(self.owner_lease.is_valid(3.5 * SECOND))
         self.assertFalse(self.owner_lease.is_leased(3.5 * SECOND))
-        self.owner_lease.prolong(6 * SECOND, 4.5 * SECOND)
+        self.owner_lease.extend(6 * SECOND, 4.5 * SECOND)
         self.assertFalse(self.owner_lease.is_valid(5 * SECOND))
 
-    def test_renewed_lease_bridges_a_gap(self):
+    def test_renewed_store_lease_makes_it_valid_again(self):
         self.assertFalse(self.owner_lease.is_valid(3.5 * SECOND))
         self.owner_lease.renew(3.4 * SECOND, 3 * SECOND)
         self.assertTrue(self.owner_lease.is_valid(3.5 * SECOND))
 
-    def test_ended_tenure_is_over_at_once(self):
-        self.owner_lease.prolong(SECOND + PROMISE_TIME, SECOND)
+    def test_ended_owner_lease_is_invalid_at_once(self):
+        self.owner_lease.extend(SECOND + LEASE_GRANT, SECOND)
         self.owner_lease.end()
         self.assertFalse(self.owner_lease.is_valid(SECOND))
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Ownership: one decider for each thing at any time, and few moves."""
+"""Ownership: at most one daemon decides about a shard, and few shards move."""
 
 import asyncio
 import unittest
@@ -9,14 +9,17 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from damaskdeck.coordination.members.membership import NEWCOMER_WAIT, OUTAGE_PROMISE
+from damaskdeck.coordination.members.membership import (
+    NEWCOMER_DELAY,
+    OUTAGE_LEASE_GRANT,
+)
 from damaskdeck.coordination.members.mirrors import Mirror
-from damaskdeck.coordination.members.rendezvous import assign_things
-from damaskdeck.coordination.members.tables import Change, OwnerEntry, Table
+from damaskdeck.coordination.members.rendezvous import assign_shards
+from damaskdeck.coordination.members.tables import OwnerChange, OwnerEntry, Table
 from standins.clock import ManualClock, settle
 from standins.faults import FaultKind
 from standins.store import MemoryStore
-from tests.daemons import THINGS, WORKERS, Deployment
+from tests.daemons import SHARDS, WORKERS, Deployment
 
 NAMES = ("a", "b", "c")
 
@@ -36,20 +39,20 @@
     async def asyncTearDown(self):
         await self.deployment.close()
 
-    def count_held(self):
-        """Count what each daemon decides about."""
+    def count_owned(self):
+        """Return how many workers each daemon decides about."""
         return {name: len(daemon.list_owned()) for name, daemon in self.daemons.items()}
 
     def assert_all_owned(self):
-        """Everything has exactly one decider."""
-        for shard in THINGS:
+        """Check that every shard has exactly one decider."""
+        for shard in SHARDS:
             self.assertEqual(len(self.deployment.find_deciders(shard)), 1, shard)
 
 
 class TestTakeover(OwnershipCase):
-    """What a dead, paused or cut off owner held."""
+    """Takeover of the shards of an owner that is dead, paused or cut off."""
 
-    async def test_things_of_a_dead_owner_get_higher_epochs_elsewhere(self):
+    async def test_shards_of_a_dead_owner_get_higher_epochs_elsewhere(self):
         shard = "worker/" + self.daemons["a"].list_owned()[0].partition("/")[2]
         before = self.daemons["a"].ownership.get_epoch(shard)
         self.deployment.kill("a")
@@ -58,7 +61,7 @@
         (after,) = self.deployment.find_deciders(shard).values()
         self.assertGreater(after, before)
 
-    async def test_takeover_of_all_things_is_one_write_by_each_taker(self):
+    async def test_takeover_of_all_shards_is_one_write_per_new_owner(self):
         self.deployment.kill("a")
         writes = self.deployment.store.calls["put"]
         await self.deployment.advance(5)
@@ -66,79 +69,79 @@
         self.assertLessEqual(self.deployment.store.calls["put"] - writes, 2 * 2)
 
     async def test_paused_owner_decides_nothing_after_its_lease(self):
-        held = self.daemons["a"].list_owned()
-        self.assertTrue(held)
+        owned = self.daemons["a"].list_owned()
+        self.assertTrue(owned)
         self.deployment.pause("a")
         await self.deployment.advance(6)
         self.assertEqual(self.daemons["a"].list_owned(), ())
         self.assert_all_owned()
         self.deployment.resume("a")
         await self.deployment.advance(1)
-        self.assertTrue(set(held) <= set(self.daemons["a"].losses))
+        self.assertTrue(set(owned) <= set(self.daemons["a"].losses))
         await self.deployment.advance(9)
         self.assert_all_owned()
 
     async def test_short_pause_moves_nothing(self):
-        before = self.count_held()
+        before = self.count_owned()
         self.deployment.pause("a")
         await self.deployment.advance(1.5)
         self.deployment.resume("a")
         await self.deployment.advance(5)
-        self.assertEqual(self.count_held(), before)
+        self.assertEqual(self.count_owned(), before)
         self.assertEqual(self.daemons["a"].losses, [])
 
     async def test_owner_cut_off_alone_stops_before_others_take_over(self):
-        held = self.daemons["a"].list_owned()
+        owned = self.daemons["a"].list_owned()
         self.deployment.isolate("a")
         await self.deployment.advance(6)
         self.assertEqual(self.daemons["a"].list_owned(), ())
-        for shard in held:
+        for shard in owned:
             self.assertEqual(len(self.deployment.find_deciders(shard)), 1)
 
-    async def test_owner_cut_off_from_the_store_goes_on_with_its_peers_promises(self):
-        before = {shard: self.deployment.find_deciders(shard) for shard in THINGS[:6]}
+    async def test_owner_cut_off_from_the_store_goes_on_with_lease_grants(self):
+        before = {shard: self.deployment.find_deciders(shard) for shard in SHARDS[:6]}
         self.faults.cut_off.add("a")
         await self.deployment.advance(20)
-        after = {shard: self.deployment.find_deciders(shard) for shard in THINGS[:6]}
+        after = {shard: self.deployment.find_deciders(shard) for shard in SHARDS[:6]}
         self.assertEqual(after, before)
 
     async def test_one_way_cut_between_owners_moves_nothing_while_the_store_works(self):
-        before = self.count_held()
+        before = self.count_owned()
         self.deployment.switch.cut("a", "b")
         await self.deployment.advance(10)
-        self.assertEqual(self.count_held(), before)
+        self.assertEqual(self.count_owned(), before)
 
-    async def test_promise_holds_until_the_owner_has_stopped(self):
-        held = self.daemons["a"].list_owned()
+    async def test_lease_grant_holds_until_the_owner_has_stopped(self):
+        owned = self.daemons["a"].list_owned()
         self.faults.cut_off.add("a")
         await self.deployment.advance(6)
-        self.assertEqual(self.daemons["a"].list_owned(), held)
+        self.assertEqual(self.daemons["a"].list_owned(), owned)
         self.deployment.isolate("a")
         await self.deployment.advance(6)
-        for shard in held:
+        for shard in owned:
             self.assertEqual(len(self.deployment.find_deciders(shard)), 1)
 
-    async def test_promise_counts_from_before_it_was_asked_for(self):
+    async def test_lease_grant_counts_from_before_its_request(self):
         self.deployment.switch.delay = timedelta(milliseconds=600)
         await self.deployment.advance(2)
-        held = self.daemons["a"].list_owned()
+        owned = self.daemons["a"].list_owned()
         self.faults.cut_off.add("a")
         await self.deployment.advance(6)
-        self.assertEqual(self.daemons["a"].list_owned(), held)
+        self.assertEqual(self.daemons["a"].list_owned(), owned)
         for other in ("b", "c"):
             self.deployment.switch.cut("a", other)
         await self.deployment.advance(6)
-        for shard in held:
+        for shard in owned:
             self.assertEqual(len(self.deployment.find_deciders(shard)), 1)
 
-    async def test_newcomer_takes_nothing_from_an_owner_that_cannot_know_it(self):
-        held = self.daemons["a"].list_owned()
+    async def test_newcomer_takes_nothing_from_an_owner_that_does_not_know_it(self):
+        owned = self.daemons["a"].list_owned()
         self.faults.cut_off.add("a")
         await self.deployment.advance(5)
         self.deployment.switch.cut_both("a", "d")
         self.deployment.add("d")
         await self.deployment.advance(8)
-        self.assertEqual(self.daemons["a"].list_owned(), held)
+        self.assertEqual(self.daemons["a"].list_owned(), owned)
         self.deployment.switch.heal_all()
         await self.deployment.advance(8)
         self.assert_all_owned()
@@ -155,9 +158,9 @@
         self.assert_all_owned()
         old.stop()
 
-    async def test_restarted_owner_takes_its_things_back_with_higher_epochs(self):
-        held = self.daemons["a"].list_owned()
-        before = {shard: self.deployment.find_deciders(shard)["a"] for shard in held}
+    async def test_restarted_owner_regains_its_shards_with_higher_epochs(self):
+        owned = self.daemons["a"].list_owned()
+        before = {shard: self.deployment.find_deciders(shard)["a"] for shard in owned}
         self.deployment.kill("a")
         self.deployment.add("a")
         await self.deployment.advance(12)
@@ -168,29 +171,29 @@
 
 
 class TestOutage(OwnershipCase):
-    """The store is away for long."""
+    """Long outages of the store."""
 
     async def test_owners_of_workers_go_on_through_an_outage_and_after_it(self):
-        before = {shard: self.deployment.find_deciders(shard) for shard in THINGS[:6]}
+        before = {shard: self.deployment.find_deciders(shard) for shard in SHARDS[:6]}
         self.faults.outage = True
         for _ in range(15):
             await self.deployment.advance(2)
-            now = {shard: self.deployment.find_deciders(shard) for shard in THINGS[:6]}
+            now = {shard: self.deployment.find_deciders(shard) for shard in SHARDS[:6]}
             self.assertEqual(now, before)
         self.faults.outage = False
         await self.deployment.advance(5)
-        now = {shard: self.deployment.find_deciders(shard) for shard in THINGS[:6]}
+        now = {shard: self.deployment.find_deciders(shard) for shard in SHARDS[:6]}
         self.assertEqual(now, before)
 
     async def test_ledgers_wait_for_the_store_and_come_back_with_new_epochs(self):
-        before = {shard: self.deployment.find_deciders(shard) for shard in THINGS[6:]}
+        before = {shard: self.deployment.find_deciders(shard) for shard in SHARDS[6:]}
         self.faults.outage = True
         await self.deployment.advance(5)
-        for shard in THINGS[6:]:
+        for shard in SHARDS[6:]:
             self.assertEqual(self.deployment.find_deciders(shard), {})
         self.faults.outage = False
         await self.deployment.advance(5)
-        for shard in THINGS[6:]:
+        for shard in SHARDS[6:]:
             (after,) = self.deployment.find_deciders(shard).values()
             self.assertGreater(after, *before[shard].values())
 
@@ -198,15 +201,15 @@
         self.faults.outage = True
         for other in ("b", "c"):
             self.deployment.switch.cut_both("a", other)
-        await self.deployment.advance(4 + OUTAGE_PROMISE.total_seconds())
-        self.assertEqual(self.count_held(), {"a": 0, "b": 0, "c": 0})
+        await self.deployment.advance(4 + OUTAGE_LEASE_GRANT.total_seconds())
+        self.assertEqual(self.count_owned(), {"a": 0, "b": 0, "c": 0})
         self.deployment.switch.heal_all()
         self.faults.outage = False
         await self.deployment.advance(5)
         self.assert_all_owned()
 
     async def test_owners_go_on_when_a_peer_restarts_in_an_outage(self):
-        before = self.count_held()
+        before = self.count_owned()
         self.faults.outage = True
         await self.deployment.advance(10)
         self.deployment.kill("c")
@@ -214,7 +217,7 @@
         self.deployment.add("c")
         for _ in range(10):
             await self.deployment.advance(6)
-            self.assertEqual(self.count_held(), {**before, "c": 0})
+            self.assertEqual(self.count_owned(), {**before, "c": 0})
         self.faults.outage = False
         await self.deployment.advance(5)
         self.assert_all_owned()
@@ -222,17 +225,17 @@
     async def test_long_promise_of_an_outage_is_kept_after_it(self):
         self.faults.outage = True
         await self.deployment.advance(10)
-        held = self.daemons["a"].list_owned()
+        owned = self.daemons["a"].list_owned()
         self.faults.outage = False
         self.deployment.isolate("a")
         for name in ("b", "c"):
-            self.daemons[name].members._newcomer_wait = NEWCOMER_WAIT
-        await self.deployment.advance(OUTAGE_PROMISE.total_seconds() + 6)
-        for shard in held:
+            self.daemons[name].members._newcomer_delay = NEWCOMER_DELAY
+        await self.deployment.advance(OUTAGE_LEASE_GRANT.total_seconds() + 6)
+        for shard in owned:
             self.assertEqual(len(self.deployment.find_deciders(shard)), 1)
         self.assertEqual(self.daemons["a"].list_owned(), ())
 
-    async def test_promises_from_before_a_return_bind_the_one_that_returns(self):
+    async def test_earlier_lease_grants_bind_a_member_that_returns(self):
         self.deployment.pause("c")
         self.faults.cut_off.add("a")
         await self.deployment.advance(18)
@@ -249,7 +252,7 @@
             await self.drain(name)
         self.faults.outage = True
         await self.deployment.advance(20)
-        self.assertEqual(self.count_held(), {"a": 6})
+        self.assertEqual(self.count_owned(), {"a": 6})
 
     async def test_outage_during_a_takeover_leaves_no_two_owners(self):
         self.deployment.pause("a")
@@ -269,7 +272,7 @@
         self.assert_all_owned()
 
     async def drain(self, name):
-        """Let a daemon hand everything over and leave."""
+        """Let a daemon hand over all its shards and leave."""
         daemon = self.daemons[name]
         await daemon.ownership.drain()
         await daemon.members.leave()
@@ -278,10 +281,10 @@
 
 
 class TestHandover(OwnershipCase):
-    """Drains and joins."""
+    """Handovers when daemons drain and join."""
 
     async def test_drain_hands_over_without_the_clock_moving(self):
-        held = self.daemons["a"].list_owned()
+        owned = self.daemons["a"].list_owned()
         began = self.deployment.clock.monotonic()
         await self.daemons["a"].ownership.drain()
         await settle()
@@ -289,7 +292,7 @@
         self.assert_all_owned()
         self.assertEqual(self.deployment.clock.monotonic(), began)
         self.assertEqual(self.daemons["a"].list_owned(), ())
-        self.assertTrue(set(held) <= set(self.daemons["a"].losses))
+        self.assertTrue(set(owned) <= set(self.daemons["a"].losses))
 
     async def test_loss_handlers_return_before_the_successor_may_decide(self):
         deciders = []
@@ -311,22 +314,22 @@
 
         for name in ("b", "c"):
             self.daemons[name].ownership.on_gain("worker", wait)
-        held = self.daemons["a"].list_owned()
+        owned = self.daemons["a"].list_owned()
         await self.daemons["a"].ownership.drain()
         await self.deployment.advance(1)
-        for shard in held:
+        for shard in owned:
             self.assertEqual(self.deployment.find_deciders(shard), {})
         gate.set()
         await self.deployment.advance(0.25)
         self.assert_all_owned()
 
-    async def test_join_moves_few_things_and_no_thing_twice(self):
-        before = {shard: self.deployment.find_deciders(shard) for shard in THINGS}
+    async def test_join_moves_few_shards_and_none_twice(self):
+        before = {shard: self.deployment.find_deciders(shard) for shard in SHARDS}
         self.deployment.add("d")
         await self.deployment.advance(10)
         self.assert_all_owned()
-        after = {shard: self.deployment.find_deciders(shard) for shard in THINGS}
-        moved = [shard for shard in THINGS if before[shard] != after[shard]]
+        after = {shard: self.deployment.find_deciders(shard) for shard in SHARDS}
+        moved = [shard for shard in SHARDS if before[shard] != after[shard]]
         self.assertTrue(any("d" in after[shard] for shard in moved))
         self.assertLessEqual(len(moved), 4)
         for shard in moved:
@@ -341,7 +344,7 @@
             await gate.wait()
 
         daemon.ownership.on_loss("worker", wait)
-        held = daemon.list_owned()
+        owned = daemon.list_owned()
         drain = asyncio.ensure_future(daemon.ownership.drain())
         await self.deployment.advance(0)
         self.daemons["b"].ownership.set_shards("worker", (*WORKERS, "w9"))
@@ -351,10 +354,10 @@
         gate.set()
         await drain
         await self.deployment.advance(1)
-        for shard in held:
+        for shard in owned:
             self.assertEqual(len(self.deployment.find_deciders(shard)), 1)
 
-    async def test_removed_thing_comes_back_with_a_higher_epoch(self):
+    async def test_removed_shard_returns_with_a_higher_epoch(self):
         (before,) = self.deployment.find_deciders("worker/w0").values()
         for daemon in self.daemons.values():
             daemon.ownership.set_shards("worker", WORKERS[1:])
@@ -368,7 +371,7 @@
 
 
 class TestWrites(OwnershipCase):
-    """Writes of the table that race or lose their answer."""
+    """Writes of the ownership table that race or lose their answer."""
 
     async def test_lost_answer_of_a_takeover_that_took_effect(self):
         await self.lose_puts(FaultKind.LOSE_ANSWER)
@@ -377,9 +380,9 @@
         await self.lose_puts(FaultKind.LOSE_CALL)
 
     async def lose_puts(self, kind):
-        """Lose the writes of a takeover; each thing still rises by one epoch."""
-        held = self.daemons["a"].list_owned()
-        before = {shard: self.deployment.find_deciders(shard)["a"] for shard in held}
+        """Lose the writes of a takeover; the epoch of each shard still rises by one."""
+        owned = self.daemons["a"].list_owned()
+        before = {shard: self.deployment.find_deciders(shard)["a"] for shard in owned}
         self.deployment.kill("a")
         self.faults.plan("put", kind, kind)
         await self.deployment.advance(6)
@@ -410,14 +413,14 @@
         self.assert_all_owned()
 
     async def test_drain_in_an_outage_ends_and_keeps_what_it_cannot_hand_over(self):
-        before = self.count_held()
+        before = self.count_owned()
         self.faults.outage = True
         drain = asyncio.ensure_future(self.daemons["a"].ownership.drain())
         await self.deployment.advance(2)
         await drain
-        self.assertEqual(self.count_held(), before)
+        self.assertEqual(self.count_owned(), before)
 
-    async def test_racing_claims_of_new_things_have_one_winner(self):
+    async def test_racing_claims_of_new_shards_have_one_winner(self):
         self.faults.delay = timedelta(milliseconds=100)
         for index, daemon in enumerate(self.daemons.values()):
             names = (*WORKERS, *(f"x{number}" for number in range(index, index + 4)))
@@ -426,13 +429,13 @@
         deciders = self.deployment.find_deciders("worker/x2")
         self.assertEqual(len(deciders), 1)
 
-    async def test_refused_handover_leaves_the_thing_where_it_was(self):
-        held = self.daemons["a"].list_owned()
+    async def test_refused_handover_leaves_the_shard_with_its_owner(self):
+        owned = self.daemons["a"].list_owned()
         self.faults.plan("put", FaultKind.REFUSE, FaultKind.REFUSE)
         self.deployment.add("d")
         await self.deployment.advance(10)
         self.assert_all_owned()
-        self.assertTrue(held)
+        self.assertTrue(owned)
 
 
 class TestTable(unittest.IsolatedAsyncioTestCase):
@@ -448,33 +451,35 @@
             self.tables.append(Table("ownership/x", mirror, client, self.clock))
         self.first, self.second = self.tables
         self.claims = [
-            {"w0": Change(None, OwnerEntry(name, f"{name}.1", 1))}
+            {"w0": OwnerChange(None, OwnerEntry(name, f"{name}.1", 1))}
             for name in ("a", "b")
         ]
 
     async def test_second_of_two_claims_is_refused_and_shown_the_first(self):
         self.assertTrue(await self.first.commit(self.claims[0]))
         self.assertFalse(await self.second.commit(self.claims[1]))
-        self.assertEqual(self.second.things["w0"].instance, "a")
+        self.assertEqual(self.second.owners["w0"].instance, "a")
 
     async def test_change_of_something_else_than_expected_writes_nothing(self):
         self.assertTrue(await self.first.commit(self.claims[0]))
         before = self.store.revision
-        stale = {"w0": Change(OwnerEntry("a", "a.0", 1), OwnerEntry("b", "b.1", 2))}
+        stale = {
+            "w0": OwnerChange(OwnerEntry("a", "a.0", 1), OwnerEntry("b", "b.1", 2))
+        }
         self.assertFalse(await self.first.commit(stale))
         self.assertEqual(self.store.revision, before)
 
-    async def test_lost_write_that_another_overtook_is_told_from_one_that_was_made(
+    async def test_lost_write_overtaken_by_another_is_distinguished_from_a_made_one(
         self,
     ):
         for kind, is_made in (
             (FaultKind.LOSE_ANSWER, True),
             (FaultKind.LOSE_CALL, False),
         ):
-            holder = self.first.things.get("w0")
-            mine = {"w0": Change(holder, OwnerEntry("a", "a.1", 7))}
+            entry = self.first.owners.get("w0")
+            mine = {"w0": OwnerChange(entry, OwnerEntry("a", "a.1", 7))}
             theirs = {
-                "w1": Change(self.second.things.get("w1"), OwnerEntry("b", "b", 2))
+                "w1": OwnerChange(self.second.owners.get("w1"), OwnerEntry("b", "b", 2))
             }
             self.store.faults.plan("put", kind)
             commit = asyncio.ensure_future(self.first.commit(mine))
@@ -483,19 +488,19 @@
             self.assertTrue(await self.second.commit(theirs))
             await self.clock.advance(timedelta(seconds=1))
             self.assertEqual(await commit, is_made)
-            self.assertEqual("w0" in self.first.things, is_made)
-            self.assertEqual(self.first.things["w1"].instance, "b")
+            self.assertEqual("w0" in self.first.owners, is_made)
+            self.assertEqual(self.first.owners["w1"].instance, "b")
             await self.asyncSetUp()
 
 
 class TestAssignment(unittest.TestCase):
-    """The spread of things over members."""
+    """Assignment of shards to members."""
 
     def test_spread_is_even_and_moves_are_few(self):
         names = [f"w{index}" for index in range(88)]
         members = ["a", "b", "c"]
-        before = assign_things(names, members)
-        after = assign_things(names, [*members, "d"])
+        before = assign_shards(names, members)
+        after = assign_shards(names, [*members, "d"])
         moved = [name for name in names if before[name] != after[name]]
         self.assertLessEqual(max(Counter(before.values()).values()), 33)
         self.assertLessEqual(max(Counter(after.values()).values()), 25)
--- a/tests/test_request_plane.py
+++ b/tests/test_request_plane.py
@@ -1,4 +1,4 @@
-"""Routers over the real membership, ownership and fleet, on stand-ins."""
+"""Routers with the real membership, ownership and fleet, on stand-ins."""
 
 import asyncio
 import unittest
@@ -28,13 +28,13 @@
 
 
 class Daemon:
-    """One daemon's request plane, without its edges."""
+    """The request plane of one daemon, without HTTP and network."""
 
     def __init__(self, plane: "Plane", name: str) -> None:
         member = Member(name, "z1", "r1", f"{name}:1", f"{name}:2", f"{name}/1")
         peers, store = plane.switch.connect(name), plane.store.connect(name)
         self.members = Membership(
-            member, peers, store, plane.clock, newcomer_wait=SECOND
+            member, peers, store, plane.clock, newcomer_delay=SECOND
         )
         self.ownership = StoreOwnership(self.members, peers, store, plane.clock)
         self.fleet = Fleet(plane.instances.connect(name), plane.clock)
@@ -95,7 +95,7 @@
         for other in self.daemons:
             self.switch.cut_both(name, other)
 
-    def count_held(self) -> dict[str, int]:
+    def count_owned(self) -> dict[str, int]:
         return {
             name: len(daemon.ownership.list_owned("target"))
             for name, daemon in self.daemons.items()
@@ -120,31 +120,31 @@
 
     def test_all_targets_have_owners_and_serve_whoever_asks(self):
         async def scenario(plane):
-            held = plane.count_held()
+            owned = plane.count_owned()
             names = [f"r{number}" for number in range(8)]
             start = plane.clock.monotonic()
             outcomes = await plane.ask_many("a", names)
-            return held, outcomes, plane.clock.monotonic() - start
+            return owned, outcomes, plane.clock.monotonic() - start
 
-        held, outcomes, time = self.play(scenario)
-        self.assertEqual(sum(held.values()), len(TARGETS))
+        owned, outcomes, time = self.play(scenario)
+        self.assertEqual(sum(owned.values()), len(TARGETS))
         self.assertEqual(outcomes, [Completed(f"r{n}".encode()) for n in range(8)])
         self.assertLess(time, 0.6 * SECOND)
 
     def test_a_dead_owners_targets_serve_again_without_being_overfilled(self):
         async def scenario(plane):
-            name = next(name for name, held in plane.count_held().items() if held)
-            doomed = [
+            name = next(name for name, owned in plane.count_owned().items() if owned)
+            interrupted = [
                 asyncio.ensure_future(plane.ask(name, f"d{number}"))
                 for number in range(8)
             ]
             await asyncio.sleep(0.1)
             plane.kill(name)
-            for task in doomed:
+            for task in interrupted:
                 task.cancel()
             other = next(iter(plane.daemons))
             waited = 0
-            while sum(plane.count_held().values()) < len(TARGETS):
+            while sum(plane.count_owned().values()) < len(TARGETS):
                 waited += 1
                 await asyncio.sleep(1)
             await asyncio.sleep(13)
@@ -160,7 +160,7 @@
 
     def test_a_daemon_that_shuts_down_hands_its_targets_over_at_once(self):
         async def scenario(plane):
-            name = next(name for name, held in plane.count_held().items() if held)
+            name = next(name for name, owned in plane.count_owned().items() if owned)
             daemon = plane.daemons[name]
             asks = [
                 asyncio.ensure_future(plane.ask(name, f"d{number}"))
