--- a/src/damaskdeck/coordination/configuration/__init__.py
+++ b/src/damaskdeck/coordination/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The declared configuration, and how it reaches every daemon."""
+"""The declared configuration and its distribution to all daemons."""
--- a/src/damaskdeck/coordination/configuration/relay.py
+++ b/src/damaskdeck/coordination/configuration/relay.py
@@ -1,4 +1,4 @@
-"""Carries the configuration from the store to every daemon, by few watchers."""
+"""Distribution of the configuration from the store to every daemon."""
 
 import asyncio
 from datetime import timedelta
@@ -6,15 +6,18 @@
 
 from damaskdeck import defaults
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.configuration.marks import remove_marks
 from damaskdeck.coordination.configuration.pulls import (
     answer_pull,
     apply_ahead,
-    pack,
     pull,
-    unpack,
+    to_event,
+    to_relayed,
 )
-from damaskdeck.coordination.configuration.reports import InForce, Reports
+from damaskdeck.coordination.configuration.reports import (
+    ConfigurationReports,
+    InForceStatus,
+)
+from damaskdeck.coordination.configuration.tombstones import remove_tombstones
 from damaskdeck.coordination.configuration.watchers import StoreWatcher
 from damaskdeck.coordination.configuration.writes import (
     Absent,
@@ -42,19 +45,19 @@
 from damaskdeck.state.versions import ResourceVersion, encode_version
 
 STARTUP_WAIT = timedelta(seconds=2)
-MARKS_INTERVAL = timedelta(hours=1)
+TOMBSTONE_INTERVAL = timedelta(hours=1)
 
 
 class ConfigurationRelay:
-    """Keeps this daemon's configuration up with the store and its peers.
+    """Keeps this daemon's configuration up to date with the store and its peers.
 
-    Promise: "A configuration the system has accepted is in force everywhere
-    within seconds and never reverts."
+    Guarantee: "A configuration the system has accepted is in force everywhere within
+    seconds and never reverts."
 
     :param watch_wait: how long a watch waits in the store for a change.
-    :param interval: how often reports are compared.
+    :param interval: time between two comparisons of reports.
     :param watchers: how many daemons of a zone watch the store.
-    :param startup_wait: how long a newcomer waits for its peers' reports.
+    :param startup_wait: how long a new daemon waits for reports of its peers.
     """
 
     def __init__(
@@ -76,7 +79,7 @@
         self._clock = clock
         self._interval = interval
         self._startup_wait = startup_wait
-        self._reports = Reports(members, configuration)
+        self._reports = ConfigurationReports(members, configuration)
         self._writer = ConfigurationWriter(configuration, store, clock, self._announce)
         self._watcher = StoreWatcher(
             configuration,
@@ -90,28 +93,28 @@
             watchers,
         )
         self._is_ready = False
-        self._lacking: ConfigurationReport | None = None
-        peers.register(ConfigurationChanges, self._take_changes)
-        peers.register(ConfigurationAccepted, self._take_accepted)
-        peers.register(PullConfiguration, self._answer_pull)
-        peers.register(ReadConfigurationReport, self._answer_ask)
+        self._last_lagging_report: ConfigurationReport | None = None
+        peers.register(ConfigurationChanges, self._handle_changes)
+        peers.register(ConfigurationAccepted, self._handle_accepted)
+        peers.register(PullConfiguration, self._handle_pull)
+        peers.register(ReadConfigurationReport, self._handle_report_request)
 
     @property
     def is_ready(self) -> bool:
-        """Whether this daemon once had all that its peers had."""
+        """Whether this daemon has once had all that its peers had."""
         return self._is_ready
 
     @property
     def reaches_store(self) -> bool:
-        """Whether some watcher of this zone had its last call answered."""
+        """Whether the last call of some watcher of this zone was answered."""
         return self._watcher.zone_reaches_store()
 
     def is_watcher(self) -> bool:
-        """Tell whether this daemon watches the store for its zone."""
+        """Return whether this daemon watches the store for its zone."""
         return self._watcher.is_watcher()
 
-    async def read_in_force(self, revision: int = 0) -> InForce:
-        """Ask all live daemons what is in force, and whether ``revision`` is."""
+    async def read_in_force(self, revision: int = 0) -> InForceStatus:
+        """Return what is in force on all live daemons, and whether ``revision`` is."""
         return await self._reports.read_in_force(self._peers, revision)
 
     async def put(
@@ -131,7 +134,7 @@
         async with asyncio.TaskGroup() as group:
             group.create_task(self._watcher.run())
             group.create_task(self._follow_peers())
-            group.create_task(self._remove_marks())
+            group.create_task(self._remove_tombstones())
 
     async def _follow_peers(self) -> None:
         started = self._clock.monotonic()
@@ -143,38 +146,38 @@
             await self._clock.sleep(self._interval)
 
     async def _catch_up(self) -> None:
-        """Pull what peers have and this daemon still lacks after an interval."""
-        best, own = self._reports.find_best(), self._reports.make_own()
-        if best is None:
-            self._lacking = None
+        """Pull what peers have and this daemon still lacks after one interval."""
+        source, own = self._reports.find_pull_source(), self._reports.make_report()
+        if source is None:
+            self._last_lagging_report = None
             return
-        if self._lacking == own or not own["is_loaded"]:
-            await pull(self._peers, best, self._configuration)
-        self._lacking = own
+        if self._last_lagging_report == own or not own["is_loaded"]:
+            await pull(self._peers, source, self._configuration)
+        self._last_lagging_report = own
 
     def _has_caught_up(self, started: timedelta) -> bool:
         if not self._configuration.is_loaded:
             return False
         waited = self._clock.monotonic() - started
-        if not self._reports.has_heard() and waited < self._startup_wait:
+        if not self._reports.has_peer_reports() and waited < self._startup_wait:
             return False
-        return self._reports.find_best() is None
+        return self._reports.find_pull_source() is None
 
-    async def _remove_marks(self) -> None:
+    async def _remove_tombstones(self) -> None:
         while True:
-            await self._clock.sleep(MARKS_INTERVAL)
+            await self._clock.sleep(TOMBSTONE_INTERVAL)
             if self._watcher.is_watcher():
-                await remove_marks(self._store, self._clock)
+                await remove_tombstones(self._store, self._clock)
 
     def _push(self, base: int, events: list[Event], revision: int) -> None:
-        """Relay to the zone what the store told this watcher."""
-        entries = [pack(event) for event in events]
+        """Relay changes that this watcher read from the store to its zone."""
+        entries = [to_relayed(event) for event in events]
         message = ConfigurationChanges(base=base, revision=revision, entries=entries)
         self._send(message, ConfigurationChanges, self._members.self.zone)
 
     def _announce(self, version: ResourceVersion) -> None:
-        """Tell everybody of a write that this daemon's call made."""
-        message = ConfigurationAccepted(entry=pack(encode_version(version)))
+        """Announce a write of this daemon to all members."""
+        message = ConfigurationAccepted(entry=to_relayed(encode_version(version)))
         self._send(message, ConfigurationAccepted, "")
 
     def _send(self, message: Any, kind: type, zone: str) -> None:
@@ -182,23 +185,25 @@
             if member.name != self._members.self.name:
                 self._peers.send(member.name, message, kind)
 
-    async def _take_changes(self, instance: str, message: ConfigurationChanges) -> None:
-        events = [unpack(entry) for entry in message["entries"]]
+    async def _handle_changes(
+        self, instance: str, message: ConfigurationChanges
+    ) -> None:
+        events = [to_event(entry) for entry in message["entries"]]
         base, revision = message["base"], message["revision"]
         if not self._configuration.apply_changes(base, events, revision):
             count_drop(COMPONENT, "gap")
 
-    async def _take_accepted(
+    async def _handle_accepted(
         self, instance: str, message: ConfigurationAccepted
     ) -> None:
         apply_ahead(self._configuration, [message["entry"]])
 
-    async def _answer_pull(
+    async def _handle_pull(
         self, instance: str, message: PullConfiguration
     ) -> PullConfigurationReply:
         return answer_pull(self._configuration, message)
 
-    async def _answer_ask(
+    async def _handle_report_request(
         self, instance: str, message: ReadConfigurationReport
     ) -> ConfigurationReport:
-        return self._reports.make_own()
+        return self._reports.make_report()
--- a/src/damaskdeck/coordination/configuration/reports.py
+++ b/src/damaskdeck/coordination/configuration/reports.py
@@ -1,4 +1,4 @@
-"""What the daemons' heartbeats tell of the configuration in force on each."""
+"""Reports in heartbeats about the configuration in force on each daemon."""
 
 import asyncio
 from datetime import timedelta
@@ -18,26 +18,26 @@
 
 TOPIC = "configuration"
 AHEAD_LIMIT = 64
-ASK_TIMEOUT = timedelta(seconds=1)
+REPORT_TIMEOUT = timedelta(seconds=1)
 
 _decoder = msgspec.msgpack.Decoder(ConfigurationReport)
 
 
-class InForce(NamedTuple):
-    """What is in force where.
+class InForceStatus(NamedTuple):
+    """The revisions in force on the daemons.
 
-    :param revisions: by name of each live daemon, -1 if it has none.
-    :param is_everywhere: whether all have the revision that was asked about.
+    :param revisions: by name of each live daemon; -1 if it has none.
+    :param is_everywhere: whether all have the requested revision.
     """
 
     revisions: dict[str, int]
     is_everywhere: bool
 
 
-class Reports:
+class ConfigurationReports:
     """Publishes this daemon's report and reads those of the others.
 
-    :param reaches_store: whether this daemon's last call to the store was
+    :ivar reaches_store: whether this daemon's last call to the store was
         answered.
     """
 
@@ -48,10 +48,10 @@
 
     def publish(self) -> None:
         """Attach this daemon's report to its next heartbeats."""
-        self._members.publish(TOPIC, msgspec.msgpack.encode(self.make_own()))
+        self._members.publish(TOPIC, msgspec.msgpack.encode(self.make_report()))
 
-    def make_own(self) -> ConfigurationReport:
-        """Return this daemon's report."""
+    def make_report(self) -> ConfigurationReport:
+        """Return this daemon's current report."""
         configuration = self._configuration
         return ConfigurationReport(
             revision=configuration.revision,
@@ -61,31 +61,31 @@
         )
 
     def read(self) -> dict[str, ConfigurationReport]:
-        """Return the latest report of each live daemon that sent one."""
+        """Return the latest report of each live daemon, including this one."""
         reports = {}
         for name, report in self._members.read_reports(TOPIC).items():
             try:
                 reports[name] = _decoder.decode(report.value)
             except DECODE_ERRORS:
                 count_drop(COMPONENT, "invalid_report")
-        reports[self._members.self.name] = self.make_own()
+        reports[self._members.self.name] = self.make_report()
         return reports
 
-    def has_heard(self) -> bool:
-        """Tell whether any other daemon's report has come."""
+    def has_peer_reports(self) -> bool:
+        """Return whether a report of any other daemon has arrived."""
         return len(self.read()) > 1
 
-    async def ask(self, peers: Peers) -> dict[str, ConfigurationReport]:
-        """Ask each live daemon for its report, which heartbeats tell later.
+    async def collect(self, peers: Peers) -> dict[str, ConfigurationReport]:
+        """Request the current report of each live daemon; heartbeats carry it later.
 
-        For one that doesn't answer, its last heartbeat counts; a daemon never
-        goes back.
+        For a daemon that doesn't answer, its last heartbeat counts, as a daemon never
+        goes back to an earlier revision.
         """
         names = [member.name for member in self._members.list_live()]
         names.remove(self._members.self.name)
         calls = [
             peers.call(
-                name, ReadConfigurationReport(), ReadConfigurationReport, ASK_TIMEOUT
+                name, ReadConfigurationReport(), ReadConfigurationReport, REPORT_TIMEOUT
             )
             for name in names
         ]
@@ -98,31 +98,31 @@
                 count_retry(COMPONENT, answer.code)
         return reports
 
-    async def read_in_force(self, peers: Peers, revision: int) -> InForce:
-        """Ask what is in force on all live daemons."""
-        reports = await self.ask(peers)
+    async def read_in_force(self, peers: Peers, revision: int) -> InForceStatus:
+        """Return what is in force on all live daemons."""
+        reports = await self.collect(peers)
         live = [member.name for member in self._members.list_live()]
-        return InForce(
+        return InForceStatus(
             {name: get_revision(reports.get(name)) for name in live},
             all(_has(reports.get(name), revision) for name in live),
         )
 
-    def find_best(self) -> str | None:
+    def find_pull_source(self) -> str | None:
         """Return the peer that has most of what this daemon lacks, if any.
 
-        Of equal ones, one of this zone is taken.
+        Among equals, a peer of this zone is preferred.
         """
-        me, own, reports = self._members.self, self.make_own(), self.read()
+        member, own, reports = self._members.self, self.make_report(), self.read()
         found = [
-            (get_revision(report), member.zone == me.zone, member.name)
-            for member in self._members.list_live()
-            if (report := reports.get(member.name)) and _lacks(own, report)
+            (get_revision(report), peer.zone == member.zone, peer.name)
+            for peer in self._members.list_live()
+            if (report := reports.get(peer.name)) and _lacks(own, report)
         ]
         return max(found)[2] if found else None
 
 
 def get_revision(report: ConfigurationReport | None) -> int:
-    """Return the revision that a report tells, -1 if there is none."""
+    """Return the revision of a report; -1 if there is none."""
     return report["revision"] if report and report["is_loaded"] else -1
 
 
@@ -133,7 +133,7 @@
 
 
 def _lacks(own: ConfigurationReport, other: ConfigurationReport) -> bool:
-    """Tell whether ``other`` has something in force that ``own`` has not."""
+    """Return whether ``other`` has something in force that ``own`` lacks."""
     known = get_revision(own)
     if get_revision(other) > known:
         return True
--- a/src/damaskdeck/coordination/configuration/rules.py
+++ b/src/damaskdeck/coordination/configuration/rules.py
@@ -1,4 +1,4 @@
-"""Checks of declared resources, in registries that decorators fill."""
+"""Validation rules for declared resources, registered by decorators."""
 
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
@@ -24,7 +24,7 @@
 
 
 def write_rule(*kinds: Kind) -> Callable[[Rule], Rule]:
-    """Register a check of what is written; it sees well-typed specs only."""
+    """Register a check for writes; it gets only specs with valid types."""
 
     def register(check: Rule) -> Rule:
         for kind in kinds:
@@ -35,7 +35,7 @@
 
 
 def delete_rule(*kinds: Kind) -> Callable[[Rule], Rule]:
-    """Register a check of what is deleted."""
+    """Register a check for deletions."""
 
     def register(check: Rule) -> Rule:
         for kind in kinds:
@@ -48,7 +48,7 @@
 def check_write(
     kind: Kind, resource: Any, configuration: ConfigurationReader
 ) -> tuple[Fault, ...]:
-    """Find all faults of a resource that an operator declares."""
+    """Return all faults of a resource that an operator declares."""
     faults = find_faults(resource, Resource)
     if not isinstance(resource, dict):
         return faults
@@ -63,7 +63,7 @@
 def check_delete(
     resource: Resource, configuration: ConfigurationReader
 ) -> tuple[Fault, ...]:
-    """Find what speaks against deleting a resource."""
+    """Return the faults that prevent the deletion of a resource."""
     return _collect(_delete_rules[Kind(resource["kind"])], resource, configuration)
 
 
@@ -75,7 +75,7 @@
 
 @write_rule(Kind.TEAM, Kind.WORKLOAD, Kind.POLICY)
 def check_length(resource: Resource, _: ConfigurationReader) -> Iterator[Fault]:
-    """Bound what every daemon keeps in memory."""
+    """Limit the size, as every daemon keeps the resource in memory."""
     size = len(msgspec.json.encode(resource))
     if size > defaults.RESOURCE_LIMIT:
         detail = f"{size} bytes, at most {defaults.RESOURCE_LIMIT}"
@@ -86,7 +86,7 @@
 def check_team(
     resource: Resource, configuration: ConfigurationReader
 ) -> Iterator[Fault]:
-    """Require the workload's team."""
+    """Require that the workload's team exists."""
     team = resource["spec"]["team"]
     if configuration.get(Kind.TEAM, team) is None:
         yield Fault("spec.team", "no_such_team", f"team {team!r} is not declared")
@@ -94,24 +94,24 @@
 
 @write_rule(Kind.WORKLOAD)
 def check_gang(resource: Resource, _: ConfigurationReader) -> Iterator[Fault]:
-    """Require a gang to say how many tasks run together."""
+    """Require that a gang declares how many tasks run together."""
     spec = resource["spec"]
     if spec["type"] == "gang" and "tasks" not in spec:
-        yield Fault("spec.tasks", "missing_field", "a gang must say how many")
+        yield Fault("spec.tasks", "missing_field", "a gang must declare its tasks")
 
 
 @write_rule(Kind.WORKLOAD)
 def check_size(resource: Resource, _: ConfigurationReader) -> Iterator[Fault]:
-    """Require a size; work without one can't be kept within an instance."""
+    """Require a size: work without one can't be kept within an instance's capacity."""
     if parse_size(resource["spec"]["size"]) == ZERO_SIZE:
-        yield Fault("spec.size", "empty_size", "must ask for something")
+        yield Fault("spec.size", "empty_size", "at least one dimension must be set")
 
 
 @write_rule(Kind.WORKLOAD)
 def check_quota(
     resource: Resource, configuration: ConfigurationReader
 ) -> Iterator[Fault]:
-    """Refuse a task that asks for accelerators beyond its team's quota."""
+    """Reject a task whose size alone exceeds its team's quota."""
     spec = resource["spec"]
     team = configuration.get(Kind.TEAM, spec["team"])
     if team is None:
@@ -124,15 +124,15 @@
 
 @write_rule(Kind.WORKLOAD)
 def check_zones(resource: Resource, _: ConfigurationReader) -> Iterator[Fault]:
-    """Refuse a zone that is named twice."""
+    """Reject a zone that is listed twice."""
     zones = resource["spec"].get("zones", [])
     if len(set(zones)) < len(zones):
-        yield Fault("spec.zones", "repeated", "name each zone once")
+        yield Fault("spec.zones", "repeated", "each zone may be listed once")
 
 
 @write_rule(Kind.POLICY)
 def check_weights(resource: Resource, _: ConfigurationReader) -> Iterator[Fault]:
-    """Refuse weights of scores that don't exist."""
+    """Reject weights of unknown scores."""
     for name in resource["spec"].get("weights", {}):
         if name not in defaults.WEIGHTS:
             allowed = ", ".join(sorted(defaults.WEIGHTS))
@@ -143,7 +143,7 @@
 def check_workloads(
     resource: Resource, configuration: ConfigurationReader
 ) -> Iterator[Fault]:
-    """Keep a team as long as it has workloads."""
+    """Reject the deletion of a team that has workloads."""
     name = resource["metadata"]["name"]
     for workload in configuration.list(Kind.WORKLOAD):
         if workload["spec"]["team"] == name:
--- a/src/damaskdeck/coordination/configuration/marks.py
+++ b/src/damaskdeck/coordination/configuration/tombstones.py
@@ -1,4 +1,4 @@
-"""Removal of old marks of deletions from the store."""
+"""Removal of old tombstones of deleted resources from the store."""
 
 from datetime import timedelta
 
@@ -7,17 +7,19 @@
 from damaskdeck.protocol.ports import Entry, Listing, Store, Written
 from damaskdeck.state.versions import CONFIG_PREFIX, decode_value
 
-ROUND_LIMIT = 200
-PAUSE = timedelta(milliseconds=100)
+MAX_REMOVALS_PER_ROUND = 200
+REMOVAL_INTERVAL = timedelta(milliseconds=100)
 
 
-async def remove_marks(
+async def remove_tombstones(
     store: Store, clock: Clock, retention: timedelta = defaults.DELETION_RETENTION
 ) -> int:
-    """Remove marks that are older than any call may be on its way; return how many.
+    """Remove tombstones that are older than any call that may still be in flight.
 
-    At most :data:`ROUND_LIMIT` are removed, ten a second, so that a wave of
-    deletions doesn't use up the store's writes.
+    At most :data:`MAX_REMOVALS_PER_ROUND` are removed, ten per second, so that many
+    deletions at once don't use up the store's writes.
+
+    :returns: how many were removed.
     """
     found = await store.list(CONFIG_PREFIX)
     if not isinstance(found, Listing):
@@ -25,10 +27,10 @@
     limit = (clock.now() - retention).timestamp()
     old = [entry for entry in found.entries if _is_old(entry, limit)]
     removed = 0
-    for entry in old[:ROUND_LIMIT]:
+    for entry in old[:MAX_REMOVALS_PER_ROUND]:
         answer = await store.delete(entry.key, entry.revision)
         removed += isinstance(answer, Written)
-        await clock.sleep(PAUSE)
+        await clock.sleep(REMOVAL_INTERVAL)
     return removed
 
 
--- a/src/damaskdeck/coordination/configuration/watchers.py
+++ b/src/damaskdeck/coordination/configuration/watchers.py
@@ -1,4 +1,4 @@
-"""Watching the configuration in the store, by one or two daemons of a zone."""
+"""Watching of the configuration in the store by a few daemons of each zone."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -7,7 +7,7 @@
 
 from damaskdeck import defaults
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.configuration.reports import Reports
+from damaskdeck.coordination.configuration.reports import ConfigurationReports
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_retry
 from damaskdeck.protocol.members import Members
@@ -15,31 +15,31 @@
 from damaskdeck.state.configuration import COMPONENT, Configuration
 from damaskdeck.state.versions import CONFIG_PREFIX
 
-SHORTEST_PAUSE = timedelta(milliseconds=250)
-LONGEST_PAUSE = timedelta(seconds=2)
+MIN_RETRY_PAUSE = timedelta(milliseconds=250)
+MAX_RETRY_PAUSE = timedelta(seconds=2)
 
 _log = get_logger(COMPONENT)
 
-Push = Callable[[int, list[Event], int], None]
+PushHandler = Callable[[int, list[Event], int], None]
 
 
 class StoreWatcher:
     """Follows the store while this daemon is one of its zone's watchers.
 
-    :param push: is told the base, the changes and the revision that follows.
+    :param push: called with the base revision, the changes and the new revision.
     :param watch_wait: how long a watch waits in the store for a change.
-    :param interval: how often the choice of watchers is looked at.
+    :param interval: time between two checks whether this daemon is a watcher.
     :param count: how many daemons of a zone watch.
     """
 
     def __init__(
         self,
         configuration: Configuration,
-        reports: Reports,
+        reports: ConfigurationReports,
         members: Members,
         store: Store,
         clock: Clock,
-        push: Push,
+        push: PushHandler,
         watch_wait: timedelta = defaults.WATCH_WAIT,
         interval: timedelta = defaults.RELAY_INTERVAL,
         count: int = defaults.WATCHERS_PER_ZONE,
@@ -57,25 +57,25 @@
 
     async def run(self) -> None:
         """Follow the store until cancelled."""
-        pause = SHORTEST_PAUSE
+        pause = MIN_RETRY_PAUSE
         while True:
             if not self.is_watcher():
                 await self._clock.sleep(self._interval)
             elif await self._read():
                 self._reports.reaches_store = True
-                pause = SHORTEST_PAUSE
+                pause = MIN_RETRY_PAUSE
             else:
                 await self._clock.sleep(pause)
-                pause = min(2 * pause, LONGEST_PAUSE)
+                pause = min(2 * pause, MAX_RETRY_PAUSE)
 
     def is_watcher(self) -> bool:
-        """Tell whether this daemon is one of its zone's watchers."""
+        """Return whether this daemon is one of its zone's watchers."""
         return self._members.self.name in self.pick_watchers()
 
     def pick_watchers(self) -> list[str]:
-        """Return the first daemons of this zone by hash.
+        """Return the first daemons of this zone in the order of their hashes.
 
-        One that doesn't reach the store goes on trying, and the next joins.
+        A watcher that can't reach the store keeps trying, and the next daemon joins.
         """
         reports = self._reports.read()
         live = self._members.list_live(self._members.self.zone)
@@ -90,16 +90,16 @@
         return picked
 
     def zone_reaches_store(self) -> bool:
-        """Tell whether some watcher of this zone reaches the store."""
+        """Return whether some watcher of this zone reaches the store."""
         reports = self._reports.read()
-        told = [reports[name] for name in self.pick_watchers() if name in reports]
-        return any(report["reaches_store"] for report in told)
+        known = [reports[name] for name in self.pick_watchers() if name in reports]
+        return any(report["reaches_store"] for report in known)
 
     async def _read(self) -> bool:
-        """List or watch the store once; return whether it answered usefully.
+        """List or watch the store once; return whether the answer was usable.
 
-        After a failure it doesn't wait, so as to learn soon that the store is
-        back.
+        After a failure the watch doesn't wait, to detect soon that the store is
+        reachable again.
         """
         if not self._configuration.is_loaded:
             return await self._list()
@@ -107,26 +107,26 @@
         wait = self._watch_wait if self._reports.reaches_store else timedelta()
         found = await self._store.watch(CONFIG_PREFIX, after, wait)
         if isinstance(found, Events):
-            self._take_events(found)
+            self._apply_events(found)
             return True
         if isinstance(found, RevisionTooOld):
             return await self._list()
-        self._note_failure(found.code)
+        self._record_failure(found.code)
         return False
 
     async def _list(self) -> bool:
         found = await self._store.list(CONFIG_PREFIX)
         if not isinstance(found, Listing):
-            self._note_failure(found.code)
+            self._record_failure(found.code)
             return False
         events = [Event(e.key, e.value, e.revision) for e in found.entries]
         if not self._configuration.apply_snapshot(events, found.revision):
-            _log.warn("The store answered with an older read.", revision=found.revision)
+            _log.warn("The store returned a stale read.", revision=found.revision)
             return False
         self._cursor = found.revision
         return True
 
-    def _take_events(self, found: Events) -> None:
+    def _apply_events(self, found: Events) -> None:
         base = self._configuration.revision
         events = [event for event in found.events if event.revision > base]
         if events:
@@ -135,7 +135,7 @@
             self._push(base, events, last)
         self._cursor = max(self._cursor, found.revision)
 
-    def _note_failure(self, code: str) -> None:
+    def _record_failure(self, code: str) -> None:
         count_retry(COMPONENT, code)
         if self._reports.reaches_store:
             _log.warn("The store can't be watched.", code=code)
--- a/src/damaskdeck/coordination/configuration/writes.py
+++ b/src/damaskdeck/coordination/configuration/writes.py
@@ -1,4 +1,4 @@
-"""Operators' writes of declared resources, by compare-and-swap on the store."""
+"""Operators' writes of declared resources, by compare-and-swap in the store."""
 
 import secrets
 from collections.abc import Callable
@@ -57,13 +57,13 @@
 
 
 class Outdated(NamedTuple):
-    """Another write came first; ``current`` is the resource now, if any."""
+    """Another write took effect first; ``current`` is the resource now, if any."""
 
     current: Resource | None
 
 
 class Absent(NamedTuple):
-    """There is no such resource."""
+    """The resource doesn't exist."""
 
     kind: Kind
     name: str
@@ -76,10 +76,10 @@
 
 
 class ConfigurationWriter:
-    """Writes resources and resolves lost answers before it tells the outcome.
+    """Writes resources and resolves lost answers before it returns the outcome.
 
-    :param announce: is told of each accepted write.
-    :param resolve_limit: how long a lost answer is looked for.
+    :param announce: called with each accepted write.
+    :param resolve_limit: how long to try to resolve a lost answer.
     """
 
     def __init__(
@@ -101,9 +101,9 @@
     ) -> Declared | Outdated | Invalid | Refused | Unknown:
         """Write a resource.
 
-        :param resource: as the operator gave it.
-        :param expected: its current revision, 0 when it must not exist, or
-            ``None`` to write over whatever there is.
+        :param resource: as submitted by the operator, unchecked.
+        :param expected: its current revision, 0 when it must not exist, or ``None``
+            to replace whatever exists.
         """
         faults = check_write(kind, resource, self._configuration)
         if any(fault.code == "no_such_team" for fault in faults):
@@ -118,14 +118,14 @@
         answer = await self._write(kind, name, value, write, expected)
         if not isinstance(answer, Written):
             return answer
-        version = self._take(kind, name, value, answer.revision)
+        version = self._apply_write(kind, name, value, answer.revision)
         assert version.resource is not None
         return Declared(version.resource, is_new)
 
     async def delete(
         self, kind: Kind, name: str, expected: int | None
     ) -> Deleted | Outdated | Absent | Invalid | Refused | Unknown:
-        """Delete a resource; ``expected`` as for :meth:`put`."""
+        """Delete a resource; ``expected`` is as for :meth:`put`."""
         resource = self._configuration.get(kind, name)
         if resource is None:
             await self._refresh(kind, name)
@@ -140,11 +140,11 @@
         answer = await self._write(kind, name, value, write, expected)
         if not isinstance(answer, Written):
             return answer
-        self._take(kind, name, value, answer.revision)
+        self._apply_write(kind, name, value, answer.revision)
         return Deleted(kind, name, answer.revision)
 
     async def _refresh(self, kind: Kind, name: str) -> None:
-        """Look for a resource that another daemon has just accepted."""
+        """Read a resource that another daemon may just have written."""
         found = await self._store.get(make_key(kind, name))
         if isinstance(found, Found):
             entry = found.entry
@@ -152,7 +152,7 @@
             if version is not None:
                 self._configuration.apply_ahead(version)
 
-    def _take(
+    def _apply_write(
         self, kind: Kind, name: str, value: bytes, revision: int
     ) -> ResourceVersion:
         version = read_version(Event(make_key(kind, name), value, revision))
@@ -186,15 +186,15 @@
     async def _write_once(
         self, call: "_Call"
     ) -> Written | Conflict | Refused | Unknown:
-        """Write once; after a lost answer repeat it until its end is known.
+        """Write once; after a lost answer, repeat the call until its outcome is known.
 
-        The comparison lets only one of the repeated calls through.
+        The expected revision lets only one of the repeated calls take effect.
         """
-        lowest = self._configuration.revision
+        revision_before = self._configuration.revision
         deadline = self._clock.monotonic() + self._resolve_limit
         answer = await self._put(call)
         if isinstance(answer, Rejected):
-            return refuse(answer)
+            return make_refusal(answer)
         while isinstance(answer, Lost | Rejected):
             if self._clock.monotonic() >= deadline:
                 return Unknown("answer_lost", "the write may have taken effect")
@@ -202,19 +202,23 @@
             await self._clock.sleep(RETRY_PAUSE)
             answer = await self._put(call)
             if isinstance(answer, Conflict):
-                answer = await self._find_effect(call, answer)
-        if isinstance(answer, Written) and answer.revision <= lowest:
-            _log.error("The store was set back.", revision=answer.revision)
+                answer = await self._find_written_revision(call, answer)
+        if isinstance(answer, Written) and answer.revision <= revision_before:
+            _log.error("The store's revision went back.", revision=answer.revision)
             return Unknown("store_set_back", "the store's revision went back")
         return answer
 
     async def _put(self, call: "_Call") -> Written | Conflict | Rejected | Lost:
         return await self._store.put(call.key, call.value, call.compared)
 
-    async def _find_effect(
+    async def _find_written_revision(
         self, call: "_Call", conflict: Conflict
     ) -> Written | Conflict | Lost | Rejected:
-        """Tell whether the lost write was ever the key's value."""
+        """Find out whether the write with the lost answer was ever the key's value.
+
+        :returns: ``Written`` with its revision, ``conflict`` when it never took effect,
+            or the failure of the call that would have shown it.
+        """
         current = conflict.current
         if current is None or is_written_by(current.value, call.write):
             return Written(current.revision) if current else conflict
@@ -236,13 +240,13 @@
 
 
 def is_written_by(value: bytes | None, write: str) -> bool:
-    """Tell whether a value of the store comes from the write ``write``."""
+    """Return whether a value in the store was written by the write ``write``."""
     stored = decode_value(value) if value is not None else None
     return stored is not None and stored.write == write
 
 
-def refuse(rejected: Rejected) -> Refused:
-    """Tell the operator that the store took nothing."""
+def make_refusal(rejected: Rejected) -> Refused:
+    """Return the refusal for a call that the store didn't execute."""
     is_down = rejected.code == "unreachable"
     code = "store_unavailable" if is_down else rejected.code
     count_refusal(COMPONENT, code)
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Daemons of a test that share a clock, a switch and a store."""
+"""Daemons for tests of the configuration, with a shared clock, switch and store."""
 
 import asyncio
 from collections import defaultdict
@@ -30,28 +30,28 @@
     return {"kind": "workload", "metadata": {"name": name}, "spec": spec}
 
 
-class Board:
-    """What each daemon's heartbeats tell the others, unless a link is cut."""
+class HeartbeatBoard:
+    """Delivers the reports in heartbeats to the other daemons, unless a link is cut."""
 
     def __init__(self, switch: PeerSwitch, clock: ManualClock) -> None:
         self.switch = switch
         self.clock = clock
         self.members: dict[str, Member] = {}
         self.dead: set[str] = set()
-        self.heard: dict[str, dict[str, dict[str, Report]]] = defaultdict(
+        self.reports: dict[str, dict[str, dict[str, Report]]] = defaultdict(
             lambda: defaultdict(dict)
         )
 
     def reaches(self, sender: str, receiver: str) -> bool:
-        """Tell whether heartbeats of ``sender`` arrive at ``receiver``."""
+        """Return whether heartbeats of ``sender`` arrive at ``receiver``."""
         cuts = self.switch._cuts
         return sender not in self.dead and (sender, receiver) not in cuts
 
 
-class BoardMembers:
-    """Implements ``Members`` over a :class:`Board`; a cut is seen at once."""
+class HeartbeatBoardMembers:
+    """Implements ``Members`` over a :class:`HeartbeatBoard`; cuts show at once."""
 
-    def __init__(self, board: Board, name: str) -> None:
+    def __init__(self, board: HeartbeatBoard, name: str) -> None:
         self._board = board
         self._name = name
 
@@ -72,17 +72,17 @@
         report = Report(self._name, value, self._board.clock.monotonic())
         for receiver in self._board.members:
             if self._board.reaches(self._name, receiver):
-                self._board.heard[receiver][topic][self._name] = report
+                self._board.reports[receiver][topic][self._name] = report
 
     def read_reports(self, topic: str) -> Mapping[str, Report]:
-        heard = self._board.heard[self._name][topic]
-        return {name: r for name, r in heard.items() if self.is_live(name)}
+        reports = self._board.reports[self._name][topic]
+        return {name: r for name, r in reports.items() if self.is_live(name)}
 
 
 class LaggingStore:
-    """A store's client whose lists may be older than they should.
+    """A store client whose lists may be stale.
 
-    :param old: answers all lists while it is set.
+    :param old: the answer to all lists while it is set.
     """
 
     def __init__(self, client: Any) -> None:
@@ -113,16 +113,16 @@
         board = cluster.board
         board.members[name] = Member(name, zone, "r", name, name, "1")
         board.dead.discard(name)
-        for topics in board.heard.values():
+        for topics in board.reports.values():
             for reports in topics.values():
                 reports.pop(name, None)
-        board.heard.pop(name, None)
+        board.reports.pop(name, None)
         self.store = LaggingStore(cluster.store.connect(name))
-        self.members = BoardMembers(board, name)
+        self.members = HeartbeatBoardMembers(board, name)
         self.configuration = Configuration()
         self.seen: list[int] = []
         self.weights: list[float] = []
-        self.configuration.subscribe(self._note)
+        self.configuration.subscribe(self._record_change)
         self.relay = ConfigurationRelay(
             self.configuration,
             self.members,
@@ -132,23 +132,23 @@
         )
         self.task = asyncio.ensure_future(self.relay.run())
 
-    def _note(self, kind: Kind, name: str, resource: Resource | None) -> None:
+    def _record_change(self, kind: Kind, name: str, resource: Resource | None) -> None:
         self.seen.append(self.configuration.revision)
         if resource is not None and kind is Kind.TEAM:
             self.weights.append(resource["spec"]["weight"])
 
     @property
     def weight(self) -> float | None:
-        """The weight of team ``maps`` in force here."""
+        """The weight of team ``maps`` that is in force here."""
         team = self.configuration.get(Kind.TEAM, "maps")
         return team["spec"]["weight"] if team else None
 
     async def put_weight(self, weight: float, expected: int | None = None) -> Any:
-        """Declare team ``maps``."""
+        """Declare team ``maps`` with a weight."""
         return await self.relay.put(Kind.TEAM, make_team(weight=weight), expected)
 
     async def kill(self) -> None:
-        """Let the process die."""
+        """Kill the process."""
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
         self.cluster.switch.disconnect(self.name)
@@ -156,12 +156,12 @@
 
 
 class Cluster:
-    """Daemons in zones over one switch and one store."""
+    """Daemons in zones, over one switch and one store."""
 
     def __init__(self, *zones: int) -> None:
         self.clock = ManualClock()
         self.switch = PeerSwitch(self.clock)
-        self.board = Board(self.switch, self.clock)
+        self.board = HeartbeatBoard(self.switch, self.clock)
         self.store = MemoryStore(self.clock)
         self.daemons: dict[str, Daemon] = {}
         for index, count in enumerate(zones):
@@ -172,12 +172,12 @@
         return self.daemons[name]
 
     def start(self, name: str, zone: str) -> Daemon:
-        """Start a daemon that remembers nothing."""
+        """Start a daemon without any state."""
         self.daemons[name] = Daemon(self, name, zone)
         return self.daemons[name]
 
     async def pass_time(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         await self.clock.advance(timedelta(seconds=seconds))
 
     async def finish(self, work: Coroutine[Any, Any, Any], seconds: float) -> Any:
@@ -193,26 +193,26 @@
                 await daemon.kill()
 
     def cut_off_from_store(self, zone: str) -> None:
-        """Keep a zone's calls from the store."""
+        """Make the store unreachable from a zone."""
         names = {d.name for d in self.daemons.values() if d.zone == zone}
         self.store.faults.cut_off.update(names)
 
     def cut_off(self, zone: str) -> None:
-        """Cut a zone off from the other ones."""
+        """Cut a zone off from the other zones."""
         for first in self.daemons.values():
             for second in self.daemons.values():
                 if first.zone == zone != second.zone:
                     self.switch.cut_both(first.name, second.name)
 
     def find_watchers(self, zone: str) -> list[Daemon]:
-        """Return the daemons that watch the store in a zone."""
+        """Return the daemons of a zone that watch the store."""
         live = [d for d in self.daemons.values() if not d.task.done()]
         return [d for d in live if d.zone == zone and d.relay.is_watcher()]
 
     async def measure(
         self, weight: float, step: float = 0.1, limit: float = 10
     ) -> float:
-        """Return the seconds until all live daemons have ``weight``."""
+        """Return how many seconds pass until all live daemons have ``weight``."""
         passed = 0.0
         await settle()
         while not all(
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay of the configuration between daemons, under failures."""
+"""Relay of the configuration between daemons, under failures."""
 
 import asyncio
 import unittest
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from damaskdeck.coordination.configuration.marks import remove_marks
+from damaskdeck.coordination.configuration.tombstones import remove_tombstones
 from damaskdeck.coordination.configuration.writes import (
     Absent,
     Declared,
@@ -43,7 +43,7 @@
         await self.cluster.stop()
 
     def assert_all(self, weight: float | None) -> None:
-        """Check what every live daemon has in force."""
+        """Check that every live daemon has ``weight`` in force."""
         live = [d for d in self.cluster.daemons.values() if not d.task.done()]
         self.assertEqual(
             {d.name: d.weight for d in live},
@@ -51,14 +51,14 @@
         )
 
     def assert_never_lower(self) -> None:
-        """Check that no daemon went back; the weights of these tests rise."""
+        """Check that no daemon went back; the weights in these tests only rise."""
         for daemon in self.cluster.daemons.values():
             self.assertEqual(daemon.weights, sorted(daemon.weights), daemon.name)
             self.assertEqual(daemon.seen, sorted(daemon.seen), daemon.name)
 
 
 class TestRelay(ClusterCase):
-    """Who watches, and how changes reach the others."""
+    """Choice of the watchers, and distribution of changes."""
 
     async def test_two_daemons_of_a_zone_watch_and_an_idle_watch_is_one_call(self):
         for zone in ("z0", "z1", "z2"):
@@ -69,44 +69,44 @@
         self.assertLessEqual(calls, 6 * 2)
         self.assertEqual(self.cluster.store.waiting_watches, 6)
 
-    async def test_every_daemon_tells_the_revision_in_force(self):
+    async def test_every_daemon_reports_the_revision_in_force(self):
         done = await self.cluster["d11"].put_weight(2.0)
         revision = done.resource["metadata"]["revision"]
         relay = self.cluster["d22"].relay
-        told = await relay.read_in_force(revision)
-        self.assertTrue(told.is_everywhere)
-        self.assertEqual(len(told.revisions), 9)
+        status = await relay.read_in_force(revision)
+        self.assertTrue(status.is_everywhere)
+        self.assertEqual(len(status.revisions), 9)
         await self.cluster.pass_time(0.1)
-        told = await relay.read_in_force(revision + 1)
-        self.assertFalse(told.is_everywhere)
-        self.assertEqual(set(told.revisions.values()), {revision})
+        status = await relay.read_in_force(revision + 1)
+        self.assertFalse(status.is_everywhere)
+        self.assertEqual(set(status.revisions.values()), {revision})
 
-    async def test_a_daemon_that_does_not_answer_is_told_by_its_last_heartbeat(self):
+    async def test_a_daemon_that_does_not_answer_counts_by_its_last_heartbeat(self):
         done = await self.cluster["d11"].put_weight(2.0)
         revision = done.resource["metadata"]["revision"]
         self.cluster.switch.cut("d22", "d00")
-        asking = self.cluster["d22"].relay.read_in_force(revision)
-        told = await self.cluster.finish(asking, 1.5)
-        self.assertEqual(len(told.revisions), 9)
-        self.assertTrue(told.is_everywhere)
+        reading = self.cluster["d22"].relay.read_in_force(revision)
+        status = await self.cluster.finish(reading, 1.5)
+        self.assertEqual(len(status.revisions), 9)
+        self.assertTrue(status.is_everywhere)
 
-    async def test_what_a_daemon_lacks_is_not_told_as_in_force_everywhere(self):
+    async def test_a_revision_that_a_daemon_lacks_is_not_in_force_everywhere(self):
         self.cluster.cut_off_from_store("z0")
         for daemon in self.cluster.daemons.values():
             if daemon.name != "d00":
                 self.cluster.switch.cut(daemon.name, "d00")
         done = await self.cluster["d11"].put_weight(2.0)
-        asking = self.cluster["d22"].relay.read_in_force(
+        reading = self.cluster["d22"].relay.read_in_force(
             done.resource["metadata"]["revision"]
         )
-        told = await self.cluster.finish(asking, 1.5)
-        self.assertFalse(told.is_everywhere)
+        status = await self.cluster.finish(reading, 1.5)
+        self.assertFalse(status.is_everywhere)
 
-    async def test_the_store_alone_reaches_all_when_no_daemon_says_anything(self):
-        await self.write_behind(2.0)
+    async def test_a_write_past_the_daemons_reaches_all_through_the_store(self):
+        await self.write_past_daemons(2.0)
         self.assertLessEqual(await self.cluster.measure(2.0), 0.1)
 
-    async def test_a_lost_relay_is_noticed_and_pulled(self):
+    async def test_a_lost_relay_message_is_detected_and_pulled(self):
         watchers = self.cluster.find_watchers("z0")
         (other,) = [
             d
@@ -115,30 +115,30 @@
         ]
         for watcher in watchers:
             self.cluster.switch._cuts.add((watcher.name, other.name))
-        await self.write_behind(2.0)
+        await self.write_past_daemons(2.0)
         self.cluster.switch.heal_all()
-        await self.write_behind(3.0)
+        await self.write_past_daemons(3.0)
         self.assertLessEqual(await self.cluster.measure(3.0), 2.0)
         self.assertEqual(other.configuration.revision, self.cluster.store.revision)
 
     async def test_a_dead_watcher_is_replaced(self):
         dead = self.cluster.find_watchers("z1")[0]
         await dead.kill()
-        await self.write_behind(2.0)
+        await self.write_past_daemons(2.0)
         self.assertLessEqual(await self.cluster.measure(2.0), IN_FORCE_LIMIT)
         self.assertEqual(len(self.cluster.find_watchers("z1")), 2)
 
     async def test_both_watchers_of_a_zone_may_die(self):
         for dead in self.cluster.find_watchers("z1"):
             await dead.kill()
-        await self.write_behind(2.0)
+        await self.write_past_daemons(2.0)
         self.assertLessEqual(await self.cluster.measure(2.0), IN_FORCE_LIMIT)
 
     async def test_watchers_that_lost_the_store_are_joined_by_others(self):
         cut = self.cluster.find_watchers("z1")
         for watcher in cut:
             self.cluster.store.faults.cut_off.add(watcher.name)
-        await self.write_behind(2.0)
+        await self.write_past_daemons(2.0)
         self.assertLessEqual(await self.cluster.measure(2.0), IN_FORCE_LIMIT)
         await self.cluster.pass_time(40)
         self.assertEqual(len(self.cluster.find_watchers("z1")), 3)
@@ -146,7 +146,7 @@
     async def test_a_zone_without_the_store_takes_changes_from_other_zones(self):
         self.cluster.cut_off_from_store("z2")
         await self.cluster.pass_time(40)
-        await self.write_behind(2.0)
+        await self.write_past_daemons(2.0)
         self.assertLessEqual(await self.cluster.measure(2.0), IN_FORCE_LIMIT)
         await self.cluster.pass_time(1)
         self.assertFalse(self.cluster["d20"].relay.reaches_store)
@@ -195,8 +195,8 @@
         self.assertEqual(len(newcomer.configuration.list(Kind.TEAM)), 21)
         self.assertTrue(newcomer.relay.is_ready)
 
-    async def write_behind(self, weight: float) -> None:
-        """Write to the store as a client that tells no daemon."""
+    async def write_past_daemons(self, weight: float) -> None:
+        """Write to the store as a client that notifies no daemon."""
         key = "config/team/maps"
         value = encode_resource(make_team(weight=weight))
         client = self.cluster.store.connect("elsewhere")
@@ -204,7 +204,7 @@
 
 
 class TestOutage(ClusterCase):
-    """The store is down or answers from the past."""
+    """The store is down or returns stale reads."""
 
     zones = (3, 2)
 
@@ -221,7 +221,7 @@
         self.cluster.store.faults.outage = True
         self.assertLessEqual(await self.cluster.measure(2.0), 0.1)
 
-    async def test_an_accepted_write_that_a_cut_kept_back_is_pulled_in_an_outage(self):
+    async def test_an_accepted_write_delayed_by_a_cut_is_pulled_in_an_outage(self):
         self.cluster.cut_off("z1")
         self.cluster.cut_off_from_store("z1")
         done = await self.cluster["d00"].put_weight(2.0)
@@ -230,8 +230,8 @@
         self.assertLessEqual(await self.cluster.measure(2.0), IN_FORCE_LIMIT)
         await self.cluster.pass_time(1)
         revision = done.resource["metadata"]["revision"]
-        told = await self.cluster["d10"].relay.read_in_force(revision)
-        self.assertTrue(told.is_everywhere)
+        status = await self.cluster["d10"].relay.read_in_force(revision)
+        self.assertTrue(status.is_everywhere)
 
     async def test_a_newcomer_takes_the_highest_of_its_peers(self):
         await self.cluster["d00"].put_weight(2.0)
@@ -282,7 +282,7 @@
         self.assert_all(2.0)
         self.assert_never_lower()
 
-    async def test_the_outage_is_told_and_writes_are_refused(self):
+    async def test_an_outage_is_reported_and_writes_are_refused(self):
         self.cluster.store.faults.outage = True
         answer = await self.cluster["d00"].put_weight(2.0)
         self.assertEqual((type(answer), answer.code), (Refused, "store_unavailable"))
@@ -368,7 +368,7 @@
         self.assertEqual(first.result().resource["metadata"]["revision"], revision + 1)
         self.assertEqual(self.cluster["d00"].weight, 3.0)
 
-    async def test_a_write_that_lost_its_answer_and_the_race_is_told_so(self):
+    async def test_a_write_that_lost_its_answer_and_the_race_is_outdated(self):
         revision = self.cluster.store.revision
         self.cluster.store.faults.plan("put", LOSE_CALL)
         first = asyncio.ensure_future(self.cluster["d00"].put_weight(2.0, revision))
@@ -399,7 +399,7 @@
         self.assertEqual(self.cluster.store.revision, before + 1)
         self.assert_all(2.0)
 
-    async def test_a_write_told_as_unknown_may_come_into_force_later(self):
+    async def test_a_write_reported_as_unknown_may_take_effect_later(self):
         self.cluster.store.faults.pause()
         task = asyncio.ensure_future(self.cluster["d00"].put_weight(2.0))
         await self.cluster.pass_time(20)
@@ -441,7 +441,7 @@
         self.assertIsInstance(task.result(), Deleted)
         self.assert_all(None)
 
-    async def test_old_marks_of_deletions_are_removed_from_the_store(self):
+    async def test_old_tombstones_are_removed_from_the_store(self):
         await self.cluster["d00"].relay.delete(Kind.TEAM, "maps", None)
         self.cluster.clock.move(timedelta(hours=23))
         await self.cluster.pass_time(1)
@@ -453,7 +453,7 @@
         await self.cluster.pass_time(2)
         self.assert_all(5.0)
 
-    async def test_a_store_that_was_set_back_is_told(self):
+    async def test_a_store_whose_revision_went_back_is_reported(self):
         self.cluster.store._revision = -5
         answer = await self.cluster["d00"].put_weight(2.0)
         self.assertEqual(answer.code, "store_set_back")
@@ -465,7 +465,7 @@
         done = await self.cluster["d01"].relay.put(Kind.WORKLOAD, workload, 0)
         self.assertIsInstance(done, Declared)
 
-    async def test_all_faults_are_told_together_and_nothing_is_written(self):
+    async def test_all_faults_are_reported_together_and_nothing_is_written(self):
         before = self.cluster.store.revision
         cases = [
             (
@@ -516,7 +516,7 @@
 
 
 class TestFaults(unittest.TestCase):
-    """Faults of all kinds, one after the other and together."""
+    """Faults of all kinds, in sequence and combined."""
 
     @settings(derandomize=True, deadline=None, max_examples=12)
     @given(
@@ -575,26 +575,26 @@
         return None
 
     def check(self, cluster) -> None:
-        """No process went back; the weights that are written rise."""
+        """Check that no daemon went back; the written weights only rise."""
         for daemon in cluster.daemons.values():
             self.assertEqual(daemon.weights, sorted(daemon.weights))
             self.assertEqual(daemon.seen, sorted(daemon.seen))
 
 
-class TestMarks(unittest.IsolatedAsyncioTestCase):
-    """Removal of marks."""
+class TestTombstones(unittest.IsolatedAsyncioTestCase):
+    """Removal of tombstones."""
 
     async def test_a_name_created_anew_meanwhile_is_left_alone(self):
         cluster = Cluster(1)
         await cluster.pass_time(3)
         await cluster["d00"].put_weight(1.0)
         await cluster["d00"].relay.delete(Kind.TEAM, "maps", None)
-        marked = cluster.store.list("config/")
+        deleted = cluster.store.list("config/")
         await cluster["d00"].put_weight(2.0)
         store = LaggingStore(cluster.store.connect("x"))
-        store.old = marked
+        store.old = deleted
         await cluster.pass_time(1)
-        removing = remove_marks(store, cluster.clock, timedelta(0))
+        removing = remove_tombstones(store, cluster.clock, timedelta(0))
         removed = await cluster.finish(removing, 1)
         self.assertEqual(removed, 0)
         self.assertEqual(cluster["d00"].weight, 2.0)
