--- a/src/damaskdeck/coordination/workers/__init__.py
+++ b/src/damaskdeck/coordination/workers/__init__.py
@@ -1,1 +1,1 @@
-"""What runs on workers: sessions, leases, orders, inventories."""
+"""Tasks on workers: sessions, leases, orders and inventories."""
--- a/src/damaskdeck/coordination/workers/fences.py
+++ b/src/damaskdeck/coordination/workers/fences.py
@@ -1,4 +1,4 @@
-"""What an owner of workers refuses because it comes from the past."""
+"""Fencing of stale ledger owners and attempts on the side of the workers' owner."""
 
 from collections import OrderedDict
 from datetime import timedelta
@@ -6,22 +6,24 @@
 from damaskdeck.metrics import count_refusal
 from damaskdeck.protocol.members import Ownership
 
-LIMIT = 10_000
+MAX_ENTRIES = 10_000
 
 Attempt = tuple[str, int]
 
 
 class Fences:
-    """Remembers keepers' epochs, attempts never to start, and questions asked."""
+    """Keeps epochs of ledger owners, fenced attempts, and times of first checks."""
 
     def __init__(self, ownership: Ownership) -> None:
         self._ownership = ownership
         self._epochs: dict[str, int] = {}
         self._fenced: OrderedDict[Attempt, None] = OrderedDict()
-        self._asked: OrderedDict[tuple[str, int, bool], timedelta] = OrderedDict()
+        self._first_checks: OrderedDict[tuple[str, int, bool], timedelta] = (
+            OrderedDict()
+        )
 
     def admit(self, ledger: str, epoch: int) -> bool:
-        """Fence off keepers older than the newest that is known."""
+        """Return whether a ledger owner's epoch is the newest known; else refuse it."""
         owner = self._ownership.find_owner(f"ledger/{ledger}")
         known = max(self._epochs.get(ledger, 0), owner.epoch if owner else 0)
         if epoch < known:
@@ -31,20 +33,20 @@
         return True
 
     def fence(self, task: str, attempt: int) -> None:
-        """Refuse an attempt from now on, should its start still come."""
+        """Refuse an attempt from now on, in case its start still arrives."""
         self._fenced[task, attempt] = None
-        if len(self._fenced) > LIMIT:
+        if len(self._fenced) > MAX_ENTRIES:
             self._fenced.popitem(last=False)
 
     def is_fenced(self, task: str, attempt: int) -> bool:
-        """Tell whether an attempt must never start."""
+        """Return whether an attempt must never start."""
         return (task, attempt) in self._fenced
 
-    def note_question(
+    def record_check(
         self, task: str, attempt: int, started: bool, now: timedelta
     ) -> timedelta:
-        """Return when a keeper first asked about an attempt in this state."""
-        asked = self._asked.setdefault((task, attempt, started), now)
-        if len(self._asked) > LIMIT:
-            self._asked.popitem(last=False)
-        return asked
+        """Return when a ledger owner first checked an attempt in this state."""
+        first_check = self._first_checks.setdefault((task, attempt, started), now)
+        if len(self._first_checks) > MAX_ENTRIES:
+            self._first_checks.popitem(last=False)
+        return first_check
--- a/src/damaskdeck/coordination/workers/fleet.py
+++ b/src/damaskdeck/coordination/workers/fleet.py
@@ -1,4 +1,4 @@
-"""The instances of the deployment, from the platform's lagging list."""
+"""Instances of the deployment, from the platform's eventually consistent list."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -17,29 +17,29 @@
 
 POLL_INTERVAL = timedelta(seconds=1)
 ABSENCE_LIMIT = 3
-LEAVING_MEMORY = timedelta(seconds=60)
+LEAVING_RETENTION = timedelta(seconds=60)
 
 logger = get_logger("fleet")
 
 
-class Change(NamedTuple):
-    """What became of one instance; ``None`` where it isn't listed."""
+class InstanceChange(NamedTuple):
+    """The state of one instance before and after; ``None`` where it isn't listed."""
 
     before: Instance | None
     after: Instance | None
 
 
-ChangeHandler = Callable[[tuple[Change, ...]], None]
+ChangeHandler = Callable[[tuple[InstanceChange, ...]], None]
 
 
 class Fleet:
-    """Keeps the last good list and never takes back that an instance leaves.
+    """Keeps the last valid list, and keeps instances leaving once they were.
 
-    Promise: "A target that is leaving receives no new work after a few
-    seconds." The list lags and its answers may go back in time: once an
-    instance, told by its name and address, was seen leaving, it stays so
-    until its absence has lasted ``LEAVING_MEMORY``. An instance is dropped
-    only after ``ABSENCE_LIMIT`` answers in a row without it.
+    Guarantee: "A target that is leaving receives no new work after a few seconds."
+    The list lags, and an answer may be older than the one before. Therefore an
+    instance, identified by name and address, that was listed as leaving stays so
+    until it has been absent for ``LEAVING_RETENTION``. An instance is removed only
+    after ``ABSENCE_LIMIT`` consecutive answers without it.
 
     :param interval: time between two polls.
     """
@@ -53,20 +53,20 @@
         self._source = instance_list
         self._clock = clock
         self._interval = interval
-        self._answer: Instances | None = None
+        self._last_answer: Instances | None = None
         self._instances: dict[str, Instance] = {}
         self._by_role: dict[tuple[InstanceRole, str], tuple[Instance, ...]] = {}
         self._absences: dict[str, int] = {}
         self._leaving: dict[tuple[str, str], timedelta] = {}
         self._handlers: list[ChangeHandler] = []
-        self._last_answer: timedelta | None = None
+        self._last_listed_at: timedelta | None = None
         self._is_failing = False
         self._drained: frozenset[str] = frozenset()
 
     @property
     def last_listed_at(self) -> timedelta | None:
-        """Monotonic time of the last good answer; ``None`` before the first."""
-        return self._last_answer
+        """Monotonic time of the last valid answer; ``None`` before the first."""
+        return self._last_listed_at
 
     def list(self, role: InstanceRole, zone: str = "") -> tuple[Instance, ...]:
         """List the instances of a role in order of name.
@@ -84,15 +84,15 @@
         self._handlers.append(handler)
 
     def set_drained(self, names: frozenset[str]) -> None:
-        """Treat instances as leaving for as long as operators say so.
+        """Treat instances as leaving until operators no longer drain them.
 
-        :param names: all that are to be drained; others stay as listed.
+        :param names: all that are drained; the others keep their listed state.
         """
         if names == self._drained:
             return
         self._drained = names
-        if self._answer is not None:
-            self._take(self._answer)
+        if self._last_answer is not None:
+            self._update(self._last_answer)
 
     async def run(self) -> None:
         """Poll until cancelled."""
@@ -101,29 +101,29 @@
             await self._clock.sleep(self._interval)
 
     async def poll(self) -> bool:
-        """Ask once; returns whether there was a good answer."""
+        """Request the list once; return whether the answer was valid."""
         answer = await self._source.list_instances()
         if not isinstance(answer, Instances):
             count_refusal("fleet", answer.code)
-            self._note_failure(answer.code)
+            self._log_failure(answer.code)
             return False
-        self._last_answer = self._clock.monotonic()
-        self._note_success()
+        self._last_listed_at = self._clock.monotonic()
+        self._log_recovery()
         self._apply(answer)
         return True
 
     def _apply(self, answer: Instances) -> None:
-        if answer == self._answer and not self._absences:
+        if answer == self._last_answer and not self._absences:
             self._refresh_leaving()
             return
-        self._answer = answer
-        self._take(answer)
+        self._last_answer = answer
+        self._update(answer)
 
-    def _take(self, answer: Instances) -> None:
-        listed = {i.name: self._keep_leaving(i) for i in answer.instances}
-        listed.update(self._keep_absent(listed))
+    def _update(self, answer: Instances) -> None:
+        listed = {i.name: self._mark_leaving(i) for i in answer.instances}
+        listed.update(self._list_tolerated_absences(listed))
         changes = self._compare(listed)
-        self._forget_leaving()
+        self._remove_expired_leaving()
         if not changes:
             return
         self._instances = listed
@@ -131,29 +131,33 @@
         for handler in self._handlers:
             handler(changes)
 
-    def _keep_leaving(self, instance: Instance) -> Instance:
+    def _mark_leaving(self, instance: Instance) -> Instance:
         if instance.name in self._drained:
             return instance._replace(state=InstanceState.LEAVING)
-        place = (instance.name, instance.address)
-        if instance.state is InstanceState.LEAVING or place in self._leaving:
-            self._leaving[place] = self._clock.monotonic()
+        identity = (instance.name, instance.address)
+        if instance.state is InstanceState.LEAVING or identity in self._leaving:
+            self._leaving[identity] = self._clock.monotonic()
             return instance._replace(state=InstanceState.LEAVING)
         return instance
 
-    def _keep_absent(self, listed: dict[str, Instance]) -> dict[str, Instance]:
+    def _list_tolerated_absences(
+        self, listed: dict[str, Instance]
+    ) -> dict[str, Instance]:
         absent = [name for name in self._instances if name not in listed]
         self._absences = {name: self._absences.get(name, 0) + 1 for name in absent}
-        kept = {}
+        tolerated = {}
         for name, count in list(self._absences.items()):
             if count < ABSENCE_LIMIT:
-                kept[name] = self._instances[name]
+                tolerated[name] = self._instances[name]
             else:
                 del self._absences[name]
-        return kept
+        return tolerated
 
-    def _compare(self, listed: dict[str, Instance]) -> tuple[Change, ...]:
+    def _compare(self, listed: dict[str, Instance]) -> tuple[InstanceChange, ...]:
         names = {**self._instances, **listed}
-        pairs = (Change(self._instances.get(n), listed.get(n)) for n in sorted(names))
+        pairs = (
+            InstanceChange(self._instances.get(n), listed.get(n)) for n in sorted(names)
+        )
         return tuple(pair for pair in pairs if pair.before != pair.after)
 
     def _refresh_leaving(self) -> None:
@@ -162,13 +166,13 @@
             listed = self._instances.get(name)
             if listed is not None and listed.address == address:
                 self._leaving[name, address] = now
-        self._forget_leaving()
+        self._remove_expired_leaving()
 
-    def _forget_leaving(self) -> None:
-        oldest = self._clock.monotonic() - LEAVING_MEMORY
-        for place, seen in list(self._leaving.items()):
+    def _remove_expired_leaving(self) -> None:
+        oldest = self._clock.monotonic() - LEAVING_RETENTION
+        for identity, seen in list(self._leaving.items()):
             if seen < oldest:
-                del self._leaving[place]
+                del self._leaving[identity]
 
     def _sort(self) -> None:
         groups: dict[tuple[InstanceRole, str], list[Instance]] = {}
@@ -177,12 +181,12 @@
                 groups.setdefault((instance.role, zone), []).append(instance)
         self._by_role = {key: tuple(group) for key, group in groups.items()}
 
-    def _note_failure(self, code: str) -> None:
+    def _log_failure(self, code: str) -> None:
         if not self._is_failing:
-            logger.warn("The instance list can't be read.", code=code)
+            logger.warn("The instance list is unavailable.", code=code)
         self._is_failing = True
 
-    def _note_success(self) -> None:
+    def _log_recovery(self) -> None:
         if self._is_failing:
-            logger.info("The instance list can be read again.")
+            logger.info("The instance list is available again.")
         self._is_failing = False
--- a/src/damaskdeck/coordination/workers/hosting.py
+++ b/src/damaskdeck/coordination/workers/hosting.py
@@ -1,4 +1,4 @@
-"""Hosts workers: the one place that reserves their room and talks to them."""
+"""Management of owned workers: reservations, orders to them and their state."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -9,10 +9,10 @@
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.places.allocator import CapacityAllocator, Hold
 from damaskdeck.coordination.workers.fences import Fences
-from damaskdeck.coordination.workers.fleet import Change
-from damaskdeck.coordination.workers.outbox import Outbox
+from damaskdeck.coordination.workers.fleet import InstanceChange
+from damaskdeck.coordination.workers.outbox import UpdateOutbox
 from damaskdeck.coordination.workers.rosters import OPEN_STATES
-from damaskdeck.coordination.workers.sessions import Session
+from damaskdeck.coordination.workers.sessions import WorkerSession
 from damaskdeck.coordination.workers.summaries import TOPIC, summarize_workers
 from damaskdeck.coordination.workers.supervisor import Supervisor
 from damaskdeck.logs import get_logger
@@ -32,7 +32,7 @@
 
 
 class WorkerFleet(Protocol):
-    """The workers that the platform lists."""
+    """The workers in the platform's list."""
 
     def get(self, name: str) -> Instance | None:
         """Return a listed instance."""
@@ -44,14 +44,15 @@
 class WorkerHost:
     """Owner of some workers of its availability zone.
 
-    Promise: "No instance is given more work than its processors, memory, or
-    accelerators can hold": only the owner reserves, in one account.
+    Guarantee: "No instance is given more work than its processors, memory, or
+    accelerators can hold", because only the owner reserves, in one account.
 
     :param workers: the port to the workers.
-    :param configuration: has the policy, whose weights placement goes by; the
-        scores that it doesn't name keep their weights of the defaults.
-    :param checks_epochs: whether workers refuse calls of an older epoch; if
-        not, a new owner waits out the old one's lease before it places.
+    :param configuration: provides the policy with the weights for placement; a
+        score without a weight keeps its default.
+    :param checks_epochs: whether workers reject calls with an older epoch; if not,
+        a new owner waits until the former one's lease has expired before it places
+        tasks.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         renewal: timedelta = defaults.TASK_RENEWAL,
     ) -> None:
         self.accounts = WorkerAccounts()
-        self.sessions: dict[str, Session] = {}
+        self.sessions: dict[str, WorkerSession] = {}
         self._unlisted: dict[str, int] = {}
         self.allocator = CapacityAllocator(self.accounts, clock, self._preempt)
         self._members = members
@@ -81,28 +82,30 @@
         self._grace = timedelta() if checks_epochs else 2 * member_lease
         self._lease = lease
         self._renewal = renewal
-        self._outbox = Outbox(ownership, peers, clock, self._take_noted)
+        self._outbox = UpdateOutbox(
+            ownership, peers, clock, self._handle_acknowledgement
+        )
         self._runners: dict[str, asyncio.Task[None]] = {}
         self._supervisor = Supervisor()
         self._summary = b""
         self._is_changed = True
-        self.accounts.subscribe(self._note_change)
+        self.accounts.subscribe(self._mark_changed)
         if configuration is not None:
             policy = configuration.get(Kind.POLICY, POLICY_NAME)
-            self._take_resource(Kind.POLICY, POLICY_NAME, policy)
-            configuration.subscribe(self._take_resource)
+            self._handle_policy_change(Kind.POLICY, POLICY_NAME, policy)
+            configuration.subscribe(self._handle_policy_change)
         self._fences = Fences(ownership)
-        ownership.on_gain("worker", self._gain)
-        ownership.on_loss("worker", self._lose)
-        fleet.on_change(self._take_fleet)
-        peers.register(jobs.ReserveTasks, self._reserve)
-        peers.register(jobs.StartTasks, self._start)
-        peers.register(jobs.ReleaseTasks, self._release)
-        peers.register(jobs.StopTasks, self._stop)
-        peers.register(jobs.CheckTasks, self._check)
+        ownership.on_gain("worker", self._handle_gain)
+        ownership.on_loss("worker", self._handle_loss)
+        fleet.on_change(self._handle_fleet_change)
+        peers.register(jobs.ReserveTasks, self._handle_reserve)
+        peers.register(jobs.StartTasks, self._handle_start)
+        peers.register(jobs.ReleaseTasks, self._handle_release)
+        peers.register(jobs.StopTasks, self._handle_stop)
+        peers.register(jobs.CheckTasks, self._handle_check)
 
     async def run(self) -> None:
-        """Send news and publish free room until cancelled."""
+        """Send task updates and publish free capacity until cancelled."""
         try:
             async with asyncio.TaskGroup() as group:
                 group.create_task(self._outbox.run())
@@ -112,13 +115,13 @@
             for runner in self._runners.values():
                 runner.cancel()
 
-    # Gains and losses ------------------------------------------------------------
+    # Ownership changes -----------------------------------------------------------
 
-    async def _gain(self, shard: str, epoch: int) -> None:
+    async def _handle_gain(self, shard: str, epoch: int) -> None:
         name = shard.partition("/")[2]
         worker = self._fleet.get(name)
         if worker is None:
-            _log.warn("Gained a worker that isn't listed yet.", worker=name)
+            _log.warn("An owned worker isn't listed yet.", worker=name)
             self._unlisted[name] = epoch
         else:
             self._open_session(worker, epoch)
@@ -129,7 +132,7 @@
         self._end_session(name)
         self.accounts.set_worker(worker)
         self.accounts.close_worker(name, "inventory")
-        session = Session(
+        session = WorkerSession(
             worker,
             epoch,
             self._workers,
@@ -146,7 +149,7 @@
         self.allocator.set_workers(self.sessions)
         self._start_runner(name, session.run())
 
-    async def _lose(self, shard: str, epoch: int) -> None:
+    async def _handle_loss(self, shard: str, epoch: int) -> None:
         name = shard.partition("/")[2]
         if self._unlisted.get(name) == epoch:
             del self._unlisted[name]
@@ -154,15 +157,15 @@
         if session is None or session.epoch != epoch:
             return
         self._end_session(name)
-        session.refuse_waiting()
+        session.reject_unsent_starts()
         if self._fleet.get(name) is None:
-            self._start_runner(name, session.abandon())
+            self._start_runner(name, session.report_lost_tasks())
 
     def _start_runner(self, name: str, work: Coroutine[Any, Any, None]) -> None:
         runner = self._runners[name] = asyncio.ensure_future(work)
         runner.add_done_callback(self._supervisor.watch)
 
-    def _take_fleet(self, changes: tuple[Change, ...]) -> None:
+    def _handle_fleet_change(self, changes: tuple[InstanceChange, ...]) -> None:
         for change in changes:
             worker = change.after
             if worker is None:
@@ -173,8 +176,10 @@
                 self.sessions[worker.name].worker = worker
                 self.accounts.set_worker(worker)
 
-    def _take_resource(self, kind: Kind, name: str, resource: Resource | None) -> None:
-        """Take over the policy's weights, or the defaults when it was deleted."""
+    def _handle_policy_change(
+        self, kind: Kind, name: str, resource: Resource | None
+    ) -> None:
+        """Apply the policy's weights, or the defaults when the policy was deleted."""
         if kind is Kind.POLICY and name == POLICY_NAME:
             spec = resource["spec"] if resource else {}
             self.allocator.set_weights({**defaults.WEIGHTS, **spec.get("weights", {})})
@@ -190,27 +195,27 @@
     async def _publish_all(self) -> None:
         while True:
             self.allocator.expire()
-            self._clear_leaving()
+            self._evacuate_leaving_workers()
             if self._is_changed:
                 self._is_changed = False
                 summary = summarize_workers(self.accounts, self._members.self.zone)
                 self._summary = encode_message(summary)
-                self._tell_packing()
+                self._report_packing()
             self._members.publish(TOPIC, self._summary)
             await self._clock.sleep(PUBLISH_INTERVAL)
 
-    def _tell_packing(self) -> None:
+    def _report_packing(self) -> None:
         totals = self.accounts.totals
         for name, size, free in zip(
             Size._fields, totals.size, totals.free, strict=True
         ):
             set_packing(name, 1 - free / size if size else 0.0)
 
-    def _note_change(self, account: WorkerAccount, is_present: bool) -> None:
+    def _mark_changed(self, account: WorkerAccount, is_present: bool) -> None:
         self._is_changed = True
 
-    def _clear_leaving(self) -> None:
-        """Move what can move off workers that are leaving; the rest may end."""
+    def _evacuate_leaving_workers(self) -> None:
+        """Move tasks off leaving workers where possible; the others may finish."""
         for name, session in self.sessions.items():
             if session.worker.state is not InstanceState.LEAVING:
                 continue
@@ -219,19 +224,19 @@
                 if hosted is not None and not hosted.cause:
                     session.orders.preempt(task, checkpoint, "worker_leaving")
 
-    async def _take_noted(self, noted: jobs.TaskUpdatesReply) -> None:
-        for attempt in noted["stop"]:
+    async def _handle_acknowledgement(self, reply: jobs.TaskUpdatesReply) -> None:
+        for attempt in reply["stop"]:
             session = self.sessions.get(attempt["worker"])
             if session is not None:
                 session.orders.stop(attempt["task"], attempt["attempt"])
-        for attempt in noted["noted"]:
+        for attempt in reply["noted"]:
             session = self.sessions.get(attempt["worker"])
             if session is not None:
-                session.orders.forget(attempt["task"], attempt["attempt"])
+                session.orders.acknowledge(attempt["task"], attempt["attempt"])
 
-    # Messages of keepers ---------------------------------------------------------
+    # Messages of ledger owners ---------------------------------------------------
 
-    async def _reserve(
+    async def _handle_reserve(
         self, _: str, message: jobs.ReserveTasks
     ) -> jobs.ReserveTasksReply:
         reply = jobs.ReserveTasksReply(granted=[], refused=[])
@@ -258,7 +263,9 @@
     def _preempt(self, worker: str, task: str, checkpoint: bool) -> None:
         self.sessions[worker].orders.preempt(task, checkpoint)
 
-    async def _start(self, _: str, message: jobs.StartTasks) -> jobs.TaskOrdersReply:
+    async def _handle_start(
+        self, _: str, message: jobs.StartTasks
+    ) -> jobs.TaskOrdersReply:
         reply = jobs.TaskOrdersReply(refused=[])
         is_admitted = self._fences.admit(message["ledger"], message["epoch"])
         for start in message["tasks"]:
@@ -286,11 +293,13 @@
             return "hold_expired"
         return ""
 
-    async def _release(self, _: str, message: jobs.ReleaseTasks) -> None:
+    async def _handle_release(self, _: str, message: jobs.ReleaseTasks) -> None:
         for item in message["tasks"]:
             self.allocator.release_hold(item["task"])
 
-    async def _stop(self, _: str, message: jobs.StopTasks) -> jobs.TaskOrdersReply:
+    async def _handle_stop(
+        self, _: str, message: jobs.StopTasks
+    ) -> jobs.TaskOrdersReply:
         reply = jobs.TaskOrdersReply(refused=[])
         is_admitted = self._fences.admit(message["ledger"], message["epoch"])
         for item in message["tasks"]:
@@ -303,55 +312,57 @@
             session.orders.stop(item["task"], item["attempt"], checkpoint)
         return reply
 
-    async def _check(self, _: str, message: jobs.CheckTasks) -> jobs.TaskUpdates | None:
+    async def _handle_check(
+        self, _: str, message: jobs.CheckTasks
+    ) -> jobs.TaskUpdates | None:
         if not self._fences.admit(message["ledger"], message["epoch"]):
             return None
-        found = [self._tell(item) for item in message["tasks"]]
+        found = [self._describe_attempt(item) for item in message["tasks"]]
         return jobs.TaskUpdates(ledger=message["ledger"], tasks=found)
 
-    def _tell(self, item: jobs.TaskAttempt) -> jobs.TaskUpdate:
+    def _describe_attempt(self, item: jobs.TaskAttempt) -> jobs.TaskUpdate:
         task, attempt, worker = item["task"], item["attempt"], item["worker"]
-        news = jobs.TaskUpdate(
+        update = jobs.TaskUpdate(
             task=task, attempt=attempt, worker=worker, state="unsure"
         )
         session = self.sessions.get(worker)
         if session is None or self._get_epoch(worker) != session.epoch:
-            return news
+            return update
         hosted = session.roster.find(task, attempt)
         if hosted is not None:
             is_running = hosted.state == "running"
-            news["state"] = "running" if is_running else "unsure"
+            update["state"] = "running" if is_running else "unsure"
             self.allocator.update_adopted(item)
         elif item.get("epoch") == session.epoch:
             self._fences.fence(task, attempt)
-            self._drop_hold(task, worker)
-            news["state"] = "unstarted"
+            self._release_hold(task, worker)
+            update["state"] = "unstarted"
         elif self._is_lost(session, item):
-            news["state"] = "lost"
-            news["code"] = "worker_lost"
-        return news
+            update["state"] = "lost"
+            update["code"] = "worker_lost"
+        return update
 
-    def _is_lost(self, session: Session, item: jobs.TaskAttempt) -> bool:
-        """Tell whether an attempt under a former owner surely doesn't run.
+    def _is_lost(self, session: WorkerSession, item: jobs.TaskAttempt) -> bool:
+        """Return whether an attempt under a former owner certainly doesn't run.
 
-        It takes an inventory sent after the question: a worker that restarted
-        since the last one may have forgotten that it was fenced. Out of reach,
-        an attempt that had started by the question is over once its lease must
-        have lapsed; one that hadn't may start late.
+        This requires an inventory that was requested after the first check: a worker
+        that restarted since the last inventory may have lost its fence. If the worker
+        is out of reach, an attempt that had started by the first check is over once its
+        lease must have expired; one that hadn't may still start.
         """
         now = self._clock.monotonic()
         started = item.get("started", False)
-        asked = self._fences.note_question(item["task"], item["attempt"], started, now)
-        if session.is_ready and session.inventoried >= asked:
+        asked = self._fences.record_check(item["task"], item["attempt"], started, now)
+        if session.is_ready and session.inventory_sent_at >= asked:
             return True
         if not session.is_ready:
-            return started and now - asked >= session.bound
-        session.orders.take_inventory()
+            return started and now - asked >= session.takeover_bound
+        session.orders.request_inventory()
         return False
 
-    def _drop_hold(self, task: str, worker: str) -> None:
-        held = self.accounts.find(task)
-        if held is not None and held.worker == worker:
+    def _release_hold(self, task: str, worker: str) -> None:
+        reservation = self.accounts.find(task)
+        if reservation is not None and reservation.worker == worker:
             self.accounts.release(task)
 
     def _get_epoch(self, worker: str) -> int | None:
--- a/src/damaskdeck/coordination/workers/leases.py
+++ b/src/damaskdeck/coordination/workers/leases.py
@@ -1,8 +1,9 @@
-"""When the lease of a task must have lapsed, by this daemon's monotonic clock.
+"""Upper bounds for the end of task leases, by this daemon's monotonic clock.
 
-A renewal may wait inside a paused worker and take effect later than its answer
-was given up; but not after the lease has lapsed meanwhile. So an answered call
-bounds the lease from when its answer came, and an unanswered one adds a lease.
+A paused worker may delay a renewal, which then takes effect after this daemon
+has given up waiting for the answer; but not after the lease has expired in the
+meantime. Therefore an answered call bounds the lease from the time of its answer,
+and an unanswered call extends the bound by one lease.
 """
 
 from datetime import timedelta
@@ -10,10 +11,10 @@
 from damaskdeck import defaults
 
 
-def stretch_lease(
+def compute_max_lease(
     lease: timedelta = defaults.TASK_LEASE, drift: float = defaults.CLOCK_DRIFT
 ) -> timedelta:
-    """Return how long a lease lasts at most by this daemon's clock.
+    """Return the longest time that a lease may last by this daemon's clock.
 
     :param drift: greatest relative difference between two clocks.
     """
@@ -23,9 +24,9 @@
 def compute_takeover_bound(
     lease: timedelta = defaults.TASK_LEASE, margin: timedelta = defaults.LEASE_MARGIN
 ) -> timedelta:
-    """Return how long after a change of owner all earlier leases have lapsed.
+    """Return how long after a change of owner all earlier leases have expired.
 
-    The former owner's last renewal was answered before the change, and at most
-    one more was on its way.
+    The former owner's last renewal was answered before the change, and at most one
+    more was in flight.
     """
-    return 2 * stretch_lease(lease) + margin
+    return 2 * compute_max_lease(lease) + margin
--- a/src/damaskdeck/coordination/workers/observations.py
+++ b/src/damaskdeck/coordination/workers/observations.py
@@ -1,4 +1,4 @@
-"""Observed resources: each daemon tells of what it decides about."""
+"""Observed resources: each daemon lists those that it decides about."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -35,8 +35,8 @@
 class Observer:
     """Lists observed resources of all daemons; implements ``ResourceReader``.
 
-    An operator's call costs one message to each live daemon; nothing is sent
-    while nobody asks.
+    A call of an operator costs one message to each live daemon; otherwise nothing
+    is sent.
     """
 
     def __init__(
@@ -52,29 +52,33 @@
         self.host = host
         self._members = members
         self._peers = peers
-        peers.register(ListObservedResources, self._answer)
+        peers.register(ListObservedResources, self._handle_list)
 
     async def list_resources(self, kind: str) -> tuple[Resource, ...] | Refused:
-        """List what all live daemons know of ``kind``."""
+        """Return the resources of ``kind`` that are known to any live daemon."""
         if kind not in _listers:
             return Refused("no_such_kind", f"{kind!r} is not observed")
         own = self._members.self.name
         others = [m.name for m in self._members.list_live() if m.name != own]
-        answers = await asyncio.gather(*(self._ask(name, kind) for name in others))
-        found = {item["metadata"]["name"]: item for item in self._list_all(kind)}
+        answers = await asyncio.gather(
+            *(self._query_peer(name, kind) for name in others)
+        )
+        found = {
+            item["metadata"]["name"]: item for item in self._list_known_instances(kind)
+        }
         for items in answers:
             found.update((item["metadata"]["name"], item) for item in items)
         found.update((item["metadata"]["name"], item) for item in self._list_own(kind))
         return tuple(found[name] for name in sorted(found))
 
-    async def _ask(self, name: str, kind: str) -> list[Any]:
+    async def _query_peer(self, name: str, kind: str) -> list[Any]:
         request = ListObservedResources(kind=kind)
         reply = await self._peers.call(
             name, request, ListObservedResources, CALL_TIMEOUT
         )
         return reply.message["items"] if isinstance(reply, Answered) else []
 
-    async def _answer(self, instance: str, request: Any) -> ListObservedReply:
+    async def _handle_list(self, instance: str, request: Any) -> ListObservedReply:
         kind = request["kind"]
         items = list(self._list_own(kind)) if kind in _listers else []
         return ListObservedReply(items=items)
@@ -82,19 +86,19 @@
     def _list_own(self, kind: str) -> Iterator[Resource]:
         return _listers[kind](self)
 
-    def _list_all(self, kind: str) -> Iterator[Resource]:
+    def _list_known_instances(self, kind: str) -> Iterator[Resource]:
         roles = {"worker": InstanceRole.WORKER, "target": InstanceRole.TARGET}
         if kind in roles:
             for instance in self.fleet.list(roles[kind]):
-                yield show_instance(self.ownership, instance)
+                yield build_instance_resource(self.ownership, instance)
 
 
 @lister(Kind.WORKER)
 def list_workers(observer: Observer) -> Iterator[Resource]:
-    """List the workers that this daemon owns, with what is set aside on them."""
+    """List the workers that this daemon owns, with their reservations."""
     for account in observer.host.accounts.workers.values():
         if observer.ownership.get_epoch(f"worker/{account.name}") is not None:
-            yield show_worker(observer, account)
+            yield build_worker_resource(observer, account)
 
 
 @lister(Kind.TARGET)
@@ -103,7 +107,7 @@
     for shard in observer.ownership.list_owned("target"):
         instance = observer.fleet.get(shard.partition("/")[2])
         if instance is not None:
-            yield show_instance(observer.ownership, instance)
+            yield build_instance_resource(observer.ownership, instance)
 
 
 @lister(Kind.TASK)
@@ -111,11 +115,11 @@
     """List the tasks on the workers that this daemon owns."""
     for account in observer.host.accounts.workers.values():
         for reservation in account.reservations.values():
-            yield show_task(observer, reservation)
+            yield build_task_resource(observer, reservation)
 
 
-def show_instance(ownership: Ownership, instance: Instance) -> Resource:
-    """Show an instance as listed by the platform, and its owner."""
+def build_instance_resource(ownership: Ownership, instance: Instance) -> Resource:
+    """Return an instance as listed by the platform, with its owner."""
     kind = "worker" if instance.role is InstanceRole.WORKER else "target"
     spec: dict[str, Any] = {"zone": instance.zone, "rack": instance.rack}
     if kind == "worker":
@@ -135,9 +139,9 @@
     )
 
 
-def show_worker(observer: Observer, account: WorkerAccount) -> Resource:
-    """Show a worker of this daemon's with its use as reserved."""
-    resource = show_instance(observer.ownership, account.instance)
+def build_worker_resource(observer: Observer, account: WorkerAccount) -> Resource:
+    """Return an owned worker with its reserved usage."""
+    resource = build_instance_resource(observer.ownership, account.instance)
     resource["status"].update(
         free=format_size(account.free),
         tasks=len(account.reservations),
@@ -146,8 +150,8 @@
     return resource
 
 
-def show_task(observer: Observer, reservation: Reservation) -> Resource:
-    """Show a task that has its room on a worker."""
+def build_task_resource(observer: Observer, reservation: Reservation) -> Resource:
+    """Return a task that has a reservation on a worker."""
     need = reservation.need
     session = observer.host.sessions.get(reservation.worker)
     hosted = session.tasks.get(need.task) if session else None
--- a/src/damaskdeck/coordination/workers/outbox.py
+++ b/src/damaskdeck/coordination/workers/outbox.py
@@ -1,4 +1,4 @@
-"""News of tasks on their way from the owner of workers to the keepers."""
+"""Task updates in transit from the owner of workers to the ledger owners."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,44 +15,48 @@
 BATCH_BYTES = 512_000
 REPLY_TIMEOUT = timedelta(seconds=5)
 RETRY_INTERVAL = timedelta(milliseconds=500)
-GATHER_INTERVAL = timedelta(milliseconds=10)
+BATCH_DELAY = timedelta(milliseconds=10)
 
-NotedHandler = Callable[[TaskUpdatesReply], Awaitable[None]]
+AcknowledgementHandler = Callable[[TaskUpdatesReply], Awaitable[None]]
 
 
-class Outbox:
-    """Keeps the latest news of each attempt until its keeper has noted them.
+class UpdateOutbox:
+    """Keeps the latest update of each attempt until the ledger owner has recorded it.
 
-    :param on_noted: called with each reply of a keeper.
+    :param on_acknowledged: called with each reply of a ledger owner.
     """
 
     def __init__(
-        self, ownership: Ownership, peers: Peers, clock: Clock, on_noted: NotedHandler
+        self,
+        ownership: Ownership,
+        peers: Peers,
+        clock: Clock,
+        on_acknowledged: AcknowledgementHandler,
     ) -> None:
         self._ownership = ownership
         self._peers = peers
         self._clock = clock
-        self._on_noted = on_noted
+        self._on_acknowledged = on_acknowledged
         self._waiting: dict[str, dict[tuple[str, int], TaskUpdate]] = {}
-        self._filled = asyncio.Event()
+        self._has_updates = asyncio.Event()
         self._senders: dict[str, asyncio.Task[None]] = {}
 
-    def put(self, news: TaskUpdate) -> None:
-        """Send news; they replace older ones of the same attempt."""
-        ledger = parse_ledger_name(parse_job_name(news["task"]))
+    def put(self, update: TaskUpdate) -> None:
+        """Enqueue an update; it replaces an earlier one of the same attempt."""
+        ledger = parse_ledger_name(parse_job_name(update["task"]))
         if ledger is None:
             return
         waiting = self._waiting.setdefault(ledger, {})
-        waiting[news["task"], news["attempt"]] = news
-        self._filled.set()
+        waiting[update["task"], update["attempt"]] = update
+        self._has_updates.set()
 
     async def run(self) -> None:
-        """Send until cancelled; each ledger has a sender of its own."""
+        """Send until cancelled; each ledger has its own sender."""
         try:
             async with asyncio.TaskGroup() as group:
                 while True:
-                    await self._filled.wait()
-                    self._filled.clear()
+                    await self._has_updates.wait()
+                    self._has_updates.clear()
                     for ledger in self._waiting:
                         sender = self._senders.get(ledger)
                         if sender is None or sender.done():
@@ -64,18 +68,18 @@
     async def _send_all(self, ledger: str) -> None:
         waiting = self._waiting[ledger]
         while waiting:
-            await self._clock.sleep(GATHER_INTERVAL)
+            await self._clock.sleep(BATCH_DELAY)
             batch = take_batch(waiting)
-            noted = await self._send(ledger, batch)
-            if noted is None:
+            acknowledged = await self._send(ledger, batch)
+            if acknowledged is None:
                 await self._clock.sleep(RETRY_INTERVAL)
                 continue
-            for attempt in noted["noted"]:
+            for attempt in acknowledged["noted"]:
                 key = attempt["task"], attempt["attempt"]
                 if waiting.get(key) in batch:
                     del waiting[key]
-            await self._on_noted(noted)
-            if not noted["noted"]:
+            await self._on_acknowledged(acknowledged)
+            if not acknowledged["noted"]:
                 await self._clock.sleep(RETRY_INTERVAL)
 
     async def _send(
@@ -94,12 +98,12 @@
 
 
 def take_batch(waiting: dict[tuple[str, int], TaskUpdate]) -> list[TaskUpdate]:
-    """Return the oldest news, as many as go into one message."""
+    """Return the oldest updates, as many as fit into one message."""
     batch: list[TaskUpdate] = []
     size = 0
-    for news in islice(waiting.values(), BATCH_LIMIT):
-        size += len(news.get("result", b""))
+    for update in islice(waiting.values(), BATCH_LIMIT):
+        size += len(update.get("result", b""))
         if batch and size > BATCH_BYTES:
             break
-        batch.append(news)
+        batch.append(update)
     return batch
--- a/src/damaskdeck/coordination/workers/owners.py
+++ b/src/damaskdeck/coordination/workers/owners.py
@@ -1,4 +1,4 @@
-"""A keeper's choice of the owners of workers to ask for room."""
+"""Selection of the owners of workers that a ledger owner asks for capacity."""
 
 import random
 from datetime import timedelta
@@ -18,28 +18,28 @@
 from damaskdeck.protocol.summaries import WorkerSummary
 from damaskdeck.state.workeraccounts import TaskNeed
 
-ROOM_LIFE = timedelta(seconds=5)
+PREEMPTION_WAIT = timedelta(seconds=5)
 PREEMPTIBLE_LIMIT = 3
-# An owner that isn't heard of for so long isn't asked.
-SUMMARY_LIFE = timedelta(seconds=30)
+# Owners whose last summary is older aren't asked.
+SUMMARY_MAX_AGE = timedelta(seconds=30)
 
 _decoder = msgspec.msgpack.Decoder(WorkerSummary)
 
 
 class OwnerSelector:
-    """The summaries of all owners, and what they are asked for meanwhile."""
+    """The summaries of all owners, less what was requested since they arrived."""
 
     def __init__(self, members: Members, clock: Clock) -> None:
         self._members = members
         self._clock = clock
         self._random = random.Random(members.self.name)
         self._views: dict[str, OwnerView] = {}
-        self._seen: dict[str, Report] = {}
-        self._rooms: dict[str, tuple[str, timedelta]] = {}
+        self._last_reports: dict[str, Report] = {}
+        self._preempting_owners: dict[str, tuple[str, timedelta]] = {}
 
     def refresh(self) -> bool:
-        """Take in new summaries; returns whether there were any."""
-        oldest = self._clock.monotonic() - SUMMARY_LIFE
+        """Read new summaries; return whether there were any."""
+        oldest = self._clock.monotonic() - SUMMARY_MAX_AGE
         reports = {
             name: report
             for name, report in self._members.read_reports(TOPIC).items()
@@ -47,20 +47,25 @@
         }
         for name in [name for name in self._views if name not in reports]:
             del self._views[name]
-            self._seen.pop(name, None)
-        news = [r for name, r in reports.items() if self._seen.get(name) is not r]
-        for report in news:
-            self._seen[report.instance] = report
-            self._take(report)
-        return bool(news)
+            self._last_reports.pop(name, None)
+        new_reports = [
+            r for name, r in reports.items() if self._last_reports.get(name) is not r
+        ]
+        for report in new_reports:
+            self._last_reports[report.instance] = report
+            self._add_summary(report)
+        return bool(new_reports)
 
     def choose(self, need: TaskNeed) -> str | None:
-        """Choose an owner to ask for ``need``, and count its room as taken."""
+        """Return an owner to ask for ``need``, and deduct ``need`` from its capacity.
+
+        An owner that is preempting tasks for ``need`` is asked again.
+        """
         now = self._clock.monotonic()
-        owner, until = self._rooms.get(need.task, ("", now))
+        owner, until = self._preempting_owners.get(need.task, ("", now))
         if owner in self._views and until > now:
             return owner
-        self._rooms.pop(need.task, None)
+        self._preempting_owners.pop(need.task, None)
         view = choose_owner(self._views.values(), need, self._random, now)
         if view is None:
             return self._choose_preemptible(need)
@@ -68,7 +73,7 @@
         return view.name
 
     def list_fitting(self, need: TaskNeed) -> list[str]:
-        """List the owners that have room for ``need`` or could make it."""
+        """List the owners with free or preemptible capacity for ``need``."""
         fitting = {
             view.name
             for view in self._views.values()
@@ -78,26 +83,29 @@
         return sorted(fitting)
 
     def list_capable(self, need: TaskNeed) -> list[str]:
-        """List the owners of workers that could hold ``need`` if empty."""
+        """List the owners of workers that could hold ``need`` when empty."""
         return sorted(
             view.name
             for view in self._views.values()
-            if view.is_able(need) and (not need.zones or view.zone in need.zones)
+            if view.could_hold(need) and (not need.zones or view.zone in need.zones)
         )
 
     def record_refusal(self, owner: str, need: TaskNeed) -> None:
-        """Note that an owner has no room for ``need`` after all."""
+        """Record that an owner refused ``need``, contrary to its summary."""
         view = self._views.get(owner)
         if view is not None:
             view.record_refusal(need)
 
     def record_preemption(self, owner: str, task: str) -> None:
-        """Note that an owner makes room for a task; it is asked again."""
-        self._rooms[task] = (owner, self._clock.monotonic() + ROOM_LIFE)
+        """Record that an owner preempts tasks for ``task``, to ask it again."""
+        self._preempting_owners[task] = (
+            owner,
+            self._clock.monotonic() + PREEMPTION_WAIT,
+        )
 
     def discard(self, task: str) -> None:
-        """Forget a task that needs no room any more."""
-        self._rooms.pop(task, None)
+        """Discard a task that needs no capacity any more."""
+        self._preempting_owners.pop(task, None)
 
     def _choose_preemptible(self, need: TaskNeed) -> str | None:
         views = self._list_preemptible(need)
@@ -107,7 +115,7 @@
         views = self._views.values()
         return list_preemptible(views, need, self._random, PREEMPTIBLE_LIMIT)
 
-    def _take(self, report: Report) -> None:
+    def _add_summary(self, report: Report) -> None:
         try:
             summary = _decoder.decode(report.value)
         except DECODE_ERRORS:
--- a/src/damaskdeck/coordination/workers/rosters.py
+++ b/src/damaskdeck/coordination/workers/rosters.py
@@ -1,4 +1,4 @@
-"""What the owner of a worker knows of the attempts on it."""
+"""Attempts on a worker, as known to the worker's owner."""
 
 from collections.abc import Callable, Iterable
 from datetime import timedelta
@@ -6,7 +6,10 @@
 
 from damaskdeck import defaults
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.workers.leases import compute_takeover_bound, stretch_lease
+from damaskdeck.coordination.workers.leases import (
+    compute_max_lease,
+    compute_takeover_bound,
+)
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_refusal
 from damaskdeck.protocol.jobs import TaskToStart, TaskUpdate
@@ -20,34 +23,35 @@
 _log = get_logger("workers")
 
 
-class Hosted(NamedTuple):
+class HostedTask(NamedTuple):
     """An attempt of a task on a worker, as its owner knows it.
 
     :param state: as in :class:`~damaskdeck.protocol.jobs.TaskUpdate`; ``starting``
-        until its start is sent, then ``unsure`` until that is answered.
-    :param until: monotonic time when its lease ends at the latest.
-    :param settled: monotonic time from which on an inventory must show it.
-    :param start: what it was started by, unless another owner started it.
-    :param is_repeat: whether an earlier start of this attempt may yet arrive.
-    :param cause: why its owner stops it, as in ``preempted``.
+        until its start is sent, then ``unsure`` until the start is answered.
+    :param lease_end: monotonic time when its lease has expired at the latest.
+    :param expected_from: inventories that were requested at this monotonic time or
+        later must list it.
+    :param start: the order by which it was started; ``None`` if by another owner.
+    :param is_retry: whether an earlier start of this attempt may still arrive.
+    :param cause: why its owner stops it, such as ``preempted``.
     """
 
     task: str
     attempt: int
     state: str
-    until: timedelta
-    settled: timedelta
+    lease_end: timedelta
+    expected_from: timedelta
     start: TaskToStart | None = None
-    is_repeat: bool = False
+    is_retry: bool = False
     cause: str = ""
 
 
 class Roster:
     """The attempts on one worker under one epoch of its owner.
 
-    :param worker: its name.
-    :param put_news: takes news for the keepers.
-    :param record_end: ``record_end(worker, task, state)`` learns of each end.
+    :param worker: name of the worker.
+    :param put_update: called with updates for the ledger owners.
+    :param record_end: ``record_end(worker, task, state)`` is called at each end.
     """
 
     def __init__(
@@ -55,25 +59,25 @@
         worker: str,
         accounts: WorkerAccounts,
         clock: Clock,
-        put_news: Callable[[TaskUpdate], None],
+        put_update: Callable[[TaskUpdate], None],
         record_end: Callable[[str, str, str], None],
         lease: timedelta = defaults.TASK_LEASE,
     ) -> None:
-        self.tasks: dict[str, Hosted] = {}
+        self.tasks: dict[str, HostedTask] = {}
         self._worker = worker
         self._accounts = accounts
         self._clock = clock
-        self._put_news = put_news
+        self._put_update = put_update
         self._record_end = record_end
-        self._lease = stretch_lease(lease)
-        self._adoption = compute_takeover_bound(lease)
+        self._lease = compute_max_lease(lease)
+        self._takeover_bound = compute_takeover_bound(lease)
 
-    def find(self, task: str, attempt: int) -> Hosted | None:
-        """Return what is known of an attempt."""
+    def find(self, task: str, attempt: int) -> HostedTask | None:
+        """Return what is known of an attempt, or ``None``."""
         hosted = self.tasks.get(task)
         return hosted if hosted and hosted.attempt == attempt else None
 
-    def list_open(self) -> list[Hosted]:
+    def list_open(self) -> list[HostedTask]:
         """List the attempts that aren't known to have ended."""
         return [h for h in self.tasks.values() if h.state in OPEN_STATES]
 
@@ -81,42 +85,42 @@
         """List the tasks whose leases must be renewed."""
         return tuple(h.task for h in self.tasks.values() if h.state == "running")
 
-    def enter(self, start: TaskToStart) -> None:
+    def add(self, start: TaskToStart) -> None:
         """Add a task that is about to be started."""
         now = self._clock.monotonic()
         name = start["task"]
-        hosted = Hosted(name, start["attempt"], "starting", now, now, start)
+        hosted = HostedTask(name, start["attempt"], "starting", now, now, start)
         self.tasks[name] = hosted
 
-    def note_sent(self, hosted: Hosted) -> None:
-        """Note that a start is on its way; it may take effect at any time."""
-        sent = hosted._replace(state="unsure", settled=timedelta.max)
+    def mark_sent(self, hosted: HostedTask) -> None:
+        """Record that a start was sent; it may take effect at any time."""
+        sent = hosted._replace(state="unsure", expected_from=timedelta.max)
         self.tasks[hosted.task] = sent
 
-    def note_doubt(self, hosted: Hosted) -> None:
-        """Leave a start whose answer was lost to the next inventory."""
+    def mark_unconfirmed(self, hosted: HostedTask) -> None:
+        """Let the next inventory decide about a start whose answer was lost."""
         now = self._clock.monotonic()
-        self.tasks[hosted.task] = hosted._replace(settled=now)
+        self.tasks[hosted.task] = hosted._replace(expected_from=now)
 
-    def has_doubts(self) -> bool:
-        """Tell whether a start whose answer was lost still isn't settled."""
+    def has_unconfirmed(self) -> bool:
+        """Return whether a start whose answer was lost is still unconfirmed."""
         return any(
-            hosted.state == "unsure" and hosted.settled != timedelta.max
+            hosted.state == "unsure" and hosted.expected_from != timedelta.max
             for hosted in self.tasks.values()
         )
 
-    def note_renewed(self, tasks: Iterable[str], is_answered: bool) -> None:
-        """Note that leases were renewed, or may have been."""
+    def record_renewal(self, tasks: Iterable[str], is_answered: bool) -> None:
+        """Record that leases were renewed, or may have been if there was no answer."""
         now = self._clock.monotonic()
         for name in tasks:
             hosted = self.tasks.get(name)
             if hosted is not None:
-                until = now if is_answered else max(now, hosted.until)
-                until = max(hosted.until, until + self._lease)
-                self.tasks[name] = hosted._replace(until=until)
+                lease_end = now if is_answered else max(now, hosted.lease_end)
+                lease_end = max(hosted.lease_end, lease_end + self._lease)
+                self.tasks[name] = hosted._replace(lease_end=lease_end)
 
-    def absorb(self, report: TaskReport) -> None:
-        """Take in what the worker says of a task."""
+    def merge_report(self, report: TaskReport) -> None:
+        """Apply a worker's report of a task."""
         hosted = self.tasks.get(report.task)
         if hosted is not None and hosted.attempt > report.attempt:
             return
@@ -126,70 +130,75 @@
             return
         now = self._clock.monotonic()
         if not is_known:
-            until = now + self._adoption
-            hosted = Hosted(report.task, report.attempt, state, until, now)
+            lease_end = now + self._takeover_bound
+            hosted = HostedTask(report.task, report.attempt, state, lease_end, now)
             if state == "running":
                 self._adopt(report)
-        hosted = hosted._replace(until=max(hosted.until, now + self._lease))
-        self.note(hosted, state, result=report.result, checkpoint=report.checkpoint)
+        hosted = hosted._replace(lease_end=max(hosted.lease_end, now + self._lease))
+        self.set_state(
+            hosted, state, result=report.result, checkpoint=report.checkpoint
+        )
 
-    def list_missing(self, present: set[str], sent: timedelta) -> list[Hosted]:
-        """List what a whole inventory, asked for at ``sent``, should have shown."""
+    def list_missing(self, present: set[str], sent: timedelta) -> list[HostedTask]:
+        """List what a full inventory, requested at ``sent``, should have listed."""
         return [
             hosted
             for hosted in self.list_open()
-            if hosted.task not in present and hosted.settled <= sent
+            if hosted.task not in present and hosted.expected_from <= sent
         ]
 
-    def drop_lapsed(self, margin: timedelta = defaults.LEASE_MARGIN) -> None:
-        """Report running tasks as lost once their leases must have lapsed."""
+    def report_expired(self, margin: timedelta = defaults.LEASE_MARGIN) -> None:
+        """Report running tasks as lost once their leases must have expired."""
         limit = self._clock.monotonic() - margin
         for hosted in self.list_open():
-            if hosted.state == "running" and hosted.until <= limit:
-                self.note(hosted, "lost", code="worker_lost")
+            if hosted.state == "running" and hosted.lease_end <= limit:
+                self.set_state(hosted, "lost", code="worker_lost")
 
-    def note(
+    def set_state(
         self,
-        hosted: Hosted,
+        hosted: HostedTask,
         state: str,
         code: str = "",
         result: bytes = b"",
         checkpoint: str = "",
     ) -> None:
-        """Give an attempt a new state and tell its keeper."""
+        """Set the state of an attempt and report it to the ledger owner."""
         now = self._clock.monotonic()
-        self.tasks[hosted.task] = hosted._replace(state=state, settled=now)
+        self.tasks[hosted.task] = hosted._replace(state=state, expected_from=now)
         if state != "running":
             self._release(hosted.task)
             self._record_end(self._worker, hosted.task, state)
         if state in ("stopped", "checkpointed"):
             code = hosted.cause
-        news = TaskUpdate(
+        update = TaskUpdate(
             task=hosted.task,
             attempt=hosted.attempt,
             worker=self._worker,
             state=state,
         )
         if code:
-            news["code"] = code
+            update["code"] = code
         if result:
-            news["result"] = result
+            update["result"] = result
         if checkpoint:
-            news["checkpoint"] = checkpoint
-        self._put_news(news)
+            update["checkpoint"] = checkpoint
+        self._put_update(update)
 
-    def set_cause(self, hosted: Hosted, cause: str) -> None:
-        """Remember why a task is being stopped."""
+    def set_cause(self, hosted: HostedTask, cause: str) -> None:
+        """Record why a task is being stopped."""
         self.tasks[hosted.task] = hosted._replace(cause=cause)
 
     def _adopt(self, report: TaskReport) -> None:
-        """Set its room aside; it isn't stopped before its keeper tells of it.
+        """Reserve capacity for a task that another owner started.
 
-        Room that the same task has on another worker of this owner, as for an
-        attempt that isn't settled, doesn't count for this one.
+        Until its ledger owner describes it, it can't be preempted. A reservation of
+        the same task on another worker of this owner, as for an unconfirmed attempt,
+        doesn't count for this one.
         """
-        held = self._accounts.find(report.task)
-        name = report.task if held is None else self._name_other(report.task)
+        reservation = self._accounts.find(report.task)
+        name = (
+            report.task if reservation is None else self._make_adopted_name(report.task)
+        )
         need = TaskNeed(
             name,
             report.size,
@@ -200,13 +209,13 @@
         outcome = self._accounts.adopt(need, self._worker)
         if not isinstance(outcome, Reserved):
             count_refusal("workers", "adoption")
-            _log.warn("A running task has no room.", task=report.task)
+            _log.warn("An adopted task exceeds the capacity.", task=report.task)
 
     def _release(self, task: str) -> None:
-        for name in (task, self._name_other(task)):
-            held = self._accounts.find(name)
-            if held is not None and held.worker == self._worker:
+        for name in (task, self._make_adopted_name(task)):
+            reservation = self._accounts.find(name)
+            if reservation is not None and reservation.worker == self._worker:
                 self._accounts.release(name)
 
-    def _name_other(self, task: str) -> str:
+    def _make_adopted_name(self, task: str) -> str:
         return f"{task}@{self._worker}"
--- a/src/damaskdeck/coordination/workers/sessions.py
+++ b/src/damaskdeck/coordination/workers/sessions.py
@@ -1,4 +1,4 @@
-"""What the owner of a worker does with it, from taking it over to losing it."""
+"""Session of a worker's owner with the worker, from takeover to loss."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -10,7 +10,7 @@
 from damaskdeck.coordination.queues.pressure import Checkpoint, Throttle
 from damaskdeck.coordination.workers.leases import compute_takeover_bound
 from damaskdeck.coordination.workers.orders import Orders
-from damaskdeck.coordination.workers.rosters import Hosted, Roster
+from damaskdeck.coordination.workers.rosters import HostedTask, Roster
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_retry
 from damaskdeck.protocol.jobs import TaskUpdate
@@ -26,29 +26,31 @@
 
 FOLLOW_WAIT = timedelta(seconds=20)
 RETRY_INTERVAL = timedelta(milliseconds=500)
-GAIN_INTERVAL = timedelta(milliseconds=20)
+OWNERSHIP_POLL_INTERVAL = timedelta(milliseconds=20)
 
 Order = Callable[[], Awaitable[None]]
 
 _log = get_logger("workers")
 
 
-class Session:
-    """Serves one worker under one epoch; its loops end with :meth:`run`.
+class WorkerSession:
+    """Manages one worker under one epoch; its loops end with :meth:`run`.
 
-    Promise: "No task is ever running in two places at once": every call names
-    the epoch, the inventory comes before the first placement, and a task is
-    reported lost only when its lease must have lapsed.
+    Guarantee: "No task is ever running in two places at once": every call carries
+    the epoch, the inventory is read before the first placement, and a task is
+    reported lost only when its lease must have expired.
 
-    ``inventoried`` is the monotonic time when the last whole inventory that
-    came was asked for; ``bound`` is how long leases of earlier owners may last.
-
-    :param worker: as the platform lists it; set anew when that changes.
-    :param may_act: tells whether this daemon still owns the worker.
-    :param put_news: takes news for the keepers.
-    :param allocator: learns of ends and of use.
+    :param worker: as listed by the platform; replaced when that changes.
+    :param may_act: returns whether this daemon still owns the worker.
+    :param put_update: called with updates for the ledger owners.
+    :param allocator: is notified of ends and usage.
     :param grace: how long to wait before the first placement, for workers that
         don't check epochs.
+    :ivar inventory_sent_at: monotonic time at which the last full inventory that
+        arrived was requested.
+    :ivar takeover_bound: how long leases of earlier owners may last.
+    :ivar is_unconfirmed: whether the state of the worker is unconfirmed, so that
+        an inventory is needed.
     """
 
     def __init__(
@@ -59,7 +61,7 @@
         accounts: WorkerAccounts,
         clock: Clock,
         may_act: Callable[[], bool],
-        put_news: Callable[[TaskUpdate], None],
+        put_update: Callable[[TaskUpdate], None],
         allocator: CapacityAllocator,
         grace: timedelta = timedelta(),
         lease: timedelta = defaults.TASK_LEASE,
@@ -69,7 +71,7 @@
         self.epoch = epoch
         self.is_ready = False
         self.roster = Roster(
-            worker.name, accounts, clock, put_news, allocator.record_end, lease
+            worker.name, accounts, clock, put_update, allocator.record_end, lease
         )
         self._allocator = allocator
         self.port = port
@@ -79,16 +81,16 @@
         self._grace = grace
         self._lease = lease
         self._renewal = renewal
-        self.bound = compute_takeover_bound(lease)
-        self._gained = clock.monotonic()
-        self.inventoried = timedelta.min
-        self.is_doubtful = False
+        self.takeover_bound = compute_takeover_bound(lease)
+        self._gained_at = clock.monotonic()
+        self.inventory_sent_at = timedelta.min
+        self.is_unconfirmed = False
         self._is_deposed = False
         self._sequence = 0
         self.orders = Orders(self, lease)
 
     async def run(self) -> None:
-        """Take inventory, then follow, renew and order until cancelled."""
+        """Read the inventory, then follow, renew and send orders until cancelled."""
         await self._take_over()
         async with asyncio.TaskGroup() as group:
             group.create_task(self._follow_all())
@@ -96,75 +98,75 @@
             group.create_task(self.orders.run())
 
     @property
-    def tasks(self) -> dict[str, Hosted]:
-        """The attempts on this worker by task."""
+    def tasks(self) -> dict[str, HostedTask]:
+        """The attempts on this worker, by task."""
         return self.roster.tasks
 
-    def refuse_waiting(self) -> None:
-        """Report the starts that were not sent yet; they won't be any more."""
+    def reject_unsent_starts(self) -> None:
+        """Report starts that were not sent as unstarted, as they never will be."""
         for hosted in self.roster.list_open():
             if hosted.state == "starting":
-                self.roster.note(hosted, "unstarted", code="owner_changed")
+                self.roster.set_state(hosted, "unstarted", code="owner_changed")
 
-    async def abandon(self) -> None:
-        """Report each task of a worker that is gone, once it has lapsed."""
-        deadline = self._clock.monotonic() + self.bound
+    async def report_lost_tasks(self) -> None:
+        """Report each task of a removed worker as lost once its lease has expired."""
+        deadline = self._clock.monotonic() + self.takeover_bound
         while self.roster.list_open() and self._clock.monotonic() < deadline:
-            self.roster.drop_lapsed()
+            self.roster.report_expired()
             await self._clock.sleep(RETRY_INTERVAL)
         for hosted in self.roster.list_open():
-            self.roster.note(hosted, "lost", code="worker_gone")
+            self.roster.set_state(hosted, "lost", code="worker_gone")
 
-    # Taking over -----------------------------------------------------------------
+    # Takeover --------------------------------------------------------------------
 
     async def _take_over(self) -> None:
         while not self.may_act():
-            await self._clock.sleep(GAIN_INTERVAL)
+            await self._clock.sleep(OWNERSHIP_POLL_INTERVAL)
         while not await self.read_inventory():
             await self._clock.sleep(RETRY_INTERVAL)
-        waited = self._clock.monotonic() - self._gained
+        waited = self._clock.monotonic() - self._gained_at
         if self._grace > waited:
             await self._clock.sleep(self._grace - waited)
             while not await self.read_inventory():
                 await self._clock.sleep(RETRY_INTERVAL)
         self.is_ready = True
         self.accounts.close_worker(self.worker.name, "")
-        _log.info("Took a worker over.", worker=self.worker.name, epoch=self.epoch)
+        _log.info("Took over a worker.", worker=self.worker.name, epoch=self.epoch)
 
     async def read_inventory(self) -> bool:
-        """Take in a whole inventory; false when it didn't come."""
+        """Read a full inventory; return whether it arrived."""
         if not self.may_act():
             return False
         sent = self._clock.monotonic()
         found = await self.port.read_inventory(self.worker, self.epoch)
-        if not self._absorb(found, sent, True):
+        if not self._merge_inventory(found, sent, True):
             return False
-        self.inventoried = sent
+        self.inventory_sent_at = sent
         return True
 
-    # Following and renewing ------------------------------------------------------
+    # Updates and renewals --------------------------------------------------------
 
     async def _follow_all(self) -> None:
         while True:
-            is_heard = False
+            is_answered = False
             if self.may_act():
                 sent = self._clock.monotonic()
                 found = await self.port.follow(
                     self.worker, self.epoch, self._sequence, FOLLOW_WAIT
                 )
-                is_heard = self._absorb(found, sent, False)
-            if not is_heard:
+                is_answered = self._merge_inventory(found, sent, False)
+            if not is_answered:
                 await self._clock.sleep(RETRY_INTERVAL)
 
     async def _renew_all(self) -> None:
         while True:
-            wait = RETRY_INTERVAL if self.is_doubtful else self._renewal
+            wait = RETRY_INTERVAL if self.is_unconfirmed else self._renewal
             await self._clock.sleep(wait)
-            if self.is_doubtful or self.roster.has_doubts():
-                self.set_doubtful(not await self.read_inventory())
-            if not self.is_doubtful and self.may_act():
+            if self.is_unconfirmed or self.roster.has_unconfirmed():
+                self.set_unconfirmed(not await self.read_inventory())
+            if not self.is_unconfirmed and self.may_act():
                 await self._renew()
-            self.roster.drop_lapsed()
+            self.roster.report_expired()
 
     async def _renew(self) -> None:
         names = self.roster.list_running()
@@ -174,33 +176,33 @@
         try:
             found = await self.port.renew(self.worker, self.epoch, names, self._lease)
         except asyncio.CancelledError:
-            self.roster.note_renewed(names, False)
+            self.roster.record_renewal(names, False)
             raise
         if not isinstance(found, Rejected):
-            self.roster.note_renewed(names, isinstance(found, Inventory))
-        self.set_doubtful(not self._absorb(found, sent, True))
+            self.roster.record_renewal(names, isinstance(found, Inventory))
+        self.set_unconfirmed(not self._merge_inventory(found, sent, True))
 
-    def _absorb(
+    def _merge_inventory(
         self, found: Inventory | Rejected | Lost, sent: timedelta, is_whole: bool
     ) -> bool:
         if not isinstance(found, Inventory):
             count_retry("workers", found.code)
-            self.note_rejected(found.code)
+            self.handle_rejection(found.code)
             return False
         if found.sequence < self._sequence:
-            self.set_doubtful(True)
+            self.set_unconfirmed(True)
         self._sequence = found.sequence
-        self._relieve(found.usage)
+        self._handle_pressure(found.usage)
         for report in found.tasks:
-            self.roster.absorb(report)
+            self.roster.merge_report(report)
         if is_whole:
             present = {report.task for report in found.tasks}
             for hosted in self.roster.list_missing(present, sent):
-                self._settle_missing(hosted)
+                self._resolve_missing(hosted)
         return True
 
-    def _relieve(self, usage: tuple[Usage, ...]) -> None:
-        """Throttle or stop tasks of a worker whose use nears its size."""
+    def _handle_pressure(self, usage: tuple[Usage, ...]) -> None:
+        """Throttle or stop tasks of a worker whose usage approaches its size."""
         tasks = self.roster.tasks
         staying = [
             item for item in usage if item.task in tasks and not tasks[item.task].cause
@@ -212,22 +214,22 @@
                 checkpoint = isinstance(action, Checkpoint)
                 self.orders.preempt(action.task, checkpoint, "worker_full")
 
-    def _settle_missing(self, hosted: Hosted) -> None:
-        """Settle an attempt that the worker doesn't know, as after a restart."""
+    def _resolve_missing(self, hosted: HostedTask) -> None:
+        """Handle an attempt that the worker doesn't list, as after a restart."""
         if hosted.state == "running":
-            self.roster.note(hosted, "lost", code="worker_restarted")
+            self.roster.set_state(hosted, "lost", code="worker_restarted")
         elif hosted.state == "unsure":
-            self.orders.repeat_start(hosted)
+            self.orders.retry_start(hosted)
 
-    def note_rejected(self, code: str) -> None:
-        """Place no more on a worker that has seen a newer owner than this one."""
+    def handle_rejection(self, code: str) -> None:
+        """Place no more tasks on a worker that has seen a newer owner."""
         if code == "stale_epoch":
             self._is_deposed = True
             self.accounts.close_worker(self.worker.name, code)
 
-    def set_doubtful(self, is_doubtful: bool) -> None:
-        """Close the worker while it can't be reached, and ask for inventories."""
-        if is_doubtful != self.is_doubtful and not self._is_deposed:
-            self.is_doubtful = is_doubtful
-            code = "unreachable" if is_doubtful else ""
+    def set_unconfirmed(self, is_unconfirmed: bool) -> None:
+        """Close the worker while its state is unconfirmed, and request inventories."""
+        if is_unconfirmed != self.is_unconfirmed and not self._is_deposed:
+            self.is_unconfirmed = is_unconfirmed
+            code = "unreachable" if is_unconfirmed else ""
             self.accounts.close_worker(self.worker.name, code)
--- a/src/damaskdeck/coordination/workers/summaries.py
+++ b/src/damaskdeck/coordination/workers/summaries.py
@@ -1,8 +1,8 @@
-"""Bounded summaries of owners' workers, and the choice of an owner by them.
+"""Summaries of owners' workers, bounded in size, and the choice of an owner by them.
 
-A ledger's keeper doesn't see the workers. It picks an owner whose summary has
-room, asks it, and takes what it asked for off its copy of the summary until
-the next one comes.
+A ledger owner doesn't see the workers. It chooses an owner whose summary has free
+capacity, sends the request, and deducts it from its copy of the summary until
+the next one arrives.
 """
 
 import math
@@ -20,23 +20,28 @@
 
 # Topic of the reports that members attach to their heartbeats.
 TOPIC = "workers"
-_SLICES = 16
-# A summary of this age counts for 1/e of a fresh one.
-_TRUST_TIME = timedelta(seconds=2)
-# So many owners are drawn; the one that the task fits tightest is asked.
-_DRAWN = 3
-# So many owners are looked at first; all of them when none of these has room.
-_SAMPLED = 9
+_SLICE_LIMIT = 16
+# A summary of this age has 1/e of the weight of a fresh one.
+_AGE_DECAY_TIME = timedelta(seconds=2)
+# Number of owners to draw; of these, the one that the task fits tightest is asked.
+_DRAW_COUNT = 3
+# Number of owners to consider first; all of them if none of these has capacity.
+_SAMPLE_SIZE = 9
 
 
 def summarize_workers(accounts: WorkerAccounts, zone: str) -> WorkerSummary:
-    """Summarize the open workers of an owner; about 1 KiB when encoded at most."""
-    opened = [account for account in accounts.workers.values() if not account.closed]
-    parts = [[a for a in opened if not a.size[2]], [a for a in opened if a.size[2]]]
+    """Summarize the open workers of an owner; at most about 1 KiB when encoded."""
+    open_accounts = [
+        account for account in accounts.workers.values() if not account.closed
+    ]
+    parts = [
+        [a for a in open_accounts if not a.size[2]],
+        [a for a in open_accounts if a.size[2]],
+    ]
     return WorkerSummary(
         zone=zone,
         classes=[_summarize_class(part) for part in parts],
-        preemptible=[list(size) for size in _sum_preemptible(opened)],
+        preemptible=[list(size) for size in _sum_preemptible(open_accounts)],
     )
 
 
@@ -53,7 +58,7 @@
 
 
 def _choose_slices(accounts: list[WorkerAccount]) -> list[Size]:
-    """Choose the workers with most free, in turn by each dimension."""
+    """Return the largest free capacities, alternating between the dimensions."""
     orders = [
         sorted(accounts, key=lambda account: account.free[index], reverse=True)
         for index in range(3)
@@ -62,13 +67,13 @@
     for rank in range(len(accounts)):
         for order in orders:
             chosen[order[rank].name] = order[rank].free
-        if len(chosen) >= _SLICES:
+        if len(chosen) >= _SLICE_LIMIT:
             break
-    return list(chosen.values())[:_SLICES]
+    return list(chosen.values())[:_SLICE_LIMIT]
 
 
 def _sum_preemptible(accounts: Iterable[WorkerAccount]) -> Iterator[Size]:
-    """Yield what each class of urgency could clear, the most urgent first."""
+    """Yield what each urgency class could preempt, the most urgent first."""
     sums: dict[tuple[Urgency, bool], list[int]] = {}
     for account in accounts:
         for held in account.reservations.values():
@@ -89,9 +94,9 @@
 
 
 class OwnerView:
-    """A keeper's copy of an owner's summary, less what it asked for since.
+    """A ledger owner's copy of a summary, less what was requested since.
 
-    :param received: monotonic time when the summary came.
+    :param received: monotonic time when the summary arrived.
     """
 
     __slots__ = ("classes", "largest", "name", "preemptible", "received", "zone")
@@ -106,12 +111,12 @@
         ]
         self.largest = [Size(*part["largest"]) for part in summary["classes"]]
 
-    def is_able(self, need: TaskNeed) -> bool:
-        """Tell whether the owner's workers may hold ``need`` when empty."""
+    def could_hold(self, need: TaskNeed) -> bool:
+        """Return whether the owner's workers could hold ``need`` when empty."""
         return any(fits(need.size, size) for size in self.largest)
 
     def find_tightest(self, need: TaskNeed) -> tuple[int, int] | None:
-        """Return class and place of the smallest slice that holds ``need``."""
+        """Return class and index of the smallest slice that holds ``need``, if any."""
         for index in (1,) if need.size[2] else (0, 1):
             slices = self.classes[index]
             fitting = [i for i, size in enumerate(slices) if fits(need.size, size)]
@@ -124,44 +129,44 @@
         return sum(fits(need.size, size) for part in self.classes for size in part)
 
     def deduct(self, need: TaskNeed) -> None:
-        """Take what was asked for off the tightest slice."""
+        """Deduct ``need`` from the slice that it fits tightest."""
         found = self.find_tightest(need)
         if found is not None:
             slices = self.classes[found[0]]
             slices[found[1]] = subtract_sizes(slices[found[1]], need.size)
 
     def record_refusal(self, need: TaskNeed) -> None:
-        """Forget the slices that hold ``need``: the summary was wrong."""
+        """Remove the slices that hold ``need``, as the summary was wrong."""
         self.classes = [
             [size for size in part if not fits(need.size, size)]
             for part in self.classes
         ]
 
 
-class Choice(NamedTuple):
-    """An owner worth asking.
+class OwnerChoice(NamedTuple):
+    """An owner that may be asked.
 
-    :param is_accelerated: whether only workers with accelerators have room.
-    :param rest: what its tightest slice would have left, in millicores.
+    :param is_accelerated: whether only workers with accelerators have capacity.
+    :param millicores_left: what would be left of its tightest slice.
     """
 
     view: OwnerView
     is_accelerated: bool
-    rest: int
+    millicores_left: int
 
 
 def choose_owner(
     views: Iterable[OwnerView], need: TaskNeed, rng: random.Random, now: timedelta
 ) -> OwnerView | None:
-    """Pick an owner to ask for ``need``; ``None`` when no summary has room.
+    """Return an owner to ask for ``need``; ``None`` when no summary has capacity.
 
-    A few owners are drawn by how many of their slices hold the task and how
-    fresh their summaries are, so that keepers don't all ask the same one; the
-    one that it fits tightest is taken.
+    A few owners are drawn, weighted by how many of their slices hold the task and by
+    the age of their summaries, so that ledger owners don't all ask the same one. Of
+    these, the one that the task fits tightest is returned.
     """
     allowed = [view for view in views if not need.zones or view.zone in need.zones]
-    if len(allowed) > _SAMPLED:
-        choices, weights = _list_choices(rng.sample(allowed, _SAMPLED), need, now)
+    if len(allowed) > _SAMPLE_SIZE:
+        choices, weights = _list_choices(rng.sample(allowed, _SAMPLE_SIZE), need, now)
         if choices:
             return _draw(choices, weights, need, rng)
     choices, weights = _list_choices(allowed, need, now)
@@ -170,30 +175,39 @@
 
 def _list_choices(
     views: Iterable[OwnerView], need: TaskNeed, now: timedelta
-) -> tuple[list[Choice], list[float]]:
+) -> tuple[list[OwnerChoice], list[float]]:
     choices, weights = [], []
     for view in views:
         found = view.find_tightest(need)
         if found is None:
             continue
-        rest = view.classes[found[0]][found[1]][0] - need.size[0]
-        choices.append(Choice(view, found[0] == 1 and not need.size[2], rest))
+        millicores_left = view.classes[found[0]][found[1]][0] - need.size[0]
+        choices.append(
+            OwnerChoice(view, found[0] == 1 and not need.size[2], millicores_left)
+        )
         weights.append(view.count_fitting(need) * _weigh_age(view, now))
     return choices, weights
 
 
 def _draw(
-    choices: list[Choice], weights: list[float], need: TaskNeed, rng: random.Random
+    choices: list[OwnerChoice], weights: list[float], need: TaskNeed, rng: random.Random
 ) -> OwnerView:
-    drawn = rng.choices(choices, weights, k=_DRAWN)
-    best = min(drawn, key=lambda c: (c.is_accelerated, _is_far(c, need), c.rest))
+    drawn = rng.choices(choices, weights, k=_DRAW_COUNT)
+    best = min(
+        drawn,
+        key=lambda c: (
+            c.is_accelerated,
+            _is_outside_preferred_zones(c, need),
+            c.millicores_left,
+        ),
+    )
     return best.view
 
 
 def list_preemptible(
     views: Iterable[OwnerView], need: TaskNeed, rng: random.Random, limit: int
 ) -> list[OwnerView]:
-    """List owners that may clear room for ``need``, in random order."""
+    """List owners that could preempt tasks for ``need``, in random order."""
     rank = RANKS[need.urgency]
     found = [
         view
@@ -205,9 +219,9 @@
     return list(islice(found, limit))
 
 
-def _is_far(choice: Choice, need: TaskNeed) -> bool:
+def _is_outside_preferred_zones(choice: OwnerChoice, need: TaskNeed) -> bool:
     return bool(need.near) and choice.view.zone not in need.near
 
 
 def _weigh_age(view: OwnerView, now: timedelta) -> float:
-    return math.exp(-max(now - view.received, timedelta()) / _TRUST_TIME)
+    return math.exp(-max(now - view.received, timedelta()) / _AGE_DECAY_TIME)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,9 +1,13 @@
-"""The fleet over a list that lags, goes back in time and has outages."""
+"""The fleet with an instance list that lags, returns older answers and fails."""
 
 import unittest
 from datetime import timedelta
 
-from damaskdeck.coordination.workers.fleet import ABSENCE_LIMIT, LEAVING_MEMORY, Fleet
+from damaskdeck.coordination.workers.fleet import (
+    ABSENCE_LIMIT,
+    LEAVING_RETENTION,
+    Fleet,
+)
 from damaskdeck.protocol.ports import (
     Instance,
     InstanceRole,
@@ -27,18 +31,18 @@
 
 
 class ListedAnswers:
-    """An instance list that gives the last answer that a test has set."""
+    """An instance list that returns the answer that the test has set."""
 
     def __init__(self) -> None:
         self.answer = Instances(())
 
     async def list_instances(self):
-        """Return what was set."""
+        """Return the answer that was set."""
         return self.answer
 
 
 class TestFleet(unittest.IsolatedAsyncioTestCase):
-    """What the fleet believes of each answer."""
+    """How the fleet handles each answer."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -74,7 +78,7 @@
         self.assertEqual(self._state("a"), InstanceState.LIVE)
         self.assertEqual(self.fleet.last_listed_at, timedelta())
 
-    async def test_older_answer_does_not_take_back_that_it_leaves(self):
+    async def test_older_answer_does_not_make_a_leaving_instance_live(self):
         target = make_target("a")
         await self._show(target)
         await self._show(mark_leaving(target))
@@ -92,7 +96,7 @@
         await self._show(target)
         self.assertEqual(self._state("a"), InstanceState.LEAVING)
 
-    async def test_long_leaving_does_not_wear_off(self):
+    async def test_long_leaving_instance_stays_leaving(self):
         await self._show(mark_leaving(make_target("a")), times=200)
         await self._show(make_target("a"))
         self.assertEqual(self._state("a"), InstanceState.LEAVING)
@@ -104,7 +108,7 @@
 
     async def test_same_place_is_live_again_after_a_long_absence(self):
         await self._show(mark_leaving(make_target("a")))
-        await self._show(times=int(LEAVING_MEMORY / SECOND) + 2)
+        await self._show(times=int(LEAVING_RETENTION / SECOND) + 2)
         await self._show(make_target("a"))
         self.assertEqual(self._state("a"), InstanceState.LIVE)
 
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -24,7 +24,7 @@
 
 
 class WithPlane(unittest.TestCase):
-    """A plane with one job that is started on ``w1``, which ``d2`` owns."""
+    """A task plane with one job that runs on ``w1``, which ``d2`` owns."""
 
     async def start(self, payload=LONG, workers=1, **fields):
         self.plane = await Plane(daemons=2, workers=workers).start()
@@ -43,14 +43,14 @@
         await self.plane.clock.sleep(timedelta(seconds=seconds))
 
     async def reserve(self, daemon, millicores):
-        """Ask a host for room for a task that its keeper doesn't know."""
+        """Request capacity for a task that its ledger owner doesn't know."""
         size = SizeData(millicores=millicores, memory=1, accelerators=0)
         request = {"task": "x-00-1-0", "attempt": 1, "size": size}
         message = {"ledger": "00", "epoch": 1, "tasks": [request]}
-        return await self.plane.find(daemon).host._reserve("d1", message)
+        return await self.plane.find(daemon).host._handle_reserve("d1", message)
 
     async def order(self, daemon, epoch):
-        """Order the start of a task that its keeper doesn't know."""
+        """Order the start of a task that its ledger owner doesn't know."""
         start = TaskToStart(
             task="x-00-1-0",
             attempt=1,
@@ -59,10 +59,10 @@
             payload=ENDLESS,
         )
         message = {"ledger": "00", "epoch": 1, "tasks": [start]}
-        return await self.plane.find(daemon).host._start("d1", message)
+        return await self.plane.find(daemon).host._handle_start("d1", message)
 
     def find_busy(self):
-        """Return the worker that runs everything, and the other one."""
+        """Return the worker that runs all tasks, and the other one."""
         name = self.runs.starts[0].worker
         return name, "w2" if name == "w1" else "w1"
 
@@ -73,7 +73,7 @@
 
 
 class TestTakeover(WithPlane):
-    """A new owner adopts what runs and fences off the old one."""
+    """A new owner adopts running tasks and fences off the former owner."""
 
     @virtual
     async def test_running_task_goes_on_under_a_new_owner(self):
@@ -85,7 +85,7 @@
         self.check_runs(1)
 
     @virtual
-    async def test_adopted_task_keeps_its_room(self):
+    async def test_adopted_task_keeps_its_reservation(self):
         await self.start(ENDLESS, size={"processors": 3, "memory": 100})
         await self.sleep(2)
         await self.plane.registry.hand_over("worker/w1", "d1")
@@ -94,7 +94,9 @@
         self.assertEqual(accounts.totals.free.millicores, 1000)
 
     @virtual
-    async def test_adopted_task_is_spared_until_its_keeper_tells_of_it(self):
+    async def test_adopted_task_is_not_preemptible_until_its_ledger_owner_describes_it(
+        self,
+    ):
         await self.start(ENDLESS, urgency="low")
         await self.sleep(2)
         self.plane.find("d1").ledger_owner.controllers["00"]._runner.cancel()
@@ -129,7 +131,7 @@
         self.check_runs(2)
 
     @virtual
-    async def test_task_lost_with_its_owner_is_not_called_unstarted(self):
+    async def test_task_lost_with_its_owner_is_not_reported_as_unstarted(self):
         await self.start(idempotent=False)
         await self.sleep(2)
         self.worker.die()
@@ -169,7 +171,7 @@
         self.assertEqual(reply["refused"][0]["code"], "not_owner")
 
     @virtual
-    async def test_keeper_of_an_older_epoch_is_refused(self):
+    async def test_ledger_owner_of_an_older_epoch_is_refused(self):
         await self.start(ENDLESS)
         await self.sleep(2)
         await self.plane.registry.take_over("ledger/00", "d2")
@@ -177,7 +179,7 @@
         self.assertEqual(reply["refused"][0]["code"], "stale_keeper")
 
     @virtual
-    async def test_task_given_to_a_deposed_owner_is_asked_for_at_the_new_one(self):
+    async def test_task_ordered_from_a_deposed_owner_is_checked_at_the_new_one(self):
         self.plane = await Plane(daemons=2, workers=1).start()
         self.runs = self.plane.platform.runs
         self.plane.declare()
@@ -202,7 +204,7 @@
 
 
 class TestListing(unittest.TestCase):
-    """The instance list lags behind ownership."""
+    """A worker is owned before the instance list shows it."""
 
     @virtual
     async def test_worker_gained_before_it_is_listed_is_hosted_once_it_is(self):
@@ -219,7 +221,7 @@
 
 
 class TestOrders(WithPlane):
-    """What an owner refuses of a keeper's orders."""
+    """Orders of a ledger owner that the worker's owner refuses."""
 
     @virtual
     async def test_more_than_the_worker_holds_is_refused(self):
@@ -246,7 +248,7 @@
         self.assertEqual(reply["refused"][0]["code"], "hold_expired")
 
     @virtual
-    async def test_room_asked_for_again_replaces_the_first_hold(self):
+    async def test_repeated_reservation_replaces_the_first_hold(self):
         await self.start(ENDLESS)
         await self.sleep(2)
         for _ in range(3):
@@ -254,7 +256,7 @@
             self.assertEqual(reply["refused"], [])
 
     @virtual
-    async def test_task_found_running_gets_room_beside_its_hold_elsewhere(self):
+    async def test_task_found_running_is_reserved_besides_its_hold_elsewhere(self):
         self.plane = await Plane(daemons=1, workers=2).start()
         self.runs = self.plane.platform.runs
         await self.sleep(2)
@@ -268,7 +270,7 @@
         self.assertEqual(host.accounts.workers[other].free.millicores, 1000)
         wrong = TaskToStart(**(granted | {"worker": other}), payload=ENDLESS)
         message = {"ledger": "00", "epoch": 1, "tasks": [wrong]}
-        reply = await host._start("d1", message)
+        reply = await host._handle_start("d1", message)
         self.assertTrue(reply["refused"])
         await self.sleep(1)
         self.assertEqual(host.accounts.workers[other].free.millicores, 4000)
@@ -283,20 +285,20 @@
         self.assertEqual(reply["refused"][0]["code"], "already_started")
 
     @virtual
-    async def test_attempt_called_unstarted_is_never_started_later(self):
+    async def test_attempt_reported_as_unstarted_is_never_started_later(self):
         await self.start(ENDLESS)
         await self.sleep(2)
         granted = (await self.reserve("d2", 10))["granted"][0]
         message = {"ledger": "00", "epoch": 1, "tasks": [granted]}
-        told = await self.plane.find("d2").host._check("d1", message)
-        self.assertEqual(told["tasks"][0]["state"], "unstarted")
+        checked = await self.plane.find("d2").host._handle_check("d1", message)
+        self.assertEqual(checked["tasks"][0]["state"], "unstarted")
         await self.reserve("d2", 10)
         reply = await self.order("d2", granted["epoch"])
         self.assertEqual(reply["refused"][0]["code"], "fenced")
 
 
 class TestLostWorkers(WithPlane):
-    """Tasks start elsewhere only when their lease must have lapsed."""
+    """Tasks start elsewhere only after their lease must have expired."""
 
     @virtual
     async def test_task_of_a_cut_off_worker_starts_elsewhere_after_its_lease(self):
@@ -353,13 +355,13 @@
         await self.sleep(90)
         self.assertEqual(len(self.plane.platform.workers[other].list_running()), 2)
 
-    async def let_go(self, name):
-        """Let a worker's owner lose it."""
+    async def lose_worker(self, name):
+        """Let the owner of a worker lose it."""
         registry, shard = self.plane.registry, f"worker/{name}"
         await registry.daemons[registry.owners[shard].instance].ownership.lose(shard)
 
     @virtual
-    async def test_renewal_on_its_way_when_a_worker_is_let_go_is_counted(self):
+    async def test_renewal_in_flight_when_a_worker_is_lost_is_counted(self):
         await self.start(ENDLESS, workers=2, tasks=2)
         await self.sleep(3.5)
         name, other = self.find_busy()
@@ -367,7 +369,7 @@
         worker.pause()
         self.plane.platform.instances.remove(name)
         await self.sleep(4.5)
-        await self.let_go(name)
+        await self.lose_worker(name)
         await self.sleep(2.5)
         worker.resume()
         await self.sleep(60)
@@ -375,14 +377,14 @@
         self.assertEqual(self.runs.overlaps, [])
 
     @virtual
-    async def test_task_of_a_worker_that_was_let_go_starts_after_its_own_lease(self):
+    async def test_task_of_a_lost_worker_starts_elsewhere_after_its_own_lease(self):
         await self.start(ENDLESS, workers=2, tasks=2)
         await self.sleep(2)
         name, other = self.find_busy()
         removed = self.plane.clock.monotonic()
         self.plane.platform.remove(name)
         await self.sleep(10)
-        await self.let_go(name)
+        await self.lose_worker(name)
         await self.sleep(60)
         self.assertEqual(len(self.plane.platform.workers[other].list_running()), 2)
         waited = self.runs.starts[-1].time - removed
@@ -411,10 +413,10 @@
 
 
 class TestLostAnswers(WithPlane):
-    """A start whose answer is lost is settled by the inventory."""
+    """The inventory decides about a start whose answer was lost."""
 
     @virtual
-    async def test_inventory_from_before_the_loss_leaves_the_doubt(self):
+    async def test_inventory_from_before_the_loss_leaves_the_start_unconfirmed(self):
         self.plane = await Plane(daemons=1, workers=1).start()
         self.runs = self.plane.platform.runs
         worker = self.plane.platform.workers["w1"]
@@ -425,11 +427,11 @@
         ledger_owner = self.plane.find("d1").ledger_owner
         view = await ledger_owner.submit_job(Submission("batch", "team", LONG))
         for _ in range(2000):
-            if session.roster.has_doubts():
+            if session.roster.has_unconfirmed():
                 break
             await self.sleep(0.001)
-        self.assertTrue(session.roster.has_doubts())
-        session.set_doubtful(False)
+        self.assertTrue(session.roster.has_unconfirmed())
+        session.set_unconfirmed(False)
         ended = await self.plane.wait_for_end(view.name)
         self.assertEqual(ended.state, JobState.COMPLETED)
         self.check_runs(1)
@@ -468,7 +470,7 @@
 
 
 class TestLeavingWorkers(WithPlane):
-    """A leaving worker gets no new work; what can move does, the rest ends."""
+    """A leaving worker gets no new work; movable tasks move, the others finish."""
 
     async def leave(self, **fields):
         await self.start(LONG, workers=2, **fields)
@@ -503,7 +505,7 @@
 
 
 class TestLearntSizes(WithPlane):
-    """Sizes follow what is reported, and nothing else."""
+    """Sizes are learnt only from reported usage."""
 
     @virtual
     async def test_sizes_stay_as_declared_where_nothing_is_reported(self):
@@ -518,14 +520,14 @@
         self.assertEqual(self.list_sizes(), declared)
 
     def list_sizes(self):
-        """List what is set aside on the worker for each task."""
+        """Return the reserved size of each task on the worker."""
         accounts = self.plane.find("d2").host.accounts
         reservations = accounts.workers["w1"].reservations.values()
         return [reservation.need.size for reservation in reservations]
 
 
 class TestPressure(WithPlane):
-    """Wrong declarations don't overload a worker."""
+    """A worker isn't overloaded by declared sizes that are too small."""
 
     async def overload(self, **fields):
         self.plane = await Plane(daemons=1, workers=1).start()
@@ -538,7 +540,7 @@
         return worker
 
     @virtual
-    async def test_idempotent_task_makes_room_and_waits(self):
+    async def test_idempotent_task_is_stopped_and_waits(self):
         worker = await self.overload()
         self.assertGreater(worker.calls["stop"], 0)
         self.assertLess(len(worker.list_running()), 4)
@@ -553,7 +555,7 @@
 
 
 class TestWorkersWithoutEpochs(unittest.TestCase):
-    """A new owner waits out the old one where the worker can't fence it off."""
+    """A new owner waits for the old lease if the worker can't check epochs."""
 
     @virtual
     async def test_worker_that_cannot_check_epochs_gets_work_after_the_old_lease(self):
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -1,4 +1,4 @@
-"""Summaries of owners' workers: bounded, true, and enough to pick an owner."""
+"""Summaries of owners' workers: bounded, correct, and sufficient to choose an owner."""
 
 import random
 import unittest
@@ -26,7 +26,7 @@
 
 
 def make_view(name, sizes, zone="a", age=0, accounts=None):
-    """Make a keeper's view of an owner with workers of some sizes."""
+    """Return a ledger owner's view of an owner with workers of some sizes."""
     accounts = accounts or WorkerAccounts()
     for number, size in enumerate(sizes):
         accounts.set_worker(make_worker(f"{name}-{number}", size, zone))
@@ -36,7 +36,7 @@
 
 
 class TestSummaries(unittest.TestCase):
-    """What a summary says of the workers."""
+    """Contents of a summary."""
 
     def test_a_summary_is_bounded_whatever_the_number_of_workers(self):
         accounts = WorkerAccounts()
@@ -65,7 +65,7 @@
         view = make_view("o", [], accounts=accounts)
         self.assertIsNone(view.find_tightest(TaskNeed("t", Size(1, 1, 0))))
 
-    def test_what_can_be_cleared_is_told_by_urgency(self):
+    def test_preemptible_capacity_is_summarized_by_urgency(self):
         accounts = WorkerAccounts()
         accounts.set_worker(make_worker("o-0", Size(9, 9, 0)))
         for task, urgency, idempotent in (
@@ -86,7 +86,7 @@
 
 
 class TestChooseOwner(unittest.TestCase):
-    """Which owner is asked."""
+    """Choice of the owner to ask."""
 
     def count_choices(self, views, need, times=300):
         rng = random.Random(1)
@@ -99,14 +99,14 @@
         need = TaskNeed("t", Size(1, 1, 0), near=frozenset("c"))
         self.assertGreater(self.count_choices(views, need)["c"], 150)
 
-    def test_a_stale_summary_is_asked_less_and_still_asked_alone(self):
+    def test_an_owner_with_a_stale_summary_is_asked_less(self):
         fresh = make_view("fresh", [Size(4, 4, 0)])
         stale = make_view("stale", [Size(4, 4, 0)], age=8)
         need = TaskNeed("t", Size(1, 1, 0))
         self.assertLess(self.count_choices([fresh, stale], need)["stale"], 30)
         self.assertEqual(set(self.count_choices([stale], need)), {"stale"})
 
-    def test_keepers_do_not_all_ask_the_same_owner(self):
+    def test_ledger_owners_do_not_all_ask_the_same_owner(self):
         views = [make_view(f"o{n}", [Size(4 + n, 4, 0)]) for n in range(9)]
         counts = self.count_choices(views, TaskNeed("t", Size(1, 1, 0)))
         self.assertLess(max(counts.values()), 150)
@@ -121,7 +121,7 @@
         need = TaskNeed("t", Size(1, 1, 1))
         self.assertEqual(set(self.count_choices(views, need)), {"fast"})
 
-    def test_what_was_asked_for_is_taken_off_until_the_next_summary(self):
+    def test_requests_are_deducted_until_the_next_summary(self):
         view = make_view("o", [Size(4, 4, 0), Size(3, 3, 0)])
         need = TaskNeed("t", Size(3, 3, 0))
         for _ in range(2):
@@ -129,7 +129,7 @@
             view.deduct(need)
         self.assertIsNone(choose_owner([view], need, random.Random(1), NOW))
 
-    def test_a_refusal_is_believed_for_needs_as_large(self):
+    def test_a_refusal_removes_slices_for_needs_as_large(self):
         view = make_view("o", [Size(4, 4, 0), Size(2, 2, 0)])
         view.record_refusal(TaskNeed("t", Size(3, 3, 0)))
         self.assertIsNone(view.find_tightest(TaskNeed("t", Size(3, 3, 0))))
