--- a/src/damaskdeck/coordination/requests/__init__.py
+++ b/src/damaskdeck/coordination/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests to services: admission, slots, forwarding, retries."""
+"""Requests to services: admission, slots, forwarding and retries."""
--- a/src/damaskdeck/coordination/requests/admission.py
+++ b/src/damaskdeck/coordination/requests/admission.py
@@ -1,4 +1,4 @@
-"""Bounded queues that refuse at once what can't be answered in time."""
+"""Bounded queues that refuse requests which can't meet their deadline."""
 
 import asyncio
 import heapq
@@ -15,28 +15,31 @@
 from damaskdeck.protocol.outcomes import Refused
 from damaskdeck.protocol.resources import Urgency
 
-QUEUE_BYTES = 2_000_000
-SHORTEST_HINT = 0.2
+MAX_QUEUE_BYTES = 2_000_000
+MIN_RETRY_AFTER_S = 0.2
 
 _RANKS = {urgency: rank for rank, urgency in enumerate(Urgency)}
+# Weight of one request in the moving average of each class's share.
 _SHARE_WEIGHT = 0.01
-_LEAST_SHARE = 0.02
+_MIN_CAPACITY_SHARE = 0.02
 
 
 class Waiter:
-    """A request that waits for a place.
+    """A request that waits for a slot.
 
-    :param need: time in a slot to keep back for it, in seconds.
-    :param avoided: targets and daemons that refused or lost it before.
-    :param is_local: whether its caller is here, so that it may go elsewhere.
+    :param reserved_time: time before the deadline to reserve for the call, in seconds.
+    :param avoided: targets and daemons that refused it or lost its answer before.
+    :param is_local: whether its caller is on this daemon, so that it may be
+        forwarded.
+    :ivar latest_start: when it is refused unless it has a slot.
     """
 
     __slots__ = (
         "avoided",
         "deadline",
         "future",
-        "give_up",
         "is_local",
+        "latest_start",
         "order",
         "rank",
         "size",
@@ -48,7 +51,7 @@
         self,
         request: ServiceRequest,
         deadline: timedelta,
-        need: float,
+        reserved_time: float,
         avoided: frozenset[str] = frozenset(),
         is_local: bool = True,
     ) -> None:
@@ -56,7 +59,7 @@
         self.rank = _RANKS[request.urgency]
         self.size = len(request.body)
         self.deadline = deadline
-        self.give_up = deadline - timedelta(seconds=need)
+        self.latest_start = deadline - timedelta(seconds=reserved_time)
         self.avoided = avoided
         self.is_local = is_local
         self.order = (deadline, next(Waiter._numbers))
@@ -64,27 +67,27 @@
 
 
 class _TeamQueue:
-    """A team's waiters of one urgency class, the first deadline first."""
+    """A team's waiters of one urgency class, ordered by deadline."""
 
-    def __init__(self, served: float) -> None:
+    def __init__(self, turns_taken: float) -> None:
         self.waiters: list[tuple[timedelta, int, Waiter]] = SortedList()
-        self.served = served
-        self.listed: tuple[int, tuple[timedelta, int, Waiter]] | None = None
+        self.turns_taken = turns_taken
+        self.heap_key: tuple[int, tuple[timedelta, int, Waiter]] | None = None
 
     @property
     def key(self) -> tuple[int, tuple[timedelta, int, Waiter]]:
-        """Order among the teams: by turns taken, then by the first waiter."""
-        return int(self.served), self.waiters[0]
+        """Sort key among the teams: turns taken, then the first waiter."""
+        return int(self.turns_taken), self.waiters[0]
 
 
 class _ClassQueue:
-    """One urgency class; teams take turns of ``quantum`` requests.
+    """One urgency class, in which teams take turns of ``quantum`` requests.
 
-    Within a turn the order is by deadline, so that a few requests that came
-    together don't wait for those of other teams behind them.
+    Within a turn requests are ordered by deadline, so that a few requests which
+    arrived together don't wait behind those of other teams.
 
-    The heap has an entry for the first waiter of each team, and old ones that
-    are dropped when they come up.
+    The heap has an entry for the first waiter of each team, and stale entries that
+    are removed when they reach the top.
     """
 
     def __init__(self) -> None:
@@ -100,7 +103,7 @@
         return len(queue.waiters) if queue else 0
 
     def count_ahead(self, team: str, deadline: timedelta) -> int:
-        """Estimate how many of this class are served before a newcomer."""
+        """Estimate how many of this class are served before a new request."""
         queue = self._teams.get(team)
         own = queue.waiters.bisect_left((deadline,)) if queue else 0
         others = self.count - self.get_length(team)
@@ -113,7 +116,7 @@
         queue.waiters.add((*waiter.order, waiter))
         self.count += 1
         self.size += waiter.size
-        self._list(waiter.team, queue)
+        self._push(waiter.team, queue)
 
     def remove(self, waiter: Waiter) -> bool:
         queue = self._teams.get(waiter.team)
@@ -121,7 +124,7 @@
         if queue is None or entry not in queue.waiters:
             return False
         queue.waiters.remove(entry)
-        self._count_out(waiter, queue)
+        self._update_after_removal(waiter, queue)
         return True
 
     def peek(self) -> Waiter | None:
@@ -158,33 +161,35 @@
 
     def _serve(self, waiter: Waiter) -> None:
         queue = self._teams[waiter.team]
-        self._turn = max(self._turn, int(queue.served))
-        queue.served += 1 / self.quantum
+        self._turn = max(self._turn, int(queue.turns_taken))
+        queue.turns_taken += 1 / self.quantum
         self.remove(waiter)
 
-    def _count_out(self, waiter: Waiter, queue: _TeamQueue) -> None:
+    def _update_after_removal(self, waiter: Waiter, queue: _TeamQueue) -> None:
         self.count -= 1
         self.size -= waiter.size
         if queue.waiters:
-            self._list(waiter.team, queue)
+            self._push(waiter.team, queue)
         else:
             del self._teams[waiter.team]
         if not self._teams:
             self._heap.clear()
 
-    def _list(self, team: str, queue: _TeamQueue) -> None:
+    def _push(self, team: str, queue: _TeamQueue) -> None:
         key = queue.key
-        if key != queue.listed:
-            queue.listed = key
+        if key != queue.heap_key:
+            queue.heap_key = key
             heapq.heappush(self._heap, (*key, team))
 
 
 class AdmissionQueue:
-    """Who waits for a place: by urgency, fair between teams, then by deadline.
+    """Requests that wait for a slot.
 
-    :param durations: learned time in a slot.
-    :param limit: waiters of one team and urgency class.
-    :param size_limit: bytes of the bodies of one urgency class.
+    They are ordered by urgency, then fairly between teams, then by deadline.
+
+    :param durations: measured time in a slot.
+    :param limit: maximum number of waiters of one team and urgency class.
+    :param size_limit: maximum bytes of the bodies of one urgency class.
     """
 
     def __init__(
@@ -192,25 +197,25 @@
         durations: Durations,
         rng: random.Random,
         limit: int = QUEUE_LIMIT,
-        size_limit: int = QUEUE_BYTES,
+        size_limit: int = MAX_QUEUE_BYTES,
     ) -> None:
         self._durations = durations
         self._random = rng
         self._limit = limit
         self._size_limit = size_limit
         self._classes = [_ClassQueue() for _ in _RANKS]
-        self._shares = [0.0 for _ in _RANKS]
+        self._served_shares = [0.0 for _ in _RANKS]
 
     def __len__(self) -> int:
         return sum(queue.count for queue in self._classes)
 
     def set_quantum(self, requests: int) -> None:
-        """Let each team take turns of so many requests."""
+        """Set how many requests a team may have served in one turn."""
         for queue in self._classes:
             queue.quantum = max(1, requests)
 
     def admit(self, waiter: Waiter, now: timedelta, slots: int) -> Refused | None:
-        """Let a request wait, or refuse it at once.
+        """Enqueue a request, or return why it is refused.
 
         :param slots: how many slots the waiters share.
         """
@@ -226,21 +231,21 @@
         return None
 
     def estimate_excess(self, waiter: Waiter, now: timedelta, slots: int) -> float:
-        """Return by how many seconds a newcomer would miss its deadline."""
+        """Return by how many seconds a new request would miss its latest start."""
         wait = self.estimate_wait(waiter, slots)
-        return wait - (waiter.give_up - now).total_seconds()
+        return wait - (waiter.latest_start - now).total_seconds()
 
     def estimate_wait(self, waiter: Waiter, slots: int) -> float:
-        """Return how many seconds a newcomer would wait."""
+        """Return how many seconds a new request would wait."""
         rank = waiter.rank
         ahead = self._classes[rank].count_ahead(waiter.team, waiter.deadline)
         for queue in self._classes[:rank]:
             ahead += queue.count
-        share = max(_LEAST_SHARE, 1 - sum(self._shares[:rank]))
+        share = max(_MIN_CAPACITY_SHARE, 1 - sum(self._served_shares[:rank]))
         return (ahead + 1) * self._durations.mean / max(slots, 1) / share
 
     def pop(self) -> Waiter | None:
-        """Take out whoever is next."""
+        """Remove and return the next waiter, if any."""
         for rank, queue in enumerate(self._classes):
             if queue.count:
                 self._count_served(rank)
@@ -248,14 +253,14 @@
         return None
 
     def peek(self) -> Waiter | None:
-        """Return whoever is next."""
+        """Return the next waiter without removing it, if any."""
         for queue in self._classes:
             if queue.count:
                 return queue.peek()
         return None
 
     def pop_local(self) -> Waiter | None:
-        """Take out the next one that may go to another daemon."""
+        """Remove and return the next waiter that may be forwarded, if any."""
         for queue in self._classes:
             waiter = queue.pop_local() if queue.count else None
             if waiter is not None:
@@ -263,29 +268,29 @@
         return None
 
     def pop_all(self) -> list[Waiter]:
-        """Take out everybody."""
+        """Remove and return all waiters."""
         return [w for queue in self._classes for w in queue.pop_all()]
 
     def remove(self, waiter: Waiter) -> bool:
-        """Take out one whose caller has gone; tell whether it was waiting."""
+        """Remove a waiter whose caller is gone; return whether it was waiting."""
         return self._classes[waiter.rank].remove(waiter)
 
     def count_served_directly(self, urgency: Urgency) -> None:
-        """Learn of a request that found a slot without waiting."""
+        """Count a request that got a slot without waiting."""
         self._count_served(_RANKS[urgency])
 
-    def _count_served(self, served: int) -> None:
-        for rank in range(len(self._shares)):
-            self._shares[rank] *= 1 - _SHARE_WEIGHT
-        self._shares[served] += _SHARE_WEIGHT
+    def _count_served(self, served_rank: int) -> None:
+        for rank in range(len(self._served_shares)):
+            self._served_shares[rank] *= 1 - _SHARE_WEIGHT
+        self._served_shares[served_rank] += _SHARE_WEIGHT
 
     def refuse(self, code: str, ahead: int, slots: int, excess: float = 0.0) -> Refused:
-        """Return a refusal with a hint when to come back.
+        """Return a refusal with a hint when to retry.
 
-        :param ahead: requests to be served first.
+        :param ahead: requests that are served first.
         :param excess: seconds by which a deadline would be missed.
         """
         wait = excess + ahead * self._durations.mean / max(slots, 1)
         spread = 1 + self._random.random()
-        hint = timedelta(seconds=max(wait, SHORTEST_HINT) * spread)
+        hint = timedelta(seconds=max(wait, MIN_RETRY_AFTER_S) * spread)
         return Refused(code, retry_after=hint)
--- a/src/damaskdeck/coordination/requests/durations.py
+++ b/src/damaskdeck/coordination/requests/durations.py
@@ -1,13 +1,13 @@
-"""Learned times in a slot."""
+"""Moving statistics of the time that requests take in a slot."""
 
 _WEIGHT = 0.02
-_SPREAD = 2.0
+_DEVIATION_FACTOR = 2.0
 
 
 class Durations:
-    """Running mean and mean deviation of a service's time in a slot, in seconds.
+    """Moving mean and mean deviation of a service's time in a slot, in seconds.
 
-    Both are 0 until the first observation: nothing is refused on a guess.
+    Both are 0 until the first observation, so that nothing is refused on a guess.
     """
 
     def __init__(self) -> None:
@@ -16,7 +16,7 @@
         self._count = 0
 
     def observe(self, seconds: float) -> None:
-        """Learn from a request that was answered."""
+        """Add the duration of a completed request."""
         self._count += 1
         weight = max(_WEIGHT, 1 / self._count)
         error = seconds - self.mean
@@ -24,11 +24,11 @@
         self._deviation += weight * (abs(error) - self._deviation)
 
     @property
-    def high(self) -> float:
-        """A time that most requests need at most."""
-        return self.mean + _SPREAD * self._deviation
+    def upper_estimate(self) -> float:
+        """A time in which most requests are completed."""
+        return self.mean + _DEVIATION_FACTOR * self._deviation
 
     @property
-    def low(self) -> float:
-        """A time that most requests need at least."""
-        return max(0.0, self.mean - _SPREAD * self._deviation)
+    def lower_estimate(self) -> float:
+        """A time that most requests take at least."""
+        return max(0.0, self.mean - _DEVIATION_FACTOR * self._deviation)
--- a/src/damaskdeck/coordination/requests/forwards.py
+++ b/src/damaskdeck/coordination/requests/forwards.py
@@ -1,4 +1,4 @@
-"""Passes requests to other daemons and takes theirs."""
+"""Forwarding of requests between daemons."""
 
 import asyncio
 from collections import deque
@@ -8,8 +8,8 @@
 
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.requests.attempts import (
-    FREE_CODES,
-    HOP_FACTOR,
+    ATTEMPTS_PER_HOP,
+    FREE_RETRY_CODES,
     AnswerLost,
     NotRun,
     Redirect,
@@ -32,17 +32,18 @@
 from damaskdeck.protocol.resources import Urgency
 
 COMPONENT = "forwards"
-KEPT_TIME = timedelta(seconds=1)
+# How long after its deadline a forwarded request is kept, to drop duplicates.
+DEDUPLICATION_TIME = timedelta(seconds=1)
 
 _URGENCIES = {urgency.value: urgency for urgency in Urgency}
 
-# A request that a peer passed on: the peer, the identifier and the attempt.
+# Key of a forwarded request: the peer, the identifier and the attempt.
 _Key = tuple[str, str, int]
 Serve = Callable[[RequestContext], Awaitable[Outcome]]
 
 
 class Forwarder:
-    """Passes requests on, at most one hop, and serves those that peers pass.
+    """Forwards requests over at most one hop, and serves requests of peers.
 
     :param serve: serves a request on this daemon's own targets.
     """
@@ -62,44 +63,48 @@
         self._clock = clock
         self._get_lane = get_lane
         self._serve = serve
-        self._taken: dict[_Key, asyncio.Task[Outcome] | None] = {}
+        self._received: dict[_Key, asyncio.Task[Outcome] | None] = {}
         self._deadlines: deque[tuple[timedelta, _Key]] = deque()
-        peers.register(ForwardRequest, self._take)
-        peers.register(CancelForwardedRequest, self._cancel)
+        peers.register(ForwardRequest, self._handle_forward)
+        peers.register(CancelForwardedRequest, self._handle_cancel)
 
     @property
-    def count_taken(self) -> int:
-        """Return how many requests of peers are in progress here."""
-        return sum(task is not None for task in self._taken.values())
-
-    async def forward(self, redirect: Redirect, course: RequestContext) -> Result:
-        """Pass a request to another daemon and wait for its outcome."""
-        left = course.deadline - self._clock.monotonic()
-        if left <= timedelta():
+    def received_count(self) -> int:
+        """Number of requests of peers that are in progress here."""
+        return sum(task is not None for task in self._received.values())
+
+    async def forward(self, redirect: Redirect, context: RequestContext) -> Result:
+        """Forward a request to another daemon and wait for its outcome."""
+        remaining = context.deadline - self._clock.monotonic()
+        if remaining <= timedelta():
             return NotRun("deadline_passed")
         instance = redirect.instance
-        attempt = course.begin_attempt(instance)
-        message = self._write(course, attempt, left, redirect.patience)
-        self._loads.count_sent(instance, course.request.service)
-        course.is_sent = True
+        attempt = context.begin_attempt(instance)
+        message = self._make_message(context, attempt, remaining, redirect.wait_limit)
+        self._loads.count_sent(instance, context.request.service)
+        context.is_sent = True
         try:
-            reply = await self._peers.call(instance, message, ForwardRequest, left)
+            reply = await self._peers.call(instance, message, ForwardRequest, remaining)
         except asyncio.CancelledError:
-            name = course.request.identifier
+            name = context.request.identifier
             cancel = CancelForwardedRequest(identifier=name, attempt=attempt)
             self._peers.send(instance, cancel, CancelForwardedRequest)
             raise
         if isinstance(reply, Unsent):
-            self._loads.forget(instance)
-            return NotRun(reply.code, is_free=True)
+            self._loads.mark_unavailable(instance)
+            return NotRun(reply.code, is_free_retry=True)
         if not isinstance(reply, Answered):
             return AnswerLost(reply.code)
-        return self._read(instance, course.request, attempt, reply.message)
+        return self._read_reply(instance, context.request, attempt, reply.message)
 
-    def _write(
-        self, course: RequestContext, attempt: int, left: timedelta, patience: float
+    def _make_message(
+        self,
+        context: RequestContext,
+        attempt: int,
+        remaining: timedelta,
+        wait_limit: float,
     ) -> ForwardRequest:
-        request = course.request
+        request = context.request
         return ForwardRequest(
             identifier=request.identifier,
             attempt=attempt,
@@ -109,12 +114,12 @@
             content_type=request.content_type,
             urgency=request.urgency.value,
             idempotent=request.idempotent,
-            timeout=left.total_seconds(),
-            patience=patience,
+            timeout=remaining.total_seconds(),
+            patience=wait_limit,
             waiting=len(self._get_lane(request.service).queue),
         )
 
-    def _read(
+    def _read_reply(
         self, instance: str, request: ServiceRequest, attempt: int, answer: Any
     ) -> Result:
         if not answer:
@@ -123,36 +128,36 @@
             count_drop(COMPONENT, "answer_crossed")
             return AnswerLost("answer_crossed")
         if "load" in answer:
-            self._loads.note(instance, request.service, answer["load"])
+            self._loads.record(instance, request.service, answer["load"])
         outcome = parse_outcome(answer["outcome"])
         if isinstance(outcome, Refused):
-            is_free = outcome.code in FREE_CODES
-            return NotRun(outcome.code, outcome.retry_after, is_free)
+            is_free_retry = outcome.code in FREE_RETRY_CODES
+            return NotRun(outcome.code, outcome.retry_after, is_free_retry)
         if isinstance(outcome, Unknown):
             return AnswerLost(outcome.code)
         return outcome
 
-    async def _take(
+    async def _handle_forward(
         self, instance: str, message: ForwardRequest
     ) -> ForwardRequestReply | None:
         key = (instance, message["identifier"], message["attempt"])
-        self._forget_old()
-        if key in self._taken:
+        self._remove_old()
+        if key in self._received:
             count_drop(COMPONENT, "request_doubled")
             return None
         service = message["service"]
-        self._sharing.count_arrived(service)
-        self._sharing.note_waiting(instance, service, message["waiting"])
-        course = self._read_course(message)
-        task = asyncio.ensure_future(self._serve(course))
-        self._taken[key] = task
-        self._deadlines.append((course.deadline, key))
+        self._sharing.consume_offer(service)
+        self._sharing.record_waiting(instance, service, message["waiting"])
+        context = self._read_context(message)
+        task = asyncio.ensure_future(self._serve(context))
+        self._received[key] = task
+        self._deadlines.append((context.deadline, key))
         try:
             outcome = await task
         except asyncio.CancelledError:
             outcome = Unknown("cancelled")
         finally:
-            self._taken[key] = None
+            self._received[key] = None
         return ForwardRequestReply(
             identifier=message["identifier"],
             attempt=message["attempt"],
@@ -160,22 +165,24 @@
             load=self._get_lane(service).read_load(),
         )
 
-    async def _cancel(self, instance: str, message: CancelForwardedRequest) -> None:
+    async def _handle_cancel(
+        self, instance: str, message: CancelForwardedRequest
+    ) -> None:
         key = (instance, message["identifier"], message["attempt"])
-        task = self._taken.get(key)
+        task = self._received.get(key)
         if task is not None:
             task.cancel()
 
-    def _forget_old(self) -> None:
+    def _remove_old(self) -> None:
         now = self._clock.monotonic()
-        while self._deadlines and self._deadlines[0][0] + KEPT_TIME < now:
+        while self._deadlines and self._deadlines[0][0] + DEDUPLICATION_TIME < now:
             _, key = self._deadlines.popleft()
-            if self._taken[key] is None:
-                del self._taken[key]
+            if self._received[key] is None:
+                del self._received[key]
             else:
                 self._deadlines.append((now, key))
 
-    def _read_course(self, message: ForwardRequest) -> RequestContext:
+    def _read_context(self, message: ForwardRequest) -> RequestContext:
         request = ServiceRequest(
             message["identifier"],
             message["service"],
@@ -186,5 +193,5 @@
             urgency=_URGENCIES.get(message["urgency"], Urgency.NORMAL),
             idempotent=message["idempotent"],
         )
-        base = message["attempt"] * HOP_FACTOR
+        base = message["attempt"] * ATTEMPTS_PER_HOP
         return RequestContext(request, self._clock, base, False, message["patience"])
--- a/src/damaskdeck/coordination/requests/keyed.py
+++ b/src/damaskdeck/coordination/requests/keyed.py
@@ -18,9 +18,9 @@
 
 
 class KeyedRequests:
-    """Serves a request at most once for each key.
+    """Serves a request at most once per key.
 
-    Promise: "A request marked as non-idempotent [...] runs at most once."
+    Guarantee: "A request marked as non-idempotent [...] runs at most once."
 
     :param serve: runs a request whose key was claimed.
     """
@@ -32,16 +32,16 @@
     ) -> None:
         self._keys = keys
         self._serve = serve
-        self._settlings: set[asyncio.Task[Any]] = set()
+        self._key_calls: set[asyncio.Task[Any]] = set()
 
     @property
-    def count_settling(self) -> int:
-        """Return how many keys are being claimed or settled."""
-        return len(self._settlings)
+    def settling_count(self) -> int:
+        """Number of keys that are being claimed or settled."""
+        return len(self._key_calls)
 
-    async def serve(self, course: RequestContext) -> Outcome:
-        """Run a request once for its key, or return what became of it."""
-        request = course.request
+    async def serve(self, context: RequestContext) -> Outcome:
+        """Run a request once per key, or return the outcome of the first run."""
+        request = context.request
         digest = hashlib.sha256(request.body).digest()
         name = (request.team, request.service, request.key)
         claiming = self._start(self._keys.claim_key(*name, digest, request.timeout))
@@ -55,38 +55,38 @@
         if not isinstance(claim, ClaimedKey):
             return claim
         try:
-            outcome = await self._serve(course)
+            outcome = await self._serve(context)
         except asyncio.CancelledError:
-            self._start(self._settle_cancelled(name, course))
+            self._start(self._settle_cancelled(name, context))
             raise
         settling = self._start(self._keys.settle_key(*name, outcome))
         await asyncio.shield(settling)
         return outcome
 
     def _start(self, call: Coroutine[Any, Any, Any]) -> "asyncio.Task[Any]":
-        """Let a call to the keeper end also when the caller goes meanwhile."""
-        return start_task(call, self._settlings)
+        """Start a call to the ledger owner that outlives its caller."""
+        return start_task(call, self._key_calls)
 
     async def _settle_unserved(
         self, name: tuple[str, str, str], claiming: "asyncio.Task[Any]"
     ) -> None:
-        """Remember that a request whose caller went too early has not run."""
+        """Settle the key of a request that was cancelled before it was served."""
         if isinstance(await claiming, ClaimedKey):
             await self._keys.settle_key(*name, Refused("cancelled"))
 
     async def _settle_cancelled(
-        self, name: tuple[str, str, str], course: RequestContext
+        self, name: tuple[str, str, str], context: RequestContext
     ) -> None:
-        """Remember what became of a keyed request whose caller has gone."""
+        """Settle the key of a request that was cancelled while it was served."""
         outcome: Outcome = Refused("cancelled")
-        if course.lost:
-            outcome = Unknown(course.lost)
-        if course.call is not None:
-            result = await course.call
+        if context.lost_code:
+            outcome = Unknown(context.lost_code)
+        if context.call is not None:
+            result = await context.call
             if isinstance(result, Completed | Failed):
                 outcome = result
             elif isinstance(result, AnswerLost):
                 outcome = Unknown(result.code)
-        elif course.is_sent:
+        elif context.is_sent:
             outcome = Unknown("cancelled")
         await self._keys.settle_key(*name, outcome)
--- a/src/damaskdeck/coordination/requests/loads.py
+++ b/src/damaskdeck/coordination/requests/loads.py
@@ -1,4 +1,4 @@
-"""What this daemon knows of the other owners' loads, and the choice among them."""
+"""Loads of the other owners, as reported, and the choice among them."""
 
 import math
 import random
@@ -14,10 +14,11 @@
 from damaskdeck.protocol.members import Members
 
 TOPIC = "load"
-REPORT_LIMIT = 4096
+MAX_REPORT_BYTES = 4096
 
+# Weight of one report in the moving average of the free slots.
 _AVERAGE_WEIGHT = 0.2
-_LEAST_TIME = 0.001
+_MIN_SERVICE_TIME_S = 0.001
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(dict[str, ServiceLoad])
@@ -25,67 +26,69 @@
 
 
 class LoadView:
-    """One owner's load of one service, with the age of what is known.
+    """An owner's reported load of one service.
 
-    :ivar average: of the free slots over the owner's reports.
-    :ivar sent: requests sent to the owner since it reported.
+    :ivar time: when the load was received, on the monotonic clock.
+    :ivar average_free: moving average of the free slots over the owner's reports.
+    :ivar sent: requests sent to the owner since its last report.
     """
 
-    __slots__ = ("average", "instance", "load", "sent", "time")
+    __slots__ = ("average_free", "instance", "load", "sent", "time")
 
     def __init__(self, instance: str, load: ServiceLoad, time: timedelta) -> None:
         self.instance = instance
         self.load = load
         self.time = time
-        self.average = float(load["free"])
+        self.average_free = float(load["free"])
         self.sent = 0
 
     def update(self, load: ServiceLoad, time: timedelta) -> None:
-        """Take a newer load."""
+        """Apply a newer load."""
         self.load = load
         self.time = time
         self.sent = 0
-        self.average += _AVERAGE_WEIGHT * (load["free"] - self.average)
+        self.average_free += _AVERAGE_WEIGHT * (load["free"] - self.average_free)
 
     def estimate_free(self, now: timedelta) -> float:
-        """Return the expected free slots less the requests that wait.
+        """Return the expected number of free slots less the waiting requests.
 
-        What was reported counts for less as it grows older than the time in
-        which the slots change hands; the average takes its place.
+        The weight of the report decays with its age relative to the service time, in
+        which the slots change hands; the moving average takes its place.
         """
         load = self.load
         age = (now - self.time).total_seconds()
-        weight = math.exp(-age / max(load["service_time"], _LEAST_TIME))
+        weight = math.exp(-age / max(load["service_time"], _MIN_SERVICE_TIME_S))
         known = load["free"] - load["queued"]
-        return weight * known + (1 - weight) * self.average - self.sent
+        return weight * known + (1 - weight) * self.average_free - self.sent
 
     def estimate_wait(self, free: float) -> float:
-        """Return how many seconds a newcomer would wait there.
+        """Return how many seconds a new request would wait there.
 
-        :param free: what :meth:`estimate_free` said.
+        :param free: result of :meth:`estimate_free`.
         """
         load = self.load
         missing = max(0.0, 1 - free)
         return missing * load["service_time"] / load["slots"]
 
 
-class Choice(NamedTuple):
-    """A daemon to send a request to.
+class PeerChoice(NamedTuple):
+    """A daemon to forward a request to.
 
-    :param free: slots that it is expected to have free.
-    :param wait: seconds that a newcomer is expected to wait there.
+    :param free: its expected number of free slots.
+    :param wait: seconds that a new request is expected to wait there.
+    :param is_same_zone: whether it is in this availability zone.
     """
 
     instance: str
     free: float
     wait: float
-    is_near: bool
+    is_same_zone: bool
 
 
 class LoadTable:
-    """Loads of the other owners by service.
+    """Loads of the other owners, by service.
 
-    :param rng: draws the two to choose from.
+    :param rng: draws the two owners to choose from.
     """
 
     def __init__(self, members: Members, clock: Clock, rng: random.Random) -> None:
@@ -93,15 +96,18 @@
         self._clock = clock
         self._random = rng
         self._views: dict[str, dict[str, LoadView]] = {}
-        self._near: dict[str, list[LoadView]] = {}
-        self._far: dict[str, list[LoadView]] = {}
+        self._same_zone: dict[str, list[LoadView]] = {}
+        self._other_zones: dict[str, list[LoadView]] = {}
 
     def publish(self, loads: dict[str, ServiceLoad]) -> None:
-        """Attach the own loads to the next heartbeats, the largest first."""
+        """Attach the own loads to the next heartbeats, the largest first.
+
+        The smallest are left out if the report would exceed ``MAX_REPORT_BYTES``.
+        """
         ranked = sorted(loads.items(), key=lambda item: -item[1]["slots"])
         value = _encoder.encode(dict(ranked))
-        while len(value) > REPORT_LIMIT:
-            ranked = ranked[: len(ranked) * REPORT_LIMIT // len(value)]
+        while len(value) > MAX_REPORT_BYTES:
+            ranked = ranked[: len(ranked) * MAX_REPORT_BYTES // len(value)]
             value = _encoder.encode(dict(ranked))
         self._members.publish(TOPIC, value)
 
@@ -111,18 +117,20 @@
         zones = {member.name: member.zone for member in self._members.list_live()}
         for name, report in self._members.read_reports(TOPIC).items():
             if name != own.name and name in zones:
-                self._read(name, report.value, report.received)
-        self._near, self._far = {}, {}
+                self._merge_report(name, report.value, report.received)
+        self._same_zone, self._other_zones = {}, {}
         for service, views in self._views.items():
             for name in [name for name in views if name not in zones]:
                 del views[name]
             for name, view in views.items():
-                side = self._near if zones[name] == own.zone else self._far
-                side.setdefault(service, []).append(view)
+                by_service = (
+                    self._same_zone if zones[name] == own.zone else self._other_zones
+                )
+                by_service.setdefault(service, []).append(view)
 
-    def note(self, instance: str, service: str, load: ServiceLoad) -> None:
-        """Learn a load from a reply."""
-        self._put(instance, service, load, self._clock.monotonic())
+    def record(self, instance: str, service: str, load: ServiceLoad) -> None:
+        """Record a load from a reply."""
+        self._update_view(instance, service, load, self._clock.monotonic())
 
     def count_sent(self, instance: str, service: str) -> None:
         """Count a request that was just sent to an owner."""
@@ -131,14 +139,14 @@
             view.sent += 1
 
     def choose(
-        self, service: str, avoided: frozenset[str], near: bool = True
-    ) -> Choice | None:
-        """Draw two owners and return the better one.
+        self, service: str, avoided: frozenset[str], same_zone: bool = True
+    ) -> PeerChoice | None:
+        """Draw two owners at random and return the better one.
 
-        :param near: of this availability zone, else of all others.
+        :param same_zone: choose from this availability zone, else from all others.
         """
-        side = self._near if near else self._far
-        views = side.get(service, ())
+        by_service = self._same_zone if same_zone else self._other_zones
+        views = by_service.get(service, ())
         now = self._clock.monotonic()
         views = [
             view
@@ -152,10 +160,10 @@
             estimate = view.estimate_free(now)
             if estimate > free:
                 best, free = view, estimate
-        return Choice(best.instance, free, best.estimate_wait(free), near)
+        return PeerChoice(best.instance, free, best.estimate_wait(free), same_zone)
 
     def _draw(self, views: list[LoadView]) -> list[LoadView]:
-        """Draw two of them."""
+        """Draw two of the views at random."""
         count = len(views)
         if count <= 2:
             return views
@@ -163,33 +171,33 @@
         second = int(self._random.random() * (count - 1))
         return [views[first], views[second + (second >= first)]]
 
-    def list_owners(self, service: str, near: bool) -> list[str]:
+    def list_owners(self, service: str, same_zone: bool) -> list[str]:
         """List the live daemons that have slots of a service."""
-        side = self._near if near else self._far
-        return [v.instance for v in side.get(service, ()) if v.load["slots"]]
+        by_service = self._same_zone if same_zone else self._other_zones
+        return [v.instance for v in by_service.get(service, ()) if v.load["slots"]]
 
-    def list_near(self, service: str) -> list[ServiceLoad]:
-        """List the loads of this availability zone's other owners."""
-        return [view.load for view in self._near.get(service, ())]
+    def list_same_zone(self, service: str) -> list[ServiceLoad]:
+        """List the loads of the other owners of this availability zone."""
+        return [view.load for view in self._same_zone.get(service, ())]
 
-    def forget(self, instance: str) -> None:
-        """Don't choose a daemon before its next report."""
+    def mark_unavailable(self, instance: str) -> None:
+        """Exclude a daemon from the choice until its next report."""
         for views in self._views.values():
             if instance in views:
                 views[instance].load = ServiceLoad(
                     **{**views[instance].load, "slots": 0}
                 )
 
-    def _read(self, name: str, value: bytes, received: timedelta) -> None:
+    def _merge_report(self, name: str, value: bytes, received: timedelta) -> None:
         try:
             loads = _decoder.decode(value)
         except DECODE_ERRORS as error:
-            _log.warn("A load report is unreadable.", member=name, error=str(error))
+            _log.warn("A load report is invalid.", member=name, error=str(error))
             return
         for service, load in loads.items():
-            self._put(name, service, load, received)
+            self._update_view(name, service, load, received)
 
-    def _put(
+    def _update_view(
         self, instance: str, service: str, load: ServiceLoad, time: timedelta
     ) -> None:
         views = self._views.setdefault(service, {})
--- a/src/damaskdeck/coordination/requests/owned.py
+++ b/src/damaskdeck/coordination/requests/ownedtargets.py
@@ -1,4 +1,4 @@
-"""The targets that this daemon owns: gained, lost, listed and probed."""
+"""Targets that this daemon owns: gain, loss, listing and probes."""
 
 import asyncio
 import random
@@ -28,13 +28,13 @@
 )
 
 SCOPE = "target"
-GAIN_TIME = timedelta(milliseconds=10)
+FIRST_ASSIGNMENT_DELAY = timedelta(milliseconds=10)
 PROBE_INTERVAL = timedelta(milliseconds=500)
 PROBE_TIMEOUT = timedelta(milliseconds=500)
 
 
 class FleetReader(Protocol):
-    """What the instance list says, as ``coordination.fleet`` keeps it."""
+    """Read access to the instance list; ``workers.fleet.Fleet`` implements it."""
 
     def list(self, role: InstanceRole, zone: str = "") -> tuple[Instance, ...]:
         """List the instances of a role, of one zone or of all."""
@@ -47,12 +47,13 @@
 
 
 class OwnedTargets:
-    """Fills lanes with the targets that ownership gives to this daemon.
+    """Keeps the lanes filled with the targets that this daemon owns.
 
-    :param max_call_time: no request runs on a target for longer.
-    :param margin: added to it where a slot must be free without an answer.
-    :param queue_limit: waiters of one team and urgency class for a service.
-    :param on_room: called when slots of a lane were given to all who wait.
+    :param max_call_time: the longest time a request can run on a target.
+    :param margin: added to it before a slot is free without an answer.
+    :param queue_limit: maximum number of waiters of one team and urgency class per
+        service.
+    :param on_slots_available: called once all waiters of a lane have got slots.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         max_call_time: timedelta,
         margin: timedelta,
         queue_limit: int,
-        on_room: Callable[[Lane], None],
+        on_slots_available: Callable[[Lane], None],
     ) -> None:
         self.lanes: dict[str, Lane] = {}
         self._members = members
@@ -80,31 +81,37 @@
         self._timers = timers
         self._loads = loads
         self._random = rng
-        self._longest = max_call_time
-        self._hold = max_call_time + margin
+        self._max_call_time = max_call_time
+        self._max_hold_time = max_call_time + margin
         self._queue_limit = queue_limit
-        self._on_room = on_room
-        self._gained: dict[str, SlotPool] = {}
+        self._on_slots_available = on_slots_available
+        self._owned_pools: dict[str, SlotPool] = {}
         self._unlisted: dict[str, int] = {}
-        self._gains: set[asyncio.Task[None]] = set()
+        self._gain_tasks: set[asyncio.Task[None]] = set()
         self._handover = SlotHandover(
-            members, ownership, peers, clock, max_call_time, margin, self._give_places
+            members,
+            ownership,
+            peers,
+            clock,
+            max_call_time,
+            margin,
+            self._assign_free_slots,
         )
-        ownership.on_gain(SCOPE, self._gain)
-        ownership.on_loss(SCOPE, self._lose)
-        fleet.on_change(self._read_fleet)
-        self._read_fleet()
+        ownership.on_gain(SCOPE, self._handle_gain)
+        ownership.on_loss(SCOPE, self._handle_loss)
+        fleet.on_change(self._handle_fleet_change)
+        self._handle_fleet_change()
 
     async def run(self) -> None:
-        """Probe ejected targets, and let those return that live."""
+        """Probe ejected targets, and readmit those that answer."""
         while True:
             await self._clock.sleep(PROBE_INTERVAL)
             for lane in list(self.lanes.values()):
-                for health in lane.list_returning():
+                for health in lane.list_probe_candidates():
                     await self._probe(health)
 
     def get_lane(self, service: str) -> Lane:
-        """Return the lane of a service, also when no target of it is owned."""
+        """Return the lane of a service, even when no target of it is owned."""
         lane = self.lanes.get(service)
         if lane is None:
             lane = self.lanes[service] = Lane(
@@ -112,14 +119,14 @@
                 self._ownership,
                 self._clock,
                 self._random,
-                self._longest,
+                self._max_call_time,
                 self._queue_limit,
-                self._on_room,
+                self._on_slots_available,
             )
         return lane
 
-    def note_result(self, pool: SlotPool, result: Result, seconds: float) -> None:
-        """Learn from a call that has ended, and give its slot to the next.
+    def record_result(self, pool: SlotPool, result: Result, seconds: float) -> None:
+        """Record a call that has ended, and assign its slot to the next waiter.
 
         :param seconds: how long the call was open.
         """
@@ -127,73 +134,75 @@
         lane = self.get_lane(target.service)
         if isinstance(result, Completed):
             lane.durations.observe(seconds)
-        self.note_health(pool, result, seconds)
+        self.record_health(pool, result, seconds)
         if isinstance(result, NotRun) and result.code == "target_leaving":
             lane.update_target(target._replace(state=InstanceState.LEAVING))
-        lane.give_places()
+        lane.assign_free_slots()
         if isinstance(result, AnswerLost):
-            until = self._clock.monotonic() + self._hold
-            self._timers.call_at(until, lane.give_places)
+            until = self._clock.monotonic() + self._max_hold_time
+            self._timers.call_at(until, lane.assign_free_slots)
 
-    def note_health(self, pool: SlotPool, result: Result, seconds: float) -> None:
-        """Learn from a result, or from silence, about a target's health."""
+    def record_health(self, pool: SlotPool, result: Result, seconds: float) -> None:
+        """Record a result, or a missing answer, for a target's health."""
         lane = self.get_lane(pool.target.service)
-        if result == AnswerLost("timeout") and seconds < lane.durations.high:
+        if result == AnswerLost("timeout") and seconds < lane.durations.upper_estimate:
             return
-        bad = lane.note_result(pool.target.name, not is_fault(result))
-        if bad is not None and self._may_eject(lane):
-            bad.eject()
+        failing = lane.record_result(pool.target.name, not is_fault(result))
+        if failing is not None and self._may_eject(lane):
+            failing.eject()
 
     def _may_eject(self, lane: Lane) -> bool:
-        others = self._loads.list_near(lane.service)
+        others = self._loads.list_same_zone(lane.service)
         ejected = lane.count_ejected() + sum(load["ejected"] for load in others)
         targets = len(lane.pools) + sum(load["targets"] for load in others)
         return may_eject(ejected, targets)
 
-    def _give_places(self, pool: SlotPool) -> None:
-        self.get_lane(pool.target.service).give_places()
+    def _assign_free_slots(self, pool: SlotPool) -> None:
+        self.get_lane(pool.target.service).assign_free_slots()
 
-    def _read_fleet(self, *_: object) -> None:
+    def _handle_fleet_change(self, *_: object) -> None:
         zone = self._members.self.zone
         targets = self._fleet.list(InstanceRole.TARGET, zone)
         listed = {target.name: target for target in targets}
-        for pool in self._gained.values():
+        for pool in self._owned_pools.values():
             last = pool.target._replace(state=InstanceState.LEAVING)
             target = pool.target = listed.get(last.name, last)
             self.get_lane(target.service).update_target(target)
         if targets:
             self._ownership.set_shards(SCOPE, tuple(listed))
         for name in [name for name in self._unlisted if name in listed]:
-            gain = self._gain(f"{SCOPE}/{name}", self._unlisted.pop(name))
-            start_task(gain, self._gains)
+            gain = self._handle_gain(f"{SCOPE}/{name}", self._unlisted.pop(name))
+            start_task(gain, self._gain_tasks)
 
-    async def _gain(self, shard: str, epoch: int) -> None:
+    async def _handle_gain(self, shard: str, epoch: int) -> None:
         name = shard.partition("/")[2]
         target = self._fleet.get(name)
         if target is None:
             self._unlisted[name] = epoch
             return
-        pool = self._gained[name] = SlotPool(target, self._clock)
-        await self._handover.fill(pool, epoch)
-        if self._gained.get(name) is not pool:
+        pool = self._owned_pools[name] = SlotPool(target, self._clock)
+        await self._handover.hold_inherited(pool, epoch)
+        if self._owned_pools.get(name) is not pool:
             return
         lane = self.get_lane(target.service)
         lane.add_pool(pool)
-        self._timers.call_at(self._clock.monotonic() + GAIN_TIME, lane.give_places)
+        self._timers.call_at(
+            self._clock.monotonic() + FIRST_ASSIGNMENT_DELAY, lane.assign_free_slots
+        )
 
-    async def _lose(self, shard: str, epoch: int) -> None:
+    async def _handle_loss(self, shard: str, epoch: int) -> None:
         target = shard.partition("/")[2]
         for lane in self.lanes.values():
             lane.remove_pool(target)
         self._unlisted.pop(target, None)
-        pool = self._gained.pop(target, None)
+        pool = self._owned_pools.pop(target, None)
         if pool is not None:
-            self._handover.keep(pool, epoch)
+            self._handover.add_former_pool(pool, epoch)
 
     async def _probe(self, health: TargetHealth) -> None:
-        """Let an ejected target come back when it says that it lives."""
+        """Readmit an ejected target when it answers a probe."""
         answer = await self._targets.probe(health.pool.target, PROBE_TIMEOUT)
         if isinstance(answer, Written):
-            health.bring_back()
+            health.readmit()
         else:
-            health.postpone()
+            health.postpone_probe()
--- a/src/damaskdeck/coordination/requests/retries.py
+++ b/src/damaskdeck/coordination/requests/retries.py
@@ -1,4 +1,4 @@
-"""When a request may be tried again: a budget, a backoff and a deadline."""
+"""Limits for retries: a budget, a backoff and a number of attempts."""
 
 import random
 from datetime import timedelta
@@ -16,7 +16,7 @@
     When everything fails, retries add at most this share to the load.
 
     :param share: retries earned by each request.
-    :param burst: retries saved up at most; as many are there at first.
+    :param burst: maximum and initial number of saved retries.
     """
 
     def __init__(self, share: float = RETRY_SHARE, burst: float = RETRY_BURST) -> None:
@@ -29,7 +29,7 @@
         self._saved = min(self._burst, self._saved + self._share)
 
     def spend(self) -> bool:
-        """Take one retry; returns whether there was one."""
+        """Spend one retry; return whether there was one."""
         if self._saved < 1:
             return False
         self._saved -= 1
@@ -37,9 +37,9 @@
 
 
 def draw_backoff(retry: int, rng: random.Random) -> timedelta:
-    """Draw the wait before a retry, from nothing to a doubling limit.
+    """Draw the wait before a retry, between zero and a limit that doubles.
 
-    :param retry: 1 for the first.
+    :param retry: 1 for the first retry.
     """
     limit = min(BACKOFF * 2 ** (retry - 1), BACKOFF_LIMIT)
     return limit * rng.random()
--- a/src/damaskdeck/coordination/requests/routing.py
+++ b/src/damaskdeck/coordination/requests/routing.py
@@ -1,4 +1,4 @@
-"""Routes callers' requests to slots of targets, here or at another daemon."""
+"""Routing of callers' requests to slots of targets, here or on another daemon."""
 
 import asyncio
 import functools
@@ -8,18 +8,18 @@
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.requests.attempts import (
     AnswerLost,
-    Moved,
     NotRun,
-    Place,
     Redirect,
     RequestContext,
+    Reroute,
     Result,
+    TakenSlot,
 )
 from damaskdeck.coordination.requests.forwards import Forwarder
 from damaskdeck.coordination.requests.keyed import KeyedRequests
 from damaskdeck.coordination.requests.lanes import Lane
-from damaskdeck.coordination.requests.loads import Choice, LoadTable
-from damaskdeck.coordination.requests.owned import FleetReader, OwnedTargets
+from damaskdeck.coordination.requests.loads import LoadTable, PeerChoice
+from damaskdeck.coordination.requests.ownedtargets import FleetReader, OwnedTargets
 from damaskdeck.coordination.requests.retries import (
     ATTEMPT_LIMIT,
     RetryBudget,
@@ -49,34 +49,35 @@
 from damaskdeck.protocol.ports import TargetPort
 
 COMPONENT = "routing"
-RETRY_HINT = timedelta(seconds=1)
-TICK = timedelta(milliseconds=5)
-HOP_TIME = 0.001
-FAR_HOP_TIME = 0.003
+RETRY_AFTER = timedelta(seconds=1)
+DRAIN_POLL_INTERVAL = timedelta(milliseconds=5)
+HOP_TIME_S = 0.001
+CROSS_ZONE_HOP_TIME_S = 0.003
 
-# How often a request with own slots to wait for is taken elsewhere in vain.
-SEEK_LIMIT = 2
-BOUNCE_LIMIT = 16
+# A request that could wait for own slots isn't redirected after this many free
+# refusals elsewhere.
+MAX_REDIRECTS_WITH_LOCAL_SLOTS = 2
+FREE_RETRY_LIMIT = 16
 
-# An idempotent request is tried again after so many times what most need.
-SILENCE_FACTOR = 4
+# An idempotent request is retried after this many times what most requests need.
+ATTEMPT_TIMEOUT_FACTOR = 4
 
-# Refusals that no other place would answer otherwise.
+# Refusals that would be the same on any other target or daemon.
 FINAL_CODES = frozenset({"deadline_unmeetable", "queue_full", "deadline_passed"})
 
 _log = get_logger(COMPONENT)
 
 
 class Router:
-    """Answers callers' requests; implements ``protocol.handlers.RequestHandler``.
-
-    :param keys: remembers idempotency keys; without it keyed requests are refused.
-    :param max_call_time: no call to a target is open for longer; a new owner waits as
-        long for what a dead one may have in progress.
-    :param margin: added to ``max_call_time`` where a slot must be free without an
-        answer.
-    :param queue_limit: waiters of one team and urgency class for a service.
-    :param rng: seeded, for the same choices in each run of a test.
+    """Serves callers' requests; implements ``protocol.handlers.RequestHandler``.
+
+    :param keys: store of idempotency keys; without it keyed requests are refused.
+    :param max_call_time: the longest time a call to a target can be open; a new
+        owner waits as long for calls that a dead one may have in progress.
+    :param margin: added to ``max_call_time`` before a slot is free without an answer.
+    :param queue_limit: maximum number of waiters of one team and urgency class per
+        service.
+    :param rng: a seeded generator, for the same choices in each run of a test.
     """
 
     def __init__(
@@ -97,7 +98,7 @@
         self._random = rng or random.Random()
         self._timers = Timers(clock)
         self._budget = RetryBudget()
-        self._open = 0
+        self._open_requests = 0
         self._is_draining = False
         self._keyed = KeyedRequests(keys, self._serve) if keys else None
         self._loads = LoadTable(members, clock, self._random)
@@ -114,7 +115,7 @@
             max_call_time,
             margin,
             queue_limit,
-            self._offer,
+            self._offer_slots,
         )
         self._sharing = SlotSharing(
             peers,
@@ -131,7 +132,7 @@
             max_call_time,
             margin,
             self._timers,
-            self._owned.note_result,
+            self._owned.record_result,
         )
         self._forwarder = Forwarder(
             peers,
@@ -143,229 +144,239 @@
         )
 
     async def run(self) -> None:
-        """Publish loads, refuse what has become hopeless and probe targets."""
+        """Publish loads, run timers and probe targets until cancelled."""
         await asyncio.gather(self._run_reports(), self._timers.run(), self._owned.run())
 
     async def drain(self) -> None:
-        """Take no new requests and wait until the accepted ones have ended.
+        """Accept no new requests and wait until the accepted ones have ended.
 
-        Call it before ownership is handed over, so that those which wait here
-        still get their slots.
+        Call it before ownership is handed over, so that requests that wait here still
+        get their slots.
         """
         self._is_draining = True
         self._publish_loads()
         while self._count_open():
-            await self._clock.sleep(TICK)
+            await self._clock.sleep(DRAIN_POLL_INTERVAL)
 
     def _count_open(self) -> int:
-        settling = self._keyed.count_settling if self._keyed else 0
+        settling = self._keyed.settling_count if self._keyed else 0
         calls = len(self._sender.open_calls)
-        return self._open + calls + self._forwarder.count_taken + settling
+        return self._open_requests + calls + self._forwarder.received_count + settling
 
     async def handle_request(self, request: ServiceRequest) -> Outcome:
         """Serve a request; there is exactly one outcome.
 
-        Cancelling the task gives up its place in the queue. A call that is open
-        already goes on, as its slot stays filled until the target answers.
+        A cancelled request leaves the queue. A call that is already open goes on, as
+        its slot stays filled until the target answers.
         """
-        course = RequestContext(request, self._clock)
-        self._open += 1
+        context = RequestContext(request, self._clock)
+        self._open_requests += 1
         try:
             serve = self._serve_keyed if request.key else self._serve
-            outcome = await serve(course)
+            outcome = await serve(context)
         finally:
-            self._open -= 1
+            self._open_requests -= 1
         if isinstance(outcome, Refused):
             count_refusal(COMPONENT, outcome.code)
         return outcome
 
-    async def _serve_keyed(self, course: RequestContext) -> Outcome:
-        refused = self._refuse_early(course)
+    async def _serve_keyed(self, context: RequestContext) -> Outcome:
+        refused = self._refuse_early(context)
         if refused is not None:
             return refused
         if self._keyed is None:
             return Refused("keys_unsupported")
-        return await self._keyed.serve(course)
+        return await self._keyed.serve(context)
 
-    async def _serve_peer(self, course: RequestContext) -> Outcome:
+    async def _serve_peer(self, context: RequestContext) -> Outcome:
         if self._is_draining:
-            return Refused("draining", retry_after=RETRY_HINT)
-        return await self._serve(course)
+            return Refused("draining", retry_after=RETRY_AFTER)
+        return await self._serve(context)
 
-    async def _serve(self, course: RequestContext) -> Outcome:
-        """Make attempts until one of them, or their end, decides the outcome."""
+    async def _serve(self, context: RequestContext) -> Outcome:
+        """Make attempts until there is an outcome or no more attempt is allowed."""
         self._budget.earn()
         while True:
-            place = self._choose_route(course)
-            if place is None:
-                place = await self._wait(course)
-            if isinstance(place, Refused):
-                return Unknown(course.lost) if course.lost else place
-            if isinstance(place, Moved):
+            route = self._choose_route(context)
+            if route is None:
+                route = await self._wait(context)
+            if isinstance(route, Refused):
+                return Unknown(context.lost_code) if context.lost_code else route
+            if isinstance(route, Reroute):
                 continue
-            result = await self._attempt(place, course)
-            outcome = self._judge(result, course)
+            result = await self._attempt(route, context)
+            outcome = self._decide_outcome(result, context)
             if outcome is not None:
                 return outcome
             if isinstance(result, NotRun | AnswerLost):
-                await self._back_off(result, course)
+                await self._back_off(result, context)
 
     def _choose_route(
-        self, course: RequestContext
-    ) -> Place | Redirect | Refused | None:
-        """Decide where a request goes now; ``None`` when it is to wait here."""
-        service = course.request.service
+        self, context: RequestContext
+    ) -> TakenSlot | Redirect | Refused | None:
+        """Return where a request goes now; ``None`` when it has to wait here."""
+        service = context.request.service
         lane = self._owned.get_lane(service)
-        if not (self._is_draining and course.may_forward):
+        if not (self._is_draining and context.may_forward):
             if not len(lane.queue):
-                place = lane.take(course.avoided)
-                if place is not None:
-                    lane.queue.count_served_directly(course.request.urgency)
-                    return place
-            if not course.may_forward:
+                slot = lane.take(context.avoided)
+                if slot is not None:
+                    lane.queue.count_served_directly(context.request.urgency)
+                    return slot
+            if not context.may_forward:
                 return None if lane.count_slots() else Refused("not_owner")
-        return self._find_peer(course, lane)
+        return self._find_peer(context, lane)
 
     def _find_peer(
-        self, course: RequestContext, lane: Lane
+        self, context: RequestContext, lane: Lane
     ) -> Redirect | Refused | None:
-        service = course.request.service
-        left = (course.deadline - self._clock.monotonic()).total_seconds()
+        service = context.request.service
+        remaining = (context.deadline - self._clock.monotonic()).total_seconds()
         slots = 0 if self._is_draining else lane.count_slots()
-        if slots and course.bounced >= SEEK_LIMIT:
+        if slots and context.free_retries >= MAX_REDIRECTS_WITH_LOCAL_SLOTS:
             return None
         choices = []
-        for near in (True, False):
-            choice = self._loads.choose(service, course.avoided, near)
+        for same_zone in (True, False):
+            choice = self._loads.choose(service, context.avoided, same_zone)
             if choice is None:
                 continue
             if choice.free >= 1:
-                return Redirect(choice.instance, _allow_wait(slots, choice, left))
+                return Redirect(
+                    choice.instance, _compute_wait_limit(slots, choice, remaining)
+                )
             choices.append(choice)
         if slots:
             return None
         if choices:
-            best = min(choices, key=_weigh)
-            return Redirect(best.instance, left)
+            best = min(choices, key=_estimate_total_wait)
+            return Redirect(best.instance, remaining)
         code = "draining" if self._is_draining else "no_target"
-        if course.last is not None:
-            code = course.last.code
-        return Refused(code, retry_after=RETRY_HINT)
-
-    async def _wait(self, course: RequestContext) -> Place | Redirect | Refused | Moved:
-        """Wait in the queue for a slot, here or wherever one is offered."""
-        request = course.request
+        if context.last_refusal is not None:
+            code = context.last_refusal.code
+        return Refused(code, retry_after=RETRY_AFTER)
+
+    async def _wait(
+        self, context: RequestContext
+    ) -> TakenSlot | Redirect | Refused | Reroute:
+        """Wait in the queue for a slot, here or on a daemon that offers one."""
+        request = context.request
         lane = self._owned.get_lane(request.service)
-        waiter = lane.make_waiter(course)
+        waiter = lane.make_waiter(context)
         now = self._clock.monotonic()
         slots = lane.count_slots()
-        if course.patience is not None:
+        if context.wait_limit is not None:
             wait = lane.queue.estimate_wait(waiter, slots)
-            if wait > course.patience:
-                return Refused("no_slot", retry_after=RETRY_HINT)
+            if wait > context.wait_limit:
+                return Refused("no_slot", retry_after=RETRY_AFTER)
         refused = lane.queue.admit(waiter, now, slots)
         if refused is not None:
             return refused
-        give_up = functools.partial(lane.give_up, waiter)
-        timer = self._timers.call_at(waiter.give_up, give_up)
-        if course.may_forward:
-            self._sharing.tell_waiting(lane)
+        reject_late = functools.partial(lane.reject_late, waiter)
+        timer = self._timers.call_at(waiter.latest_start, reject_late)
+        if context.may_forward:
+            self._sharing.announce_waiting(lane)
         try:
-            place = await waiter.future
+            route = await waiter.future
         except asyncio.CancelledError:
-            self._abandon(lane, waiter.future)
+            self._return_unused_slot(lane, waiter.future)
             lane.queue.remove(waiter)
             raise
         finally:
             timer.cancel()
         wait_time = self._clock.monotonic() - now
         observe_wait(COMPONENT, request.urgency.value, wait_time)
-        return place
+        return route
 
-    def _abandon(self, lane: Lane, future: "asyncio.Future[object]") -> None:
-        """Give back a place that came while its caller went."""
+    def _return_unused_slot(self, lane: Lane, future: "asyncio.Future[object]") -> None:
+        """Release a slot that was assigned while its caller was cancelled."""
         if not future.done() or future.cancelled():
             return
-        place = future.result()
-        if isinstance(place, Place):
-            place.pool.free(place.number)
-            lane.give_places()
-
-    async def _attempt(self, place: Place | Redirect, course: RequestContext) -> Result:
-        if isinstance(place, Redirect):
-            course.call = None
-            return await self._forwarder.forward(place, course)
-        course.call = self._sender.start(place, course)
+        slot = future.result()
+        if isinstance(slot, TakenSlot):
+            slot.pool.free(slot.number)
+            lane.assign_free_slots()
+
+    async def _attempt(
+        self, route: TakenSlot | Redirect, context: RequestContext
+    ) -> Result:
+        if isinstance(route, Redirect):
+            context.call = None
+            return await self._forwarder.forward(route, context)
+        context.call = self._sender.start(route, context)
         start = self._clock.monotonic()
-        until = self._choose_patience(course, start)
-        result = await self._sender.wait(course.call, until)
-        if not course.call.done():
+        until = self._choose_attempt_deadline(context, start)
+        result = await self._sender.wait(context.call, until)
+        if not context.call.done():
             silence = (self._clock.monotonic() - start).total_seconds()
-            self._owned.note_health(place.pool, result, silence)
+            self._owned.record_health(route.pool, result, silence)
         return result
 
-    def _choose_patience(self, course: RequestContext, now: timedelta) -> timedelta:
-        """Return when an attempt is given up; earlier while another may be made."""
-        if not course.request.idempotent or course.retries + 1 >= ATTEMPT_LIMIT:
-            return course.deadline
-        durations = self._owned.get_lane(course.request.service).durations
-        ample = timedelta(seconds=SILENCE_FACTOR * durations.high)
-        return min(course.deadline, now + max(ample, (course.deadline - now) / 2))
-
-    def _judge(self, result: Result, course: RequestContext) -> Outcome | None:
+    def _choose_attempt_deadline(
+        self, context: RequestContext, now: timedelta
+    ) -> timedelta:
+        """Return when an attempt times out; earlier while another may be made."""
+        if not context.request.idempotent or context.retries + 1 >= ATTEMPT_LIMIT:
+            return context.deadline
+        durations = self._owned.get_lane(context.request.service).durations
+        usual = timedelta(seconds=ATTEMPT_TIMEOUT_FACTOR * durations.upper_estimate)
+        return min(context.deadline, now + max(usual, (context.deadline - now) / 2))
+
+    def _decide_outcome(
+        self, result: Result, context: RequestContext
+    ) -> Outcome | None:
         """Return the outcome, or ``None`` when another attempt may be made."""
         if isinstance(result, Completed | Failed):
             return result
         if isinstance(result, AnswerLost):
-            course.lost = result.code
-            if not course.request.idempotent:
+            context.lost_code = result.code
+            if not context.request.idempotent:
                 return Unknown(result.code)
         else:
-            course.last = result
-        if self._may_retry(result, course):
+            context.last_refusal = result
+        if self._may_retry(result, context):
             count_retry(COMPONENT, result.code)
             return None
-        if course.lost:
-            return Unknown(course.lost)
+        if context.lost_code:
+            return Unknown(context.lost_code)
         hint = result.retry_after if isinstance(result, NotRun) else None
-        return Refused(result.code, retry_after=hint or RETRY_HINT)
+        return Refused(result.code, retry_after=hint or RETRY_AFTER)
 
-    def _may_retry(self, result: NotRun | AnswerLost, course: RequestContext) -> bool:
-        if self._clock.monotonic() >= course.deadline:
+    def _may_retry(self, result: NotRun | AnswerLost, context: RequestContext) -> bool:
+        if self._clock.monotonic() >= context.deadline:
             return False
-        if isinstance(result, NotRun) and result.is_free:
-            course.bounced += 1
-            return course.bounced < BOUNCE_LIMIT
+        if isinstance(result, NotRun) and result.is_free_retry:
+            context.free_retries += 1
+            return context.free_retries < FREE_RETRY_LIMIT
         if isinstance(result, NotRun) and result.code in FINAL_CODES:
             return False
-        if isinstance(result, AnswerLost) and not course.may_forward:
+        if isinstance(result, AnswerLost) and not context.may_forward:
             return False
-        course.retries += 1
-        return course.retries < ATTEMPT_LIMIT and self._budget.spend()
+        context.retries += 1
+        return context.retries < ATTEMPT_LIMIT and self._budget.spend()
 
     async def _back_off(
-        self, result: NotRun | AnswerLost, course: RequestContext
+        self, result: NotRun | AnswerLost, context: RequestContext
     ) -> None:
-        if isinstance(result, NotRun) and result.is_free:
+        if isinstance(result, NotRun) and result.is_free_retry:
             return
-        wait = draw_backoff(course.retries, self._random)
-        left = course.deadline - self._clock.monotonic()
-        await self._clock.sleep(min(wait, left))
+        wait = draw_backoff(context.retries, self._random)
+        remaining = context.deadline - self._clock.monotonic()
+        await self._clock.sleep(min(wait, remaining))
 
-    def _refuse_early(self, course: RequestContext) -> Refused | None:
-        """Refuse what can't make its deadline before a key is claimed for it."""
-        lane = self._owned.get_lane(course.request.service)
+    def _refuse_early(self, context: RequestContext) -> Refused | None:
+        """Refuse a request that can't meet its deadline before its key is claimed."""
+        lane = self._owned.get_lane(context.request.service)
         slots = lane.count_slots()
         if not len(lane.queue) or not slots:
             return None
-        waiter = lane.make_waiter(course)
+        waiter = lane.make_waiter(context)
         now = self._clock.monotonic()
         excess = lane.queue.estimate_excess(waiter, now, slots)
         if excess <= 0:
             return None
         return lane.queue.refuse("deadline_unmeetable", 0, slots, excess)
 
-    def _offer(self, lane: Lane) -> None:
+    def _offer_slots(self, lane: Lane) -> None:
         self._sharing.offer(lane)
 
     async def _run_reports(self) -> None:
@@ -379,15 +390,15 @@
         self._loads.publish({name: lane.read_load() for name, lane in loads.items()})
 
 
-def _allow_wait(slots: int, choice: Choice, left: float) -> float:
-    """Return how long a request may wait at the daemon that was chosen.
+def _compute_wait_limit(slots: int, choice: PeerChoice, remaining: float) -> float:
+    """Return how many seconds a request may wait at the chosen daemon.
 
-    :param slots: own slots, for which it could wait here as well.
+    :param slots: own slots, for which the request could wait here as well.
     """
     if not slots:
-        return left
-    return HOP_TIME if choice.is_near else FAR_HOP_TIME
+        return remaining
+    return HOP_TIME_S if choice.is_same_zone else CROSS_ZONE_HOP_TIME_S
 
 
-def _weigh(choice: Choice) -> float:
-    return choice.wait + (HOP_TIME if choice.is_near else FAR_HOP_TIME)
+def _estimate_total_wait(choice: PeerChoice) -> float:
+    return choice.wait + (HOP_TIME_S if choice.is_same_zone else CROSS_ZONE_HOP_TIME_S)
--- a/src/damaskdeck/coordination/requests/sending.py
+++ b/src/damaskdeck/coordination/requests/sending.py
@@ -1,4 +1,4 @@
-"""Calls to own targets; each slot is given back on every path."""
+"""Calls to owned targets, which release their slots on every path."""
 
 import asyncio
 import functools
@@ -9,14 +9,14 @@
 from damaskdeck.background import start_task
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.requests.attempts import (
-    FREE_CODES,
+    FREE_RETRY_CODES,
     AnswerLost,
     NotRun,
-    Place,
     RequestContext,
     Result,
+    TakenSlot,
 )
-from damaskdeck.coordination.requests.lanes import name_thing
+from damaskdeck.coordination.requests.lanes import name_shard
 from damaskdeck.coordination.requests.slots import SlotPool
 from damaskdeck.coordination.requests.timers import Timers
 from damaskdeck.metrics import count_drop
@@ -31,24 +31,24 @@
 )
 
 COMPONENT = "targets"
-FAILED_STATUS = 500
-NO_FAULT = frozenset({"target_full", "target_leaving", "not_owner", "deadline_passed"})
+MIN_FAILURE_STATUS = 500
+NON_FAULT_CODES = frozenset(
+    {"target_full", "target_leaving", "not_owner", "deadline_passed"}
+)
 
 # Called with the pool, its target's result, and the seconds in the slot.
 ResultHandler = Callable[[SlotPool, Result, float], None]
 
 
 class TargetSender:
-    """Sends requests to own targets.
+    """Sends requests to owned targets.
 
-    A call goes on when its caller has gone or its deadline has passed: the slot
-    is free only once the target has answered, and until then nobody else may
-    have it.
+    A call goes on when its caller is gone or its deadline has passed: the slot is
+    free only once the target has answered, and is not used for anything else before.
 
-    :param max_call_time: no request runs on a target for longer, nor is a call open.
-    :param margin: added to ``max_call_time`` where a slot must be free without an
-        answer.
-    :param on_result: called once a slot is given back or held.
+    :param max_call_time: the longest time a call can be open and a request can run.
+    :param margin: added to ``max_call_time`` before a slot is free without an answer.
+    :param on_result: called once a slot is released or held.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self._ownership = ownership
         self._targets = targets
         self._clock = clock
-        self._longest = max_call_time
+        self._max_call_time = max_call_time
         self._margin = margin
         self._timers = timers
         self._on_result = on_result
@@ -72,11 +72,11 @@
 
     @property
     def open_calls(self) -> frozenset["asyncio.Task[Result]"]:
-        """The calls that are open, those of callers that have gone among them."""
+        """The open calls, including those of callers that are gone."""
         return frozenset(self._calls)
 
     async def wait(self, call: "asyncio.Task[Result]", until: timedelta) -> Result:
-        """Wait for a call, which goes on when its caller goes or time is up.
+        """Wait for a call, which goes on when its caller is gone or time is up.
 
         :param until: on the monotonic clock.
         """
@@ -92,66 +92,68 @@
                 call.add_done_callback(_drop_answer)
         return call.result() if call.done() else AnswerLost("timeout")
 
-    def start(self, place: Place, course: RequestContext) -> "asyncio.Task[Result]":
-        """Begin a call to the target whose slot was taken."""
-        attempt = course.begin_attempt(place.pool.target.name)
-        return start_task(self._run(place, course, attempt), self._calls)
+    def start(self, slot: TakenSlot, context: RequestContext) -> "asyncio.Task[Result]":
+        """Start a call to the target whose slot was taken."""
+        attempt = context.begin_attempt(slot.pool.target.name)
+        return start_task(self._run(slot, context, attempt), self._calls)
 
-    async def _run(self, place: Place, course: RequestContext, attempt: int) -> Result:
-        pool = place.pool
+    async def _run(
+        self, slot: TakenSlot, context: RequestContext, attempt: int
+    ) -> Result:
+        pool = slot.pool
         now = self._clock.monotonic()
-        in_time = now < course.deadline
-        owned = self._ownership.get_epoch(name_thing(pool.target.name)) is not None
+        in_time = now < context.deadline
+        owned = self._ownership.get_epoch(name_shard(pool.target.name)) is not None
         if not (owned and in_time):
-            pool.free(place.number)
+            pool.free(slot.number)
             code = "deadline_passed" if owned else "not_owner"
-            result = NotRun(code, is_free=not owned)
+            result = NotRun(code, is_free_retry=not owned)
             self._on_result(pool, result, 0.0)
             return result
-        course.is_sent = True
-        until = now + self._longest + self._margin
+        context.is_sent = True
+        until = now + self._max_call_time + self._margin
         answer: Any = Lost("broken_off")
         try:
-            request = course.request
+            request = context.request
             call = TargetCall(
                 request.identifier, attempt, request.body, request.content_type
             )
-            answer = await self._targets.send(pool.target, call, self._longest)
+            answer = await self._targets.send(pool.target, call, self._max_call_time)
         finally:
-            result = self._settle(place, call, answer, until)
+            result = self._release_slot(slot, call, answer, until)
             spent = (self._clock.monotonic() - now).total_seconds()
             self._on_result(pool, result, spent)
         return result
 
-    def _settle(
+    def _release_slot(
         self,
-        place: Place,
+        slot: TakenSlot,
         call: TargetCall,
         answer: TargetAnswer | Rejected | Lost,
         until: timedelta,
     ) -> Result:
-        pool = place.pool
+        pool = slot.pool
         if isinstance(answer, Rejected):
-            pool.free(place.number)
-            return NotRun(answer.code, is_free=answer.code in FREE_CODES)
+            pool.free(slot.number)
+            return NotRun(answer.code, is_free_retry=answer.code in FREE_RETRY_CODES)
         if isinstance(answer, Lost):
-            pool.hold(place.number, until)
+            pool.hold(slot.number, until)
             return AnswerLost(answer.code)
         if (answer.request, answer.attempt) != (call.request, call.attempt):
-            pool.hold(place.number, until)
+            pool.hold(slot.number, until)
             count_drop(COMPONENT, "answer_crossed")
             return AnswerLost("answer_crossed")
-        pool.free(place.number)
-        if answer.status >= FAILED_STATUS:
+        pool.free(slot.number)
+        if answer.status >= MIN_FAILURE_STATUS:
             return Failed(f"status_{answer.status}")
         return Completed(answer.body, answer.content_type)
 
 
 def is_fault(result: Result) -> bool:
-    """Tell whether a result speaks against the target."""
+    """Return whether a result counts as a failure of the target."""
     if isinstance(result, Completed):
         return False
-    return not (isinstance(result, NotRun) and result.code in NO_FAULT)
+    return not (isinstance(result, NotRun) and result.code in NON_FAULT_CODES)
 
 
 def _finish(answer: "asyncio.Future[None]", *_: object) -> None:
--- a/src/damaskdeck/coordination/requests/sharing.py
+++ b/src/damaskdeck/coordination/requests/sharing.py
@@ -1,4 +1,4 @@
-"""Brings free slots of one daemon and requests that wait at another together."""
+"""Matching of waiting requests on one daemon with free slots on others."""
 
 import functools
 import random
@@ -13,18 +13,18 @@
 from damaskdeck.protocol.forwarding import OfferSlots, ReportWaitingRequests
 from damaskdeck.protocol.messages import Peers
 
-OFFER_LIFE = timedelta(milliseconds=10)
-TOLD_PAUSE = timedelta(milliseconds=2)
-WAITING_LIFE = timedelta(milliseconds=500)
-TOLD_LIMIT = 6
+OFFER_TTL = timedelta(milliseconds=10)
+ANNOUNCE_INTERVAL = timedelta(milliseconds=2)
+WAITING_TTL = timedelta(milliseconds=500)
+ANNOUNCE_PEER_LIMIT = 6
 
-# Seconds from an offer to the request that it brings; slots that become free
-# meanwhile are offered ahead.
-AHEAD_TIME = 0.003
+# Seconds from an offer until its request arrives; slots that become free in the
+# meantime are offered in advance.
+OFFER_LEAD_S = 0.003
 
 
-class _Waiting:
-    """How many requests wait at a peer, as it said."""
+class _PeerQueue:
+    """Number of requests that wait at a peer, as last reported."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -32,10 +32,10 @@
 
 
 class SlotSharing:
-    """Says when requests wait here, and offers free slots to others.
+    """Announces requests that wait here, and offers free slots to peers.
 
-    A request thus waits at one daemon only, and goes wherever a slot becomes
-    free first. An offer reserves nothing: what comes too late waits at the
+    A request thus waits at one daemon only, and goes wherever a slot becomes free
+    first. An offer reserves nothing: a request that arrives too late waits at the
     owner for the next slot.
     """
 
@@ -54,67 +54,73 @@
         self._timers = timers
         self._get_lane = get_lane
         self._random = rng
-        self._waiting: dict[str, dict[str, _Waiting]] = {}
+        self._waiting: dict[str, dict[str, _PeerQueue]] = {}
         self._offers: dict[str, list[timedelta]] = {}
-        self._told: dict[str, timedelta] = {}
-        peers.register(ReportWaitingRequests, self._take_waiting)
-        peers.register(OfferSlots, self._take_offer)
+        self._announced_at: dict[str, timedelta] = {}
+        peers.register(ReportWaitingRequests, self._handle_waiting)
+        peers.register(OfferSlots, self._handle_offer)
 
-    def tell_waiting(self, lane: Lane) -> None:
-        """Tell owners that requests wait here, now or after a short pause."""
+    def announce_waiting(self, lane: Lane) -> None:
+        """Notify owners that requests wait here, at once or after a short delay."""
         now = self._clock.monotonic()
-        told = self._told.get(lane.service)
-        if told is None or told + TOLD_PAUSE <= now:
-            self._told[lane.service] = now
+        announced_at = self._announced_at.get(lane.service)
+        if announced_at is None or announced_at + ANNOUNCE_INTERVAL <= now:
+            self._announced_at[lane.service] = now
             self._send_waiting(lane)
-        elif told <= now:
-            self._told[lane.service] = told + TOLD_PAUSE
-            tell = functools.partial(self._send_waiting, lane)
-            self._timers.call_at(told + TOLD_PAUSE, tell)
+        elif announced_at <= now:
+            self._announced_at[lane.service] = announced_at + ANNOUNCE_INTERVAL
+            announce = functools.partial(self._send_waiting, lane)
+            self._timers.call_at(announced_at + ANNOUNCE_INTERVAL, announce)
 
     def _send_waiting(self, lane: Lane) -> None:
         if not len(lane.queue):
             return
         message = ReportWaitingRequests(service=lane.service, count=len(lane.queue))
-        near = self._loads.list_owners(lane.service, near=True)
-        far = self._loads.list_owners(lane.service, near=False)
-        near = self._random.sample(near, min(TOLD_LIMIT, len(near)))
-        far = self._random.sample(far, min(TOLD_LIMIT - len(near), len(far)))
-        for instance in near + far:
+        same_zone = self._loads.list_owners(lane.service, same_zone=True)
+        other_zones = self._loads.list_owners(lane.service, same_zone=False)
+        same_zone = self._random.sample(
+            same_zone, min(ANNOUNCE_PEER_LIMIT, len(same_zone))
+        )
+        other_zones = self._random.sample(
+            other_zones, min(ANNOUNCE_PEER_LIMIT - len(same_zone), len(other_zones))
+        )
+        for instance in same_zone + other_zones:
             self._peers.send(instance, message, ReportWaitingRequests)
 
-    def note_waiting(self, instance: str, service: str, count: int) -> None:
-        """Learn how many requests wait at a peer."""
+    def record_waiting(self, instance: str, service: str, count: int) -> None:
+        """Record how many requests wait at a peer."""
         waiting = self._waiting.setdefault(service, {})
         entry = waiting.get(instance)
         if entry is None:
-            entry = waiting[instance] = _Waiting()
+            entry = waiting[instance] = _PeerQueue()
         entry.count = count
         entry.time = self._clock.monotonic()
 
-    def count_arrived(self, service: str) -> None:
-        """Count a request that came, perhaps after an offer."""
+    def consume_offer(self, service: str) -> None:
+        """Count an arrived request against the open offers, if there are any."""
         offers = self._offers.get(service)
         if offers:
             offers.pop(0)
 
     def offer(self, lane: Lane) -> None:
-        """Offer free slots to peers where requests wait, the longest queue first."""
+        """Offer free slots to peers with waiting requests, the longest queue first."""
         waiting = self._waiting.get(lane.service)
         if not waiting:
             return
         now = self._clock.monotonic()
-        room = lane.count_room(AHEAD_TIME) - self._count_offers(lane.service, now)
-        while room > 0:
-            instance = self._find_longest(waiting, now)
+        available = lane.count_available(OFFER_LEAD_S) - self._count_offers(
+            lane.service, now
+        )
+        while available > 0:
+            instance = self._find_longest_queue(waiting, now)
             if instance is None:
                 return
-            count = min(room, waiting[instance].count)
+            count = min(available, waiting[instance].count)
             waiting[instance].count -= count
-            room -= count
+            available -= count
             message = OfferSlots(service=lane.service, count=count)
             if self._peers.send(instance, message, OfferSlots) is None:
-                expiry = now + OFFER_LIFE
+                expiry = now + OFFER_TTL
                 self._offers.setdefault(lane.service, []).extend([expiry] * count)
 
     def _count_offers(self, service: str, now: timedelta) -> int:
@@ -125,19 +131,21 @@
             offers.pop(0)
         return len(offers)
 
-    def _find_longest(self, waiting: dict[str, _Waiting], now: timedelta) -> str | None:
-        for name in [n for n, w in waiting.items() if now - w.time > WAITING_LIFE]:
+    def _find_longest_queue(
+        self, waiting: dict[str, _PeerQueue], now: timedelta
+    ) -> str | None:
+        for name in [n for n, w in waiting.items() if now - w.time > WAITING_TTL]:
             del waiting[name]
         name = max(waiting, key=lambda name: waiting[name].count, default=None)
         return name if name is not None and waiting[name].count > 0 else None
 
-    async def _take_waiting(
+    async def _handle_waiting(
         self, instance: str, message: ReportWaitingRequests
     ) -> None:
-        self.note_waiting(instance, message["service"], message["count"])
+        self.record_waiting(instance, message["service"], message["count"])
         self.offer(self._get_lane(message["service"]))
 
-    async def _take_offer(self, instance: str, message: OfferSlots) -> None:
+    async def _handle_offer(self, instance: str, message: OfferSlots) -> None:
         lane = self._get_lane(message["service"])
         count = message["count"]
         while count > 0:
@@ -146,6 +154,6 @@
                 return
             if waiter.future.done():
                 continue
-            left = (waiter.give_up - self._clock.monotonic()).total_seconds()
-            waiter.future.set_result(Redirect(instance, left))
+            remaining = (waiter.latest_start - self._clock.monotonic()).total_seconds()
+            waiter.future.set_result(Redirect(instance, remaining))
             count -= 1
--- a/src/damaskdeck/coordination/requests/slots.py
+++ b/src/damaskdeck/coordination/requests/slots.py
@@ -1,4 +1,4 @@
-"""Exact accounting of a target's slots and connections, by its owner."""
+"""Accounting of a target's slots and connections by its owner."""
 
 import heapq
 from collections.abc import Iterable
@@ -8,35 +8,37 @@
 from damaskdeck.errors import InvariantError
 from damaskdeck.protocol.ports import Instance, InstanceState
 
-# A call that is open still, past its deadline even, stays so for a while.
-OPEN_TIME = timedelta(seconds=1)
+# Shortest remaining time to report for a call that is still open, as it may be
+# open past its deadline.
+MIN_OPEN_TIME = timedelta(seconds=1)
 
 
 class SlotPool:
     """The slots and connections of one target.
 
-    A slot is *busy* while a call to the target is open, and *held* while a call
-    that is no longer open, or an earlier owner's, may still run there. Neither
-    is given out. Promise: "No instance is given more work than [it] can hold".
+    A slot is *busy* while a call to the target is open. It is *held* while a call
+    that is no longer open, or one of an earlier owner, may still run there. Busy and
+    held slots are not assigned. Guarantee: "No instance is given more work than [it]
+    can hold".
 
-    :param target: says how many slots and connections it bears.
-    :ivar allowance: fill no more slots than this, as its health allows;
+    :param target: declares its number of slots and connections.
+    :ivar slot_limit: maximum number of slots to fill, by the target's health;
         ``None`` for all.
     """
 
     def __init__(self, target: Instance, clock: Clock) -> None:
         self.target = target
         self.busy = 0
-        self.allowance: int | None = None
+        self.slot_limit: int | None = None
         self._clock = clock
         self._deadlines: dict[int, timedelta] = {}
         self._held: list[timedelta] = []
         self._inherited: dict[str, list[timedelta]] = {}
-        self._count = 0
+        self._last_number = 0
 
     @property
     def capacity(self) -> int:
-        """Requests that the target bears at a time."""
+        """Number of requests that the target can run at the same time."""
         return min(self.target.slots, self.target.connections)
 
     def count_free(self) -> int:
@@ -44,38 +46,42 @@
         if self._held:
             self._release_held()
         limit = self.capacity
-        if self.allowance is not None:
-            limit = min(limit, self.allowance)
+        if self.slot_limit is not None:
+            limit = min(limit, self.slot_limit)
         if self._inherited:
             limit -= self.count_inherited()
         return limit - self.busy - len(self._held)
 
     @property
     def is_open(self) -> bool:
-        """Whether the target takes new work once a slot is free."""
-        return self.target.state is InstanceState.LIVE and self.allowance != 0
+        """Whether the target accepts new work once a slot is free."""
+        return self.target.state is InstanceState.LIVE and self.slot_limit != 0
 
     def take(self, deadline: timedelta) -> int:
-        """Take a slot; the caller has seen that one is free.
+        """Take a slot; the caller has checked that one is free.
 
         :param deadline: when the call ends at the latest, on the monotonic clock.
-        :returns: a number to give it back by.
+        :returns: the number by which the slot is released.
+        :raises InvariantError: when no slot is free.
         """
         if self.count_free() < 1:
             raise InvariantError(f"no free slot on {self.target.name}")
-        self._count += 1
+        self._last_number += 1
         self.busy += 1
-        self._deadlines[self._count] = deadline
-        return self._count
+        self._deadlines[self._last_number] = deadline
+        return self._last_number
 
     def free(self, number: int) -> None:
-        """Give back a slot whose request has ended or never began."""
+        """Release a slot whose request has ended or never began.
+
+        :raises InvariantError: when the slot was released before.
+        """
         if self._deadlines.pop(number, None) is None:
             raise InvariantError(f"slot freed twice on {self.target.name}")
         self.busy -= 1
 
     def hold(self, number: int, until: timedelta) -> None:
-        """End a call whose request may still run on the target.
+        """Close a call whose request may still run on the target.
 
         :param until: when it must have ended, on the monotonic clock.
         """
@@ -83,10 +89,11 @@
         heapq.heappush(self._held, until)
 
     def inherit(self, origin: str, until: Iterable[timedelta]) -> None:
-        """Hold slots for what an earlier owner may still have in progress.
+        """Hold slots for calls that an earlier owner may still have in progress.
 
         :param origin: the daemon that opened the calls, or an empty string.
-        :param until: takes the place of what was inherited from ``origin``.
+        :param until: when the calls have ended; replaces what was inherited from
+            ``origin`` before.
         """
         times = sorted(until)
         if times:
@@ -95,23 +102,23 @@
             self._inherited.pop(origin, None)
 
     def count_inherited(self) -> int:
-        """Return how many slots earlier owners' requests may still fill."""
+        """Return how many slots requests of earlier owners may still fill."""
         self._release_held()
         return sum(map(len, self._inherited.values()))
 
     def list_remaining(self, margin: timedelta) -> tuple[timedelta, ...]:
-        """Return how long each slot filled from here may stay so.
+        """Return how long each slot that was filled here may stay filled.
 
         :param margin: added to the deadlines of calls that are still open.
         """
         now = self._clock.monotonic()
         self._release_held()
-        least = now + OPEN_TIME
+        least = now + MIN_OPEN_TIME
         busy = [max(time + margin, least) for time in self._deadlines.values()]
         return tuple(time - now for time in [*self._held, *busy])
 
     def list_inherited(self) -> dict[str, tuple[timedelta, ...]]:
-        """Return how long slots may stay filled, by the daemons that filled them."""
+        """Return how long inherited slots may stay filled, by the daemon of origin."""
         now = self._clock.monotonic()
         self._release_held()
         return {
--- a/src/damaskdeck/coordination/requests/timers.py
+++ b/src/damaskdeck/coordination/requests/timers.py
@@ -1,4 +1,4 @@
-"""Many timers on one task: adding and cancelling them wakes nobody."""
+"""Many timers on one task: adding or cancelling one wakes up no task needlessly."""
 
 import asyncio
 import heapq
@@ -8,12 +8,12 @@
 
 from damaskdeck.clock import Clock, wait_for_event
 
-GRAIN = timedelta(milliseconds=2)
-IDLE_TIME = timedelta(seconds=60)
+RESOLUTION = timedelta(milliseconds=2)
+MAX_SLEEP = timedelta(seconds=60)
 
 
 class Timer:
-    """A callback at a time; cancelling it lets go of what it holds."""
+    """A callback at a time; cancelling it releases the callback."""
 
     __slots__ = ("callback",)
 
@@ -21,12 +21,12 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Don't call back."""
+        """Cancel the callback."""
         self.callback = None
 
 
 class Timers:
-    """Calls back in order of time, at most :data:`GRAIN` late."""
+    """Runs callbacks in order of time, at most :data:`RESOLUTION` late."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -36,7 +36,7 @@
         self._wake = asyncio.Event()
 
     def call_at(self, time: timedelta, callback: Callable[[], None]) -> Timer:
-        """Call back at a time of the monotonic clock."""
+        """Schedule a callback at a time of the monotonic clock."""
         timer = Timer(callback)
         heapq.heappush(self._heap, (time, next(self._numbers), timer))
         if time < self._waits_until:
@@ -44,15 +44,15 @@
         return timer
 
     async def run(self) -> None:
-        """Call back until cancelled."""
+        """Run due callbacks until cancelled."""
         while True:
             self._wake.clear()
             self._call_due()
             now = self._clock.monotonic()
-            next_time = self._heap[0][0] if self._heap else now + IDLE_TIME
+            next_time = self._heap[0][0] if self._heap else now + MAX_SLEEP
             self._waits_until = next_time
             await wait_for_event(self._wake, next_time - now, self._clock)
-            await self._clock.sleep(GRAIN)
+            await self._clock.sleep(RESOLUTION)
 
     def _call_due(self) -> None:
         now = self._clock.monotonic()
--- a/tests/naive_router.py
+++ b/tests/naive_router.py
@@ -1,4 +1,4 @@
-"""A router in a page: any target at random, nobody owns one, all is tried again."""
+"""A minimal router for comparison: random targets, no owners, retries of everything."""
 
 import asyncio
 from datetime import timedelta
@@ -13,10 +13,10 @@
 
 
 class NaiveRouter:
-    """Implements ``RequestHandler`` without any of the promises.
+    """Implements ``RequestHandler`` without any of its guarantees.
 
     :param instances: all targets, of all availability zones.
-    :param pause: between two attempts, at most.
+    :param pause: longest time between two attempts.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self._pause = pause
 
     async def handle_request(self, request: ServiceRequest) -> Outcome:
-        """Try targets at random until one answers or time is up."""
+        """Try random targets until one answers or the time is up."""
         deadline = self._clock.monotonic() + request.timeout
         attempt = 0
         while True:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Queues are bounded, fair and ordered; the hopeless is refused at once."""
+"""Queues are bounded, fair and ordered, and refuse requests that would be late."""
 
 import asyncio
 import random
@@ -38,7 +38,7 @@
     def pop_teams(self, queue):
         return [queue.pop().team for _ in range(len(queue))]
 
-    def test_the_urgent_go_first_then_those_with_the_least_time(self):
+    def test_order_is_by_urgency_then_by_deadline(self):
         def scenario(queue):
             late = self.add(queue, seconds=9)
             soon = self.add(queue, seconds=5)
@@ -60,7 +60,7 @@
         order = self.run_queue(scenario)
         self.assertEqual(order[4:6], ["calm", "mild"])
 
-    def test_a_team_that_comes_back_has_no_claim_on_the_past(self):
+    def test_a_team_that_returns_does_not_catch_up_on_turns(self):
         def scenario(queue):
             self.add(queue, "a")
             self.add(queue, "b")
@@ -75,7 +75,7 @@
 
         self.assertEqual(set(self.run_queue(scenario)), {"a", "b"})
 
-    def test_one_team_fills_no_more_than_its_share_of_a_class(self):
+    def test_one_team_is_limited_within_an_urgency_class(self):
         def scenario(queue):
             outcomes = [self.add(queue, "loud") for _ in range(3)]
             return outcomes[2], self.add(queue, "calm"), len(queue)
@@ -86,7 +86,7 @@
         self.assertIsInstance(admitted, Waiter)
         self.assertEqual(length, 3)
 
-    def test_bytes_are_bounded_and_large_low_bodies_keep_out_nobody_urgent(self):
+    def test_bytes_are_bounded_per_urgency_class(self):
         def scenario(queue):
             self.add(queue, "a", Urgency.LOW, body=b"x" * 90)
             refused = self.add(queue, "b", Urgency.LOW, body=b"x" * 90)
@@ -97,7 +97,7 @@
         self.assertEqual(refused.code, "queue_full")
         self.assertIsInstance(urgent, Waiter)
 
-    def test_who_would_come_too_late_is_refused_with_a_hint(self):
+    def test_request_that_would_miss_its_deadline_is_refused_with_a_hint(self):
         def scenario(queue):
             for _ in range(10):
                 self.add(queue, slots=1)
@@ -111,7 +111,7 @@
         self.assertGreater(first.retry_after, ZERO)
         self.assertIsInstance(second, Waiter)
 
-    def test_what_waits_counts_for_nobody_once_it_is_removed(self):
+    def test_removed_waiters_are_not_counted(self):
         def scenario(queue):
             waiters = [self.add(queue, f"t{i % 3}") for i in range(30)]
             removed = [queue.remove(waiter) for waiter in waiters]
@@ -123,7 +123,7 @@
 
 
 class TestOverload(unittest.TestCase):
-    """Two entries with 8 slots of 50 ms each: 320 requests a second at best."""
+    """Two entries with 8 slots of 50 ms each: at most 320 requests per second."""
 
     @classmethod
     def setUpClass(cls):
@@ -163,14 +163,14 @@
         starts = play(scenario, Layout(), service_time=take_exponential_time(mean))
         return times, starts
 
-    def test_goodput_at_three_times_the_load_stays_near_the_best(self):
+    def test_goodput_at_three_times_the_load_stays_near_the_maximum(self):
         times, starts = self.times, self.starts
         done = [o for o, _, _ in times.values() if isinstance(o, Completed)]
         self.assertGreater(len(done), 0.9 * 320 * 6)
         refused = {n for n, t in times.items() if isinstance(t[0], Refused)}
         self.assertFalse(refused & set(starts))
 
-    def test_the_urgent_wait_no_longer_at_three_times_the_load(self):
+    def test_urgent_requests_wait_no_longer_at_three_times_the_load(self):
         times, starts = self.times, self.starts
         waits = sorted(
             starts[name] - start if name in starts else SECOND
@@ -179,10 +179,10 @@
         )
         self.assertLess(waits[int(0.99 * len(waits))], timedelta(milliseconds=50))
 
-    def test_who_is_given_up_hears_so_at_once(self):
-        held = [
+    def test_late_requests_are_refused_before_their_deadline(self):
+        late = [
             (name, end - start)
             for name, (outcome, start, end) in self.times.items()
             if isinstance(outcome, Refused) and end - start > 0.95 * SECOND
         ]
-        self.assertEqual(held, [])
+        self.assertEqual(late, [])
--- a/tests/test_requests_model.py
+++ b/tests/test_requests_model.py
@@ -1,4 +1,4 @@
-"""Whatever happens in whatever order, the promises to callers hold."""
+"""The guarantees to callers hold under random sequences of requests and faults."""
 
 import asyncio
 import unittest
@@ -37,16 +37,16 @@
 
 
 class Ask(NamedTuple):
-    """A caller's request; it goes away after ``patience`` milliseconds."""
+    """A caller's request; it is cancelled after ``cancel_after`` milliseconds."""
 
     entry: int
     idempotent: bool
     timeout: int
-    patience: int | None
+    cancel_after: int | None
 
 
 class Event(NamedTuple):
-    """Something that befalls the deployment."""
+    """A fault or another change of the deployment."""
 
     kind: str
     first: int
@@ -73,8 +73,8 @@
 )
 
 
-class Told(NamedTuple):
-    """What a caller learned, and how long after its deadline."""
+class CallerResult(NamedTuple):
+    """What a caller got, and how long after its deadline."""
 
     ask: Ask
     outcome: Outcome | None
@@ -82,19 +82,19 @@
 
 
 class Game:
-    """Plays a plan on a deployment, by our routers or by naive ones."""
+    """Runs a plan on a deployment, with the real routers or with naive ones."""
 
     def __init__(self, deployment: RequestDeployment, handlers: dict[str, Any]) -> None:
         self.deployment = deployment
         self.handlers = handlers
-        self.told: dict[str, Told] = {}
+        self.results: dict[str, CallerResult] = {}
         self.alive = list(ENTRIES)
         self._callers: dict[str, set[asyncio.Task[Outcome]]] = {
             n: set() for n in ENTRIES
         }
 
     async def play(self, plan: list[tuple[int, Ask | Event]]) -> None:
-        """Play the plan, then wait until everything has ended."""
+        """Run the plan, then wait until everything has ended."""
         callers = []
         for number, (gap, step) in enumerate(plan):
             await asyncio.sleep(gap / 1000)
@@ -122,13 +122,15 @@
             )
         )
         self._callers[entry].add(caller)
-        patience = None if ask.patience is None else ask.patience / 1000
-        await asyncio.wait({caller}, timeout=patience)
+        cancel_after = None if ask.cancel_after is None else ask.cancel_after / 1000
+        await asyncio.wait({caller}, timeout=cancel_after)
         caller.cancel()
         await asyncio.wait({caller})
         outcome = None if caller.cancelled() else caller.result()
         if outcome is not None or entry in self.alive:
-            self.told[name] = Told(ask, outcome, clock.monotonic() - deadline)
+            self.results[name] = CallerResult(
+                ask, outcome, clock.monotonic() - deadline
+            )
 
     def _get_target(self, number: int) -> Any:
         return self.deployment.targets[TARGETS[number]]
@@ -143,7 +145,7 @@
         shard = f"target/{TARGETS[target]}"
         await self.deployment.table.assign(shard, self.alive[entry % len(self.alive)])
 
-    async def _kill(self, entry: int, heir: int) -> None:
+    async def _kill(self, entry: int, successor: int) -> None:
         if len(self.alive) < 2:
             return
         name = self.alive.pop(entry % len(self.alive))
@@ -152,8 +154,8 @@
             caller.cancel()
         for shard, owner in list(self.deployment.table.owners.items()):
             if owner.instance == name:
-                heir_name = self.alive[heir % len(self.alive)]
-                await self.deployment.table.assign(shard, heir_name)
+                successor_name = self.alive[successor % len(self.alive)]
+                await self.deployment.table.assign(shard, successor_name)
 
     async def _cut(self, sender: int, receiver: int) -> None:
         self.deployment.switch.cut(ENTRIES[sender], ENTRIES[receiver])
@@ -181,26 +183,26 @@
         self._get_target(target).resume()
 
     def list_faults(self) -> set[str]:
-        """Name every promise that was broken."""
+        """Return the names of the guarantees that were broken."""
         counts = self.deployment.log.counts
         faults = set()
         if self.deployment.count_overfills():
             faults.add("overfilled")
-        for name, (ask, outcome, delay) in self.told.items():
+        for name, (ask, outcome, delay) in self.results.items():
             if not ask.idempotent and counts[name] > 1:
                 faults.add("ran twice")
             if isinstance(outcome, Refused) and counts[name]:
                 faults.add("ran though refused")
             if isinstance(outcome, Completed) and outcome.body != name.encode():
                 faults.add("another's answer")
-            if ask.patience is None and outcome is None:
+            if ask.cancel_after is None and outcome is None:
                 faults.add("no outcome")
             if delay > LATE:
                 faults.add("late")
         return faults
 
     def count_leaks(self) -> int:
-        """Count slots and queue places that nobody will give back."""
+        """Count slots and queue entries that are never released."""
         leaks = 0
         for name in self.alive:
             for lane in self.deployment.routers[name]._owned.lanes.values():
@@ -262,7 +264,7 @@
     def test_ours_completes_as_much_when_nothing_fails(self):
         plan = [(7, Ask(number, False, 2000, None)) for number in range(60)]
         done = [
-            sum(isinstance(told.outcome, Completed) for told in game.told.values())
+            sum(isinstance(r.outcome, Completed) for r in game.results.values())
             for game in (play_ours(plan), play_naive(plan))
         ]
         self.assertEqual(done, [60, 60])
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries stay within a budget and a deadline; bad targets are left alone."""
+"""Retries stay within a budget and a deadline, and failing targets are ejected."""
 
 import asyncio
 import random
@@ -6,8 +6,8 @@
 from datetime import timedelta
 
 from damaskdeck.coordination.requests.health import (
+    CONSECUTIVE_FAILURE_LIMIT,
     EJECTION_TIME,
-    STREAK_LIMIT,
     TargetHealth,
     may_eject,
 )
@@ -36,7 +36,7 @@
             made += budget.spend()
         self.assertAlmostEqual(made, 1000 * 0.1 + 3, delta=1)
 
-    def test_a_quiet_time_saves_up_no_more_than_the_burst(self):
+    def test_the_budget_saves_no_more_than_the_burst(self):
         budget = RetryBudget(share=0.1, burst=3)
         for _ in range(1000):
             budget.earn()
@@ -57,34 +57,34 @@
         self.pool = make_pool(self.clock, slots=8)
         self.health = TargetHealth(self.pool, self.clock, random.Random(1))
 
-    def test_a_streak_of_failures_is_bad_and_one_answer_ends_it(self):
-        for _ in range(STREAK_LIMIT - 1):
-            self.health.note_bad()
-        self.health.note_good()
-        self.health.note_bad()
-        self.assertFalse(self.health.is_bad)
-        for _ in range(STREAK_LIMIT - 1):
-            self.health.note_bad()
-        self.assertTrue(self.health.is_bad)
+    def test_consecutive_failures_eject_and_one_good_answer_resets_them(self):
+        for _ in range(CONSECUTIVE_FAILURE_LIMIT - 1):
+            self.health.record_failure()
+        self.health.record_success()
+        self.health.record_failure()
+        self.assertFalse(self.health.should_eject)
+        for _ in range(CONSECUTIVE_FAILURE_LIMIT - 1):
+            self.health.record_failure()
+        self.assertTrue(self.health.should_eject)
 
     def test_an_ejected_target_gets_nothing_and_returns_slot_by_slot(self):
         self.health.eject()
         self.assertEqual(self.pool.count_free(), 0)
-        self.health.bring_back()
+        self.health.readmit()
         free = []
         for _ in range(8):
             free.append(self.pool.count_free())
-            self.health.note_good()
+            self.health.record_success()
         self.assertEqual(free, [1, 2, 3, 4, 5, 6, 7, 8])
 
     def test_a_target_that_fails_again_on_return_stays_away_longer(self):
         waits = []
         for _ in range(3):
             self.health.eject()
-            waits.append(self.health.until - self.clock.monotonic())
-            self.health.bring_back()
-            self.health.note_bad()
-            self.assertTrue(self.health.is_bad)
+            waits.append(self.health.ejected_until - self.clock.monotonic())
+            self.health.readmit()
+            self.health.record_failure()
+            self.assertTrue(self.health.should_eject)
         self.assertGreaterEqual(waits[0], EJECTION_TIME)
         self.assertGreater(waits[2], 2 * waits[0])
 
@@ -96,7 +96,7 @@
 
 
 class TestRetries(unittest.TestCase):
-    def test_an_outage_of_all_targets_causes_no_storm(self):
+    def test_an_outage_of_all_targets_causes_no_retry_storm(self):
         async def scenario(deployment):
             for target in deployment.targets.values():
                 target.faults.plan("send", *[FaultKind.REFUSE] * 10_000)
@@ -114,7 +114,7 @@
         sends = play(scenario, Layout(entries=1))
         self.assertLess(sends, 400 * (1 + RETRY_SHARE) + RETRY_BURST + 1)
 
-    def test_targets_that_come_back_are_not_run_over(self):
+    def test_targets_that_recover_are_not_overloaded(self):
         async def scenario(deployment):
             async def ask_for(seconds):
                 asks = []
@@ -153,7 +153,7 @@
         late = [e.target for e in executions[50:]]
         self.assertLess(late.count("target-0-0"), 0.1 * len(late))
 
-    def test_the_cap_keeps_most_targets_when_all_fail(self):
+    def test_the_ejection_limit_keeps_most_targets_when_all_fail(self):
         async def scenario(deployment):
             for target in deployment.targets.values():
                 target.fails_everything = True
@@ -176,7 +176,7 @@
         outcomes = play(scenario, Layout(entries=1))
         self.assertEqual({type(outcome) for outcome in outcomes}, {Completed})
 
-    def test_the_deadline_goes_along_with_each_hop_and_retry(self):
+    def test_the_deadline_covers_each_hop_and_retry(self):
         async def scenario(deployment):
             await deployment.table.drop("target/target-0-0")
             await asyncio.sleep(0.5)
@@ -200,7 +200,7 @@
         self.assertEqual({type(outcome) for outcome in outcomes}, {Completed})
         self.assertEqual(set(counts.values()), {1})
 
-    def test_a_hopeless_deadline_is_not_sent_on(self):
+    def test_a_request_past_its_deadline_is_not_sent(self):
         async def scenario(deployment):
             outcome = await deployment.ask("entry-0-0", "r", timeout=timedelta())
             return outcome, sum(t.calls["send"] for t in deployment.targets.values())
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Requests run once, at the owners of targets, and callers learn the truth."""
+"""Requests run at most once, at owners of targets, and callers get true outcomes."""
 
 import asyncio
 import itertools
@@ -27,7 +27,7 @@
 
 
 def start_asks(deployment: Any, prefix: str, count: int) -> list[asyncio.Task[Any]]:
-    """Start requests at the first entry; their names count up from ``prefix`` 0."""
+    """Start requests at the first entry, named ``prefix`` and a number from 0."""
     asks = [deployment.ask("entry-0-0", f"{prefix}{i}") for i in range(count)]
     return [asyncio.ensure_future(ask) for ask in asks]
 
@@ -49,7 +49,7 @@
 
 
 class TestForwarding(unittest.TestCase):
-    def test_an_entry_without_room_forwards_to_an_owner(self):
+    def test_an_entry_without_free_slots_forwards_to_an_owner(self):
         async def scenario(deployment):
             asks = [deployment.ask("entry-0-0", f"r{i}") for i in range(4)]
             outcomes = await asyncio.gather(*asks)
@@ -80,7 +80,7 @@
 
         self.assertEqual(play(scenario), Completed(b"r"))
 
-    def test_other_zones_are_used_only_without_room_in_the_own(self):
+    def test_other_zones_are_used_only_without_free_slots_in_the_own(self):
         async def scenario(deployment):
             first = await asyncio.gather(
                 *(deployment.ask("entry-0-0", f"a{i}") for i in range(4))
@@ -98,24 +98,24 @@
 
 
 class TestSharing(unittest.TestCase):
-    def test_each_of_many_owners_hears_in_time_of_requests_that_wait(self):
+    def test_each_of_many_owners_is_notified_of_waiting_requests(self):
         async def scenario(deployment):
-            told = set()
+            notified = set()
             send = deployment.switch.find("entry-0-0").send
 
-            def note(instance, message, kind):
+            def record(instance, message, kind):
                 if kind is ReportWaitingRequests:
-                    told.add(instance)
+                    notified.add(instance)
                 return send(instance, message, kind)
 
-            deployment.switch.find("entry-0-0").send = note
+            deployment.switch.find("entry-0-0").send = record
             asks = []
             for number in range(200):
                 ask = deployment.ask("entry-0-0", f"r{number}")
                 asks.append(asyncio.ensure_future(ask))
                 await asyncio.sleep(0.005)
             await asyncio.gather(*asks)
-            return told
+            return notified
 
         layout = Layout(zones=12, entries=1, targets=1, slots=1)
         slow = take_constant_time(timedelta(seconds=0.2))
@@ -173,7 +173,7 @@
 
 
 class TestLeavingTargets(unittest.TestCase):
-    def test_a_leaving_target_gets_nothing_new_at_the_lists_word(self):
+    def test_a_target_listed_as_leaving_gets_no_new_requests(self):
         async def scenario(deployment):
             deployment.fleet.mark_leaving("target-0-0")
             for number in range(10):
@@ -182,7 +182,7 @@
 
         self.assertEqual(play(scenario), {"target-0-1"})
 
-    def test_a_target_off_the_list_gets_nothing_and_comes_back_with_it(self):
+    def test_an_unlisted_target_gets_no_requests_until_it_is_listed_again(self):
         async def scenario(deployment):
             instance = deployment.fleet.get("target-0-0")
             deployment.fleet.remove("target-0-0")
@@ -214,7 +214,7 @@
 
 
 class TestOwnedTargets(unittest.TestCase):
-    def test_a_service_named_first_during_a_probe_ends_no_loop(self):
+    def test_a_lane_created_during_a_probe_does_not_end_the_probing(self):
         async def scenario(deployment):
             owned = deployment.routers["entry-0-0"]._owned
             owned.get_lane(SERVICE)._health["target-0-0"].eject()
@@ -238,13 +238,13 @@
             owned = deployment.routers["entry-0-0"]._owned
             target = deployment.targets["target-0-0"].instance
             await deployment.table.drop("target/target-0-0")
-            fill = owned._handover.fill
+            hold_inherited = owned._handover.hold_inherited
 
-            async def fill_slowly(pool, epoch):
+            async def hold_slowly(pool, epoch):
                 deployment.fleet.put(target._replace(state=InstanceState.LEAVING))
-                await fill(pool, epoch)
+                await hold_inherited(pool, epoch)
 
-            owned._handover.fill = fill_slowly
+            owned._handover.hold_inherited = hold_slowly
             await deployment.table.assign("target/target-0-0", "entry-0-0")
             return owned.get_lane(SERVICE).pools["target-0-0"].target.state
 
@@ -310,14 +310,14 @@
 
 
 class TestCancellation(unittest.TestCase):
-    def test_a_wave_costs_linear_work_and_no_store_call(self):
+    def test_mass_cancellation_costs_linear_work_and_no_store_call(self):
         small, few = self.count_work(1000)
         large, many = self.count_work(10_000)
         self.assertLess(large / small, 11)
         self.assertEqual((few, many), ([], []))
 
     def count_work(self, size: int) -> tuple[int, list[str]]:
-        """Count the function calls of a wave, and list those of the store."""
+        """Count the function calls of a mass cancellation, and list key calls."""
         keys = Keys()
         calls = 0
 
@@ -344,7 +344,7 @@
         play(scenario, keys=keys)
         return calls, keys.calls
 
-    def test_a_caller_that_goes_gives_up_its_place(self):
+    def test_a_cancelled_caller_leaves_the_queue(self):
         async def scenario(deployment):
             asks = [
                 asyncio.ensure_future(deployment.ask("entry-0-0", f"r{i}"))
@@ -361,7 +361,7 @@
         self.assertLess(time, timedelta(seconds=0.11))
         self.assertLessEqual(sum(counts.values()), 5)
 
-    def test_a_place_that_came_while_its_caller_went_is_given_back(self):
+    def test_a_slot_assigned_while_its_caller_is_cancelled_is_released(self):
         async def scenario(deployment):
             lane = deployment.routers["entry-0-0"]._owned.get_lane(SERVICE)
             pool = lane.pools["target-0-0"]
@@ -370,14 +370,14 @@
             ask = asyncio.ensure_future(deployment.ask("entry-0-0", "b"))
             await asyncio.sleep(0)
             pool.target = pool.target._replace(slots=3)
-            lane.give_places()
+            lane.assign_free_slots()
             ask.cancel()
             await asyncio.gather(*first, ask, return_exceptions=True)
             return pool.busy
 
         self.assertEqual(play(scenario), 0)
 
-    def test_a_slot_that_frees_while_a_caller_goes_is_not_lost(self):
+    def test_a_slot_freed_while_a_caller_is_cancelled_is_not_lost(self):
         async def scenario(deployment):
             lane = deployment.routers["entry-0-0"]._owned.get_lane(SERVICE)
             pool = lane.pools["target-0-0"]
@@ -387,13 +387,13 @@
             await asyncio.sleep(0)
             pool.target = pool.target._replace(slots=3)
             ask.cancel()
-            lane.give_places()
+            lane.assign_free_slots()
             await asyncio.gather(*first, ask, return_exceptions=True)
             return pool.busy
 
         self.assertEqual(play(scenario), 0)
 
-    def test_an_offer_that_comes_while_a_caller_goes_is_the_next_ones(self):
+    def test_an_offer_during_a_cancellation_goes_to_the_next_waiter(self):
         async def scenario(deployment):
             first = start_asks(deployment, "a", 4)
             await asyncio.sleep(0.01)
@@ -402,41 +402,41 @@
             asks[0].cancel()
             router = deployment.routers["entry-0-0"]
             offer = OfferSlots(service=SERVICE, count=1)
-            await router._sharing._take_offer("entry-0-1", offer)
+            await router._sharing._handle_offer("entry-0-1", offer)
             waiting = len(router._owned.get_lane(SERVICE).queue)
             await asyncio.gather(*first, return_exceptions=True)
             return waiting, await asks[1]
 
         self.assertEqual(play(scenario), (0, Completed(b"b1")))
 
-    def test_a_forward_that_ends_long_after_its_time_leaves_nothing(self):
+    def test_a_forward_that_ends_long_after_its_deadline_leaves_no_entry(self):
         async def scenario(deployment):
             forwarder = deployment.routers["entry-0-0"]._forwarder
             served = []
 
-            async def serve(course):
-                served.append(course.request.identifier)
-                await asyncio.sleep(5 if course.request.identifier == "a" else 0)
+            async def serve(context):
+                served.append(context.request.identifier)
+                await asyncio.sleep(5 if context.request.identifier == "a" else 0)
                 return Completed(b"")
 
             forwarder._serve = serve
             counts = []
-            takes = [
-                asyncio.ensure_future(self.take(forwarder, "a")),
-                asyncio.ensure_future(self.take(forwarder, "b", 2.5)),
-                asyncio.ensure_future(self.take(forwarder, "a", 3)),
+            forwards = [
+                asyncio.ensure_future(self.forward(forwarder, "a")),
+                asyncio.ensure_future(self.forward(forwarder, "b", 2.5)),
+                asyncio.ensure_future(self.forward(forwarder, "a", 3)),
             ]
             await asyncio.sleep(4)
-            counts.append(forwarder.count_taken)
-            await asyncio.gather(*takes)
+            counts.append(forwarder.received_count)
+            await asyncio.gather(*forwards)
             await asyncio.sleep(10)
-            await self.take(forwarder, "c")
-            return served, counts, len(forwarder._taken)
+            await self.forward(forwarder, "c")
+            return served, counts, len(forwarder._received)
 
         self.assertEqual(play(scenario), (["a", "b", "c"], [1], 1))
 
-    async def take(self, forwarder, identifier, wait=0.0):
-        """Let a peer pass a request on."""
+    async def forward(self, forwarder, identifier, wait=0.0):
+        """Forward a request as a peer."""
         await asyncio.sleep(wait)
         message = ForwardRequest(
             identifier=identifier,
@@ -451,9 +451,9 @@
             patience=1.0,
             waiting=0,
         )
-        return await forwarder._take("entry-0-1", message)
+        return await forwarder._handle_forward("entry-0-1", message)
 
-    def test_a_cancelled_forward_gives_up_its_place_at_the_owner(self):
+    def test_a_cancelled_forward_leaves_the_queue_of_the_owner(self):
         async def scenario(deployment):
             await deployment.table.drop("target/target-0-0")
             await asyncio.sleep(0.5)
@@ -472,9 +472,9 @@
 
 
 class Answers:
-    """Targets whose answers to two callers come late, doubled and crossed.
+    """Targets whose answers to two callers are late, duplicated and mixed up.
 
-    :param picks: for each call in turn, which of all calls so far is answered.
+    :param picks: for each call in turn, the index of the call that is answered.
     """
 
     def __init__(self, picks: tuple[int, ...]) -> None:
@@ -494,7 +494,7 @@
 
 
 class TestAnswers(unittest.TestCase):
-    def test_no_order_of_two_callers_answers_gives_one_the_others(self):
+    def test_no_order_of_answers_mixes_up_two_callers(self):
         for picks in itertools.product(range(4), repeat=4):
             for idempotent in (True, False):
                 self.check(picks, idempotent)
@@ -603,7 +603,7 @@
 
 
 class Keys:
-    """Remembers keys in memory; may be down, and counts calls."""
+    """Stores keys in memory, counts calls and may be down."""
 
     def __init__(self) -> None:
         self.is_down = False
@@ -666,7 +666,7 @@
         self.assertEqual(keys.calls, [])
 
     def settle_slowly(self, keys):
-        """Let it take 50 ms until an outcome is remembered."""
+        """Delay the settling of keys by 50 ms."""
         settle = keys.settle_key
 
         async def settle_late(*args):
@@ -675,7 +675,7 @@
 
         keys.settle_key = settle_late
 
-    def test_an_outcome_is_remembered_though_its_caller_goes_meanwhile(self):
+    def test_an_outcome_is_stored_though_its_caller_is_cancelled(self):
         async def scenario(deployment, keys):
             self.settle_slowly(keys)
             ask = asyncio.ensure_future(deployment.ask("entry-0-0", "a", key="k"))
@@ -687,7 +687,7 @@
         outcome, counts, _ = self.play(scenario)
         self.assertEqual((outcome, counts), (Completed(b"a"), {"a": 1}))
 
-    def test_a_key_claimed_while_its_caller_goes_is_known_not_to_have_run(self):
+    def test_a_key_claimed_during_a_cancellation_is_settled_as_not_run(self):
         async def scenario(deployment, keys):
             claim = keys.claim_key
 
@@ -706,7 +706,7 @@
         outcome, counts, _ = self.play(scenario)
         self.assertEqual((outcome, counts), (Refused("cancelled"), {}))
 
-    def test_draining_waits_until_outcomes_are_remembered(self):
+    def test_draining_waits_until_outcomes_are_stored(self):
         async def scenario(deployment, keys):
             self.settle_slowly(keys)
             ask = asyncio.ensure_future(deployment.ask("entry-0-0", "a", key="k"))
@@ -719,7 +719,7 @@
         outcome, _, _ = self.play(scenario)
         self.assertEqual(outcome, Completed(b"a"))
 
-    def test_a_keyed_request_whose_caller_goes_is_settled_with_its_answer(self):
+    def test_a_cancelled_keyed_request_is_settled_with_its_answer(self):
         async def scenario(deployment, keys):
             ask = asyncio.ensure_future(deployment.ask("entry-0-0", "a", key="k"))
             await asyncio.sleep(0.01)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""No target is given more than its slots, whoever owns it and whoever fails."""
+"""No target gets more than its slots allow, whoever owns it and whatever fails."""
 
 import asyncio
 import unittest
@@ -51,7 +51,7 @@
         clock.move(timedelta(microseconds=1))
         self.assertEqual(pool.count_free(), 2)
 
-    def test_what_was_inherited_is_replaced_not_added(self):
+    def test_inherited_slots_are_replaced_and_not_added(self):
         pool = make_pool(ManualClock())
         pool.inherit("a", (LONG, LONG))
         self.assertEqual(pool.count_free(), 0)
@@ -60,7 +60,7 @@
 
 
 class TestOwners(unittest.TestCase):
-    """Requests take 5 s; the target runs whatever it gets and counts overfills."""
+    """Requests take 5 s; targets accept everything and count overfills."""
 
     def play(self, scenario):
         async def run(deployment: RequestDeployment):
@@ -144,7 +144,7 @@
         self.assertIsInstance(outcome, Refused)
         self.assertEqual(runs, 0)
 
-    def test_an_owner_back_from_a_pause_tells_its_successor(self):
+    def test_a_former_owner_reports_to_its_successor_after_a_pause(self):
         async def scenario(deployment):
             paused = self.ask(deployment, "entry-0-0", "a")
             await asyncio.sleep(1)
@@ -160,7 +160,7 @@
         self.assertEqual(outcomes, [Completed(b"a"), Completed(b"b")])
         self.assertLess(time, timedelta(seconds=8))
 
-    def test_a_caller_that_goes_leaves_the_slot_filled_until_the_answer(self):
+    def test_a_cancelled_caller_leaves_the_slot_filled_until_the_answer(self):
         async def scenario(deployment):
             first = [self.ask(deployment, "entry-0-0", f"a{i}") for i in range(2)]
             await asyncio.sleep(1)
