--- a/src/damaskdeck/coordination/configuration/reports.py
+++ b/src/damaskdeck/coordination/configuration/reports.py
@@ -104,7 +104,7 @@
         live = [member.name for member in self._members.list_live()]
         return InForceStatus(
             {name: get_revision(reports.get(name)) for name in live},
-            all(_has(reports.get(name), revision) for name in live),
+            all(_has_revision(reports.get(name), revision) for name in live),
         )
 
     def find_pull_source(self) -> str | None:
@@ -126,7 +126,7 @@
     return report["revision"] if report and report["is_loaded"] else -1
 
 
-def _has(report: ConfigurationReport | None, revision: int) -> bool:
+def _has_revision(report: ConfigurationReport | None, revision: int) -> bool:
     if report is None:
         return False
     return get_revision(report) >= revision or revision in report.get("ahead", [])
--- a/src/damaskdeck/coordination/members/ownership.py
+++ b/src/damaskdeck/coordination/members/ownership.py
@@ -183,13 +183,15 @@
         if self._is_draining:
             await self._hand_over_all(scope)
             return False
-        wanted = assign_shards(self._shards[scope], self._list_names(scope))
-        changes, is_waiting = self._list_claims(scope, table, wanted, owner_lease)
+        assignment = assign_shards(
+            self._shards[scope], self._list_candidate_names(scope)
+        )
+        changes, is_waiting = self._list_claims(scope, table, assignment, owner_lease)
         changes.update(self._list_removals(scope, table))
         if changes:
             await self._commit(scope, table, changes)
             await self._apply_table(scope, table)
-        moves = self._list_moves(scope, table, wanted)
+        moves = self._list_moves(scope, table, assignment)
         if moves:
             await self._hand_over(scope, table, moves)
         return is_waiting
@@ -200,7 +202,7 @@
         self,
         scope: str,
         table: Table,
-        wanted: Mapping[str, str],
+        assignment: Mapping[str, str],
         owner_lease: OwnerLease,
     ) -> tuple[dict[str, OwnerChange], bool]:
         own = self._members.self.name
@@ -208,16 +210,16 @@
         is_waiting = False
         for name in self._shards[scope]:
             entry = table.owners.get(name)
-            is_wanted = wanted.get(name) == own
+            is_assigned = assignment.get(name) == own
             epoch = None
             if entry is None:
-                epoch = table.document.floor + 1 if is_wanted else None
+                epoch = table.document.floor + 1 if is_assigned else None
             elif entry.instance == own:
                 epoch = self._choose_epoch(f"{scope}/{name}", entry, owner_lease)
             elif not self._is_unregistered(entry, table):
                 self._eligible_since.pop((scope, name), None)
                 is_waiting = is_waiting or not self._members.is_live(entry.instance)
-            elif self._can_take_over(scope, name, entry, is_wanted):
+            elif self._can_take_over(scope, name, entry, is_assigned):
                 epoch = entry.epoch + 1
             else:
                 is_waiting = True
@@ -232,7 +234,7 @@
 
         One member, chosen by hash, removes them.
         """
-        names = self._list_names(scope)
+        names = self._list_candidate_names(scope)
         if not names or rank_members(table.key, names)[0] != self._members.self.name:
             return {}
         removals = {}
@@ -260,7 +262,7 @@
         return is_known and not self._members.is_registered(entry.instance)
 
     def _can_take_over(
-        self, scope: str, name: str, entry: OwnerEntry, is_wanted: bool
+        self, scope: str, name: str, entry: OwnerEntry, is_assigned: bool
     ) -> bool:
         if scope not in GLOBAL_SCOPES and not self._members.can_take_over_from(
             entry.instance
@@ -268,7 +270,7 @@
             return False
         now = self._clock.monotonic()
         since = self._eligible_since.setdefault((scope, name), now)
-        return is_wanted or now - since >= ORPHAN_DELAY
+        return is_assigned or now - since >= ORPHAN_DELAY
 
     async def _commit(
         self, scope: str, table: Table, changes: Mapping[str, OwnerChange]
@@ -298,7 +300,7 @@
     # Handover -------------------------------------------------------------------
 
     def _list_moves(
-        self, scope: str, table: Table, wanted: Mapping[str, str]
+        self, scope: str, table: Table, assignment: Mapping[str, str]
     ) -> dict[str, OwnerChange]:
         own = self._members.self.name
         now = self._clock.monotonic()
@@ -306,7 +308,7 @@
         for name, entry in table.owners.items():
             if entry.instance != own:
                 continue
-            change = self._choose_move(scope, name, entry, wanted)
+            change = self._choose_move(scope, name, entry, assignment)
             if change is None:
                 self._eligible_since.pop((scope, name), None)
                 continue
@@ -316,12 +318,12 @@
         return moves
 
     def _choose_move(
-        self, scope: str, name: str, entry: OwnerEntry, wanted: Mapping[str, str]
+        self, scope: str, name: str, entry: OwnerEntry, assignment: Mapping[str, str]
     ) -> OwnerChange | None:
         """Return the change that an own shard needs, if any."""
         if name not in self._shards[scope]:
             return OwnerChange(entry, None)
-        owner = wanted.get(name, entry.instance)
+        owner = assignment.get(name, entry.instance)
         successor = self._members.get_registered(owner)
         if owner == entry.instance or successor is None:
             return None
@@ -338,7 +340,7 @@
         ]
         names = [
             name
-            for name in self._list_names(scope)
+            for name in self._list_candidate_names(scope)
             if name != self._members.self.name and self._members.is_live(name)
         ]
         moves = {}
@@ -459,7 +461,7 @@
                 if key.endswith("/" + scope):
                     yield self._get_table_by_key(key)
 
-    def _list_names(self, scope: str) -> list[str]:
+    def _list_candidate_names(self, scope: str) -> list[str]:
         zone = "" if scope in GLOBAL_SCOPES else self._members.self.zone
         return [found.member.name for found in self._members.list_candidates(zone)]
 
--- a/src/damaskdeck/coordination/requests/timers.py
+++ b/src/damaskdeck/coordination/requests/timers.py
@@ -32,14 +32,14 @@
         self._clock = clock
         self._heap: list[tuple[timedelta, int, Timer]] = []
         self._numbers = itertools.count()
-        self._waits_until = timedelta.min
+        self._wakes_at = timedelta.min
         self._wake = asyncio.Event()
 
     def call_at(self, time: timedelta, callback: Callable[[], None]) -> Timer:
         """Schedule a callback at a time of the monotonic clock."""
         timer = Timer(callback)
         heapq.heappush(self._heap, (time, next(self._numbers), timer))
-        if time < self._waits_until:
+        if time < self._wakes_at:
             self._wake.set()
         return timer
 
@@ -50,7 +50,7 @@
             self._call_due()
             now = self._clock.monotonic()
             next_time = self._heap[0][0] if self._heap else now + MAX_SLEEP
-            self._waits_until = next_time
+            self._wakes_at = next_time
             await wait_for_event(self._wake, next_time - now, self._clock)
             await self._clock.sleep(RESOLUTION)
 
--- a/src/damaskdeck/coordination/workers/fences.py
+++ b/src/damaskdeck/coordination/workers/fences.py
@@ -23,7 +23,10 @@
         )
 
     def admit(self, ledger: str, epoch: int) -> bool:
-        """Return whether a ledger owner's epoch is the newest known; else refuse it."""
+        """Refuse a ledger owner that is older than the newest known one.
+
+        :returns: whether it is admitted.
+        """
         owner = self._ownership.find_owner(f"ledger/{ledger}")
         known = max(self._epochs.get(ledger, 0), owner.epoch if owner else 0)
         if epoch < known:
--- a/src/damaskdeck/coordination/workers/fleet.py
+++ b/src/damaskdeck/coordination/workers/fleet.py
@@ -127,7 +127,7 @@
         if not changes:
             return
         self._instances = listed
-        self._sort()
+        self._rebuild_index()
         for handler in self._handlers:
             handler(changes)
 
@@ -174,7 +174,7 @@
             if seen < oldest:
                 del self._leaving[identity]
 
-    def _sort(self) -> None:
+    def _rebuild_index(self) -> None:
         groups: dict[tuple[InstanceRole, str], list[Instance]] = {}
         for _, instance in sorted(self._instances.items()):
             for zone in {"", instance.zone}:
--- a/src/damaskdeck/coordination/workers/outbox.py
+++ b/src/damaskdeck/coordination/workers/outbox.py
@@ -11,8 +11,8 @@
 from damaskdeck.protocol.messages import Answered, Peers
 from damaskdeck.state.names import parse_job_name, parse_ledger_name
 
-BATCH_LIMIT = 500
-BATCH_BYTES = 512_000
+MAX_BATCH_UPDATES = 500
+MAX_BATCH_BYTES = 512_000
 REPLY_TIMEOUT = timedelta(seconds=5)
 RETRY_INTERVAL = timedelta(milliseconds=500)
 BATCH_DELAY = timedelta(milliseconds=10)
@@ -101,9 +101,9 @@
     """Return the oldest updates, as many as fit into one message."""
     batch: list[TaskUpdate] = []
     size = 0
-    for update in islice(waiting.values(), BATCH_LIMIT):
+    for update in islice(waiting.values(), MAX_BATCH_UPDATES):
         size += len(update.get("result", b""))
-        if batch and size > BATCH_BYTES:
+        if batch and size > MAX_BATCH_BYTES:
             break
         batch.append(update)
     return batch
--- a/src/damaskdeck/coordination/workers/summaries.py
+++ b/src/damaskdeck/coordination/workers/summaries.py
@@ -76,21 +76,21 @@
     """Yield what each urgency class could preempt, the most urgent first."""
     sums: dict[tuple[Urgency, bool], list[int]] = {}
     for account in accounts:
-        for held in account.reservations.values():
-            running = held.need
-            if running.checkpoint or running.idempotent:
-                key = running.urgency, running.checkpoint
+        for reservation in account.reservations.values():
+            need = reservation.need
+            if need.checkpoint or need.idempotent:
+                key = need.urgency, need.checkpoint
                 total = sums.setdefault(key, [0, 0, 0])
-                for index, amount in enumerate(running.size):
+                for index, amount in enumerate(need.size):
                     total[index] += amount
     for urgency in Urgency:
-        taker = TaskNeed("", ZERO_SIZE, urgency=urgency)
-        cleared = ZERO_SIZE
-        for (held_urgency, checkpoint), total in sums.items():
-            victim = TaskNeed("", ZERO_SIZE, "", held_urgency, True, checkpoint)
-            if may_preempt(taker, victim):
-                cleared = add_sizes(cleared, Size(*total))
-        yield cleared
+        preemptor = TaskNeed("", ZERO_SIZE, urgency=urgency)
+        preemptible = ZERO_SIZE
+        for (victim_urgency, checkpoint), total in sums.items():
+            victim = TaskNeed("", ZERO_SIZE, "", victim_urgency, True, checkpoint)
+            if may_preempt(preemptor, victim):
+                preemptible = add_sizes(preemptible, Size(*total))
+        yield preemptible
 
 
 class OwnerView:
