--- a/src/damaskdeck/state/commits.py
+++ b/src/damaskdeck/state/commits.py
@@ -1,4 +1,4 @@
-"""Commits that wait for their append, in the order of their callers."""
+"""The queue of commits that wait to be appended, in the order of their calls."""
 
 import asyncio
 from collections import deque
@@ -10,13 +10,13 @@
 from damaskdeck.metrics import count_refusal
 from damaskdeck.protocol.ports import Lost, Rejected
 from damaskdeck.state.log import Deposed
-from damaskdeck.state.segments import SEGMENT_OVERHEAD, measure_records
+from damaskdeck.state.segments import SEGMENT_OVERHEAD_BYTES, measure_records
 
 
 class Committed(NamedTuple):
     """The records are durable.
 
-    :param sequence: place in the log; commits of one append share it.
+    :param sequence: position in the log; all commits of one append share it.
     """
 
     sequence: int
@@ -28,9 +28,10 @@
 class Commit:
     """A commit in the queue.
 
-    :param deadline: monotonic time at which its caller is answered anyway.
-
-    ``is_sent`` tells whether an append with its records may take effect.
+    :param deadline: monotonic time at which its caller gets a result in any case.
+    :ivar is_sent: whether an append with its records is in progress and may take
+        effect.
+    :ivar result: resolved with the outcome.
     """
 
     def __init__(self, records: tuple[bytes, ...], deadline: timedelta) -> None:
@@ -38,29 +39,29 @@
         self.size = measure_records(records)
         self.deadline = deadline
         self.is_sent = False
-        self.answer: asyncio.Future[CommitOutcome]
-        self.answer = asyncio.get_running_loop().create_future()
+        self.result: asyncio.Future[CommitOutcome]
+        self.result = asyncio.get_running_loop().create_future()
 
     @property
     def is_waiting(self) -> bool:
-        """Whether the caller was neither answered nor cancelled."""
-        return not self.answer.done()
+        """Whether the caller has neither a result nor been cancelled."""
+        return not self.result.done()
 
     def settle(self, outcome: CommitOutcome) -> None:
-        """Answer the caller if it still waits."""
+        """Return an outcome to the caller if it still waits."""
         if self.is_waiting:
-            self.answer.set_result(outcome)
+            self.result.set_result(outcome)
 
     def fail(self, error: Exception) -> None:
-        """Let the caller meet a broken invariant."""
+        """Raise an error in the caller if it still waits."""
         if self.is_waiting:
-            self.answer.set_exception(error)
+            self.result.set_exception(error)
 
 
 class CommitQueue:
     """All commits that wait or are being appended.
 
-    ``refusal`` is what those are told that could not be sent in time.
+    :ivar refusal: result of commits that could not be sent before their deadline.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -72,7 +73,7 @@
         return len(self._commits)
 
     def add(self, commit: Commit) -> None:
-        """Put a commit at the end."""
+        """Append a commit to the queue."""
         self._commits.append(commit)
 
     def list_waiting(self) -> list[Commit]:
@@ -82,13 +83,13 @@
     def take_group(self, value_limit: int) -> list[Commit]:
         """Return the commits of the next append; they stay in the queue.
 
-        Those whose callers have gone are dropped.
+        Commits whose callers no longer wait are dropped.
 
-        :param value_limit: bytes; one commit alone may be larger.
+        :param value_limit: size in bytes; a single commit may exceed it.
         """
         self._commits = deque(self.list_waiting())
         group: list[Commit] = []
-        size = SEGMENT_OVERHEAD
+        size = SEGMENT_OVERHEAD_BYTES
         for commit in self._commits:
             size += commit.size
             if group and size > value_limit:
@@ -97,27 +98,27 @@
         return group
 
     def remove_group(self, group: list[Commit]) -> None:
-        """Remove what :meth:`take_group` returned last; the store has answered."""
+        """Remove the last result of :meth:`take_group`; its append has a result."""
         self.refusal = Rejected("store_unavailable")
         for _ in group:
             self._commits.popleft()
 
     def settle_all(self, settle: Callable[[Commit], None]) -> None:
-        """Empty the queue."""
+        """Empty the queue and call ``settle`` with each commit."""
         while self._commits:
             settle(self._commits.popleft())
 
     async def expire(self) -> None:
-        """Answer each commit that waits too long with what is proved of it."""
+        """Return a result to each commit that has reached its deadline."""
         while waiting := self.list_waiting():
             await self._clock.sleep(waiting[0].deadline - self._clock.monotonic())
             now = self._clock.monotonic()
             for commit in waiting:
                 if commit.deadline <= now and commit.is_waiting:
-                    commit.settle(self._tell_expired(commit))
+                    commit.settle(self._build_expired_outcome(commit))
 
-    def _tell_expired(self, commit: Commit) -> Rejected | Lost:
+    def _build_expired_outcome(self, commit: Commit) -> Rejected | Lost:
         if commit.is_sent:
-            return Lost("answer_lost", "the store has not answered in time")
+            return Lost("answer_lost", "the store did not reply in time")
         count_refusal("ledger", self.refusal.code)
         return self.refusal
--- a/src/damaskdeck/state/images.py
+++ b/src/damaskdeck/state/contents.py
@@ -1,4 +1,4 @@
-"""A ledger as read from the store in one call."""
+"""The contents of a ledger, read from the store in one call."""
 
 from typing import NamedTuple
 
@@ -18,15 +18,16 @@
 )
 
 
-class Image(NamedTuple):
+class LedgerContents(NamedTuple):
     """All keys of a ledger as of one revision of the store.
 
     :param head_revision: 0 when the ledger is new.
-    :param segments: those that count, in order, without a gap.
-    :param revisions: of every slot in use, by key.
-    :param sizes: bytes of every slot in use, by key.
-    :param moved: records of the log that were moved to the snapshot's parts.
-    :param leftovers: keys of parts that no head names.
+    :param segments: the segments after the base, in order and without gaps.
+    :param revisions: revision of each used slot, by key.
+    :param sizes: size in bytes of each used slot, by key.
+    :param snapshot: records of the snapshot.
+    :param moved: log records that were moved to parts of the snapshot.
+    :param orphaned_keys: keys of parts that the head does not refer to.
     """
 
     head: Head
@@ -36,7 +37,7 @@
     sizes: dict[str, int]
     snapshot: tuple[bytes, ...]
     moved: tuple[bytes, ...]
-    leftovers: tuple[str, ...]
+    orphaned_keys: tuple[str, ...]
 
     @property
     def last(self) -> int:
@@ -51,7 +52,7 @@
 
     @property
     def records(self) -> tuple[bytes, ...]:
-        """All records of the log, in order."""
+        """All records of closed groups in the log, in order."""
         return (*self.moved, *join_groups(self.segments))
 
     @property
@@ -59,8 +60,8 @@
         """The highest epoch that wrote to the ledger."""
         return max([self.head.epoch, *(s.epoch for s in self.segments)])
 
-    def move_log(self) -> "Image":
-        """Return the image with all closed groups moved out of the segments."""
+    def move_log(self) -> "LedgerContents":
+        """Return the contents with all closed groups moved out of the segments."""
         count = self.closed - self.head.base
         return self._replace(
             head=msgspec.structs.replace(self.head, base=self.closed),
@@ -68,8 +69,8 @@
             moved=(*self.moved, *join_groups(self.segments[:count])),
         )
 
-    def add(self, segment: Segment, key: str, revision: int) -> "Image":
-        """Return the image with one more segment at its end."""
+    def add(self, segment: Segment, key: str, revision: int) -> "LedgerContents":
+        """Return the contents with one more segment at the end."""
         return self._replace(
             segments=(*self.segments, segment),
             revisions={**self.revisions, key: revision},
@@ -77,26 +78,27 @@
         )
 
 
-def read_image(keys: Keys, listing: Listing, slots: int) -> Image:
-    """Sort out a listing of all keys of a ledger.
+def parse_contents(keys: Keys, listing: Listing, slots: int) -> LedgerContents:
+    """Build the contents of a ledger from a listing of all its keys.
 
-    :param slots: how many slots the log gets if the ledger is new.
-    :raises InvariantError: when the store has lost a key that counts.
+    :param slots: number of slots of the log if the ledger is new.
+    :raises InvariantError: when the store has lost a required key.
+    :raises LedgerError: when a value is unreadable.
     """
     entries = {entry.key: entry for entry in listing.entries}
     entry = entries.get(keys.head)
     head = decode_head(entry.value) if entry else Head(slots=slots)
     log = [e for e in listing.entries if e.key.startswith(keys.log)]
     parts = keys.list_parts(head)
-    split = head.parts - head.log_parts
-    return Image(
+    snapshot_parts = head.parts - head.log_parts
+    return LedgerContents(
         head,
         entry.revision if entry else 0,
         _order_segments(keys, head, log),
         {e.key: e.revision for e in log},
         {e.key: len(e.value) for e in log},
-        _join_parts(keys, parts[:split], entries),
-        _join_parts(keys, parts[split:], entries),
+        _join_parts(keys, parts[:snapshot_parts], entries),
+        _join_parts(keys, parts[snapshot_parts:], entries),
         tuple(
             key for key in entries if key.startswith(keys.snapshots) if key not in parts
         ),
@@ -107,9 +109,9 @@
     found = [decode_segment(entry.value) for entry in log]
     newer = [segment for segment in found if segment.sequence > head.base]
     newer.sort(key=lambda segment: segment.sequence)
-    for place, segment in enumerate(newer, head.base + 1):
-        if segment.sequence != place:
-            raise InvariantError(f"{keys.prefix} has lost sequence {place}")
+    for sequence, segment in enumerate(newer, head.base + 1):
+        if segment.sequence != sequence:
+            raise InvariantError(f"sequence {sequence} is missing in {keys.prefix}")
     return tuple(newer)
 
 
@@ -119,6 +121,6 @@
     records: list[bytes] = []
     for key in parts:
         if key not in entries:
-            raise InvariantError(f"{keys.prefix} has lost {key}")
+            raise InvariantError(f"key {key} is missing in {keys.prefix}")
         records.extend(decode_part(entries[key].value))
     return tuple(records)
--- a/src/damaskdeck/state/ledger.py
+++ b/src/damaskdeck/state/ledger.py
@@ -1,4 +1,4 @@
-"""A durable log in the store with one keeper at a time and group commit."""
+"""A durable log in the store with one owner at a time and group commit."""
 
 import asyncio
 import contextlib
@@ -13,22 +13,22 @@
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_refusal
 from damaskdeck.protocol.ports import Lost, Rejected, Store
-from damaskdeck.state.backing import Backing
+from damaskdeck.state.backend import LedgerBackend
 from damaskdeck.state.commits import Commit, CommitOutcome, CommitQueue, Committed
 from damaskdeck.state.compaction import Compaction
-from damaskdeck.state.images import Image
-from damaskdeck.state.log import LASTING_CODES, Appended, Deposed, Log
+from damaskdeck.state.contents import LedgerContents
+from damaskdeck.state.log import PERMANENT_CODES, Appended, Deposed, Log
 from damaskdeck.state.opening import Opening
-from damaskdeck.state.pace import Pace
-from damaskdeck.state.segments import SEGMENT_OVERHEAD, Keys, measure_records
+from damaskdeck.state.ratelimiter import RateLimiter
+from damaskdeck.state.segments import SEGMENT_OVERHEAD_BYTES, Keys, measure_records
 from damaskdeck.state.writes import Backoff
 
 __all__ = ["Committed", "Deposed", "Ledger", "Opened"]
 
 COMMIT_TIMEOUT = timedelta(seconds=4)
-QUEUE_LIMIT = 10_000
-SLOTS = 512
-COMPACTION_SIZE = 8_000_000
+MAX_QUEUED_COMMITS = 10_000
+DEFAULT_SLOTS = 512
+MIN_COMPACTION_BYTES = 8_000_000
 
 Apply = Callable[[tuple[bytes, ...]], None]
 TakeSnapshot = Callable[[], tuple[bytes, ...]]
@@ -37,9 +37,9 @@
 
 
 class Opened(NamedTuple):
-    """This keeper may commit now.
+    """This daemon may commit now.
 
-    :param snapshot: records of the last snapshot, as ``take_snapshot`` gave them.
+    :param snapshot: records of the last snapshot, as ``take_snapshot`` returned them.
     :param records: records committed since, in order.
     """
 
@@ -48,25 +48,25 @@
 
 
 class Ledger:
-    """A durable log with group commit: one append is in flight, the rest waits.
+    """A durable log with group commit: one append is in flight, other commits wait.
 
-    The state that the records describe must change in ``apply`` only: then a
+    The state that the records describe must change in ``apply`` only, so that a
     snapshot always matches the log.
 
-    :param name: of the ledger, as in ``03``.
-    :param take_snapshot: returns records that describe the state after all
-        records applied so far; must not wait. Not called before the first
-        :meth:`commit`, so replay what :meth:`open` returned before that.
-    :param apply: called with the records of each commit, in order of the log,
-        once they are durable and before :meth:`commit` returns, also when the
-        caller has gone; must not wait. Not called for what :meth:`open` returns.
-    :param append_interval: shortest time between two appends under load; all
-        ledgers together make ``count / append_interval`` store writes a second.
-    :param commit_timeout: longest time that :meth:`commit` waits.
-    :param value_limit: bytes of the largest value that the store takes.
-    :param slots: how many keys the log uses in turn, if the ledger is new.
-    :param queue_limit: how many commits may wait.
-    :param identify: returns a new unique identifier for a write.
+    :param name: name of the ledger, as in ``03``.
+    :param take_snapshot: returns records that describe the state after all records
+        applied so far; must not block. It is not called before the first
+        :meth:`commit`, so replay the result of :meth:`open` before that.
+    :param apply: called with the records of each commit, in log order, once they
+        are durable and before :meth:`commit` returns, even if the caller was
+        cancelled; must not block. It is not called for the result of :meth:`open`.
+    :param append_interval: minimum time between two appends under load. All
+        ledgers together make ``count / append_interval`` store writes per second.
+    :param commit_timeout: maximum time that :meth:`commit` waits.
+    :param value_limit: size in bytes of the largest value that the store accepts.
+    :param slots: number of keys of the log, if the ledger is new.
+    :param queue_limit: maximum number of commits that wait.
+    :param generate_id: returns a new unique identifier for a write.
     """
 
     def __init__(
@@ -80,16 +80,18 @@
         append_interval: timedelta = defaults.APPEND_INTERVAL,
         commit_timeout: timedelta = COMMIT_TIMEOUT,
         value_limit: int = defaults.VALUE_LIMIT,
-        slots: int = SLOTS,
-        queue_limit: int = QUEUE_LIMIT,
-        identify: Callable[[], str] = lambda: uuid.uuid4().hex,
+        slots: int = DEFAULT_SLOTS,
+        queue_limit: int = MAX_QUEUED_COMMITS,
+        generate_id: Callable[[], str] = lambda: uuid.uuid4().hex,
     ) -> None:
         self.name = name
-        self._backing = Backing(store, clock, Keys(name), value_limit, identify)
+        self._backend = LedgerBackend(
+            store, clock, Keys(name), value_limit, generate_id
+        )
         self._clock = clock
         self._take_snapshot = take_snapshot
         self._apply = apply
-        self._pace = Pace(clock, append_interval)
+        self._limiter = RateLimiter(clock, append_interval)
         self._commit_timeout = commit_timeout
         self._slots = slots
         self._queue_limit = queue_limit
@@ -102,60 +104,62 @@
         self._unreadable: Rejected | None = None
 
     async def open(self, epoch: int) -> Opened | Rejected | Lost:
-        """Fence off all keepers of lower epochs, then read what they committed.
+        """Fence all owners with lower epochs, then read what they committed.
 
         May be called again after ``Rejected`` or ``Lost``.
 
-        :param epoch: from :meth:`Ownership.get_epoch`.
-        :returns: ``Rejected("epoch_passed")`` if a higher epoch has opened it.
+        :param epoch: the result of :meth:`Ownership.get_epoch`.
+        :returns: ``Rejected("epoch_passed")`` if the ledger was opened with a higher
+            epoch.
         """
         if self._log is not None:
             return Rejected("already_open")
         until = self._clock.monotonic() + self._commit_timeout
-        image = await Opening(self._backing, self._slots, epoch, until).run()
-        if not isinstance(image, Image):
-            count_refusal("ledger", image.code)
-            return image
-        self._log = Log(self._backing, image, epoch)
+        contents = await Opening(self._backend, self._slots, epoch, until).run()
+        if not isinstance(contents, LedgerContents):
+            count_refusal("ledger", contents.code)
+            return contents
+        self._log = Log(self._backend, contents, epoch)
         self._compaction = Compaction(
-            self._backing, self._log, self._take_snapshot, image.leftovers
+            self._backend, self._log, self._take_snapshot, contents.orphaned_keys
         )
-        _log.info("Opened.", ledger=self.name, epoch=epoch, sequence=image.last)
-        return Opened(image.snapshot, image.records)
+        _log.info("Opened.", ledger=self.name, epoch=epoch, sequence=contents.last)
+        return Opened(contents.snapshot, contents.records)
 
     async def commit(self, records: tuple[bytes, ...]) -> CommitOutcome:
         """Make records durable, all or none of them.
 
-        Promise: "When the system says a request was not run, it truly did not
-        run." A caller that is cancelled while it waits may find its records
-        committed or not.
+        Promise: "When the system says a request was not run, it truly did not run."
+        The records of a caller that is cancelled while it waits may be committed or
+        not.
 
-        :returns: ``Deposed`` and ``Rejected`` only if none will ever be replayed;
-            ``Lost`` if that could not be learned within the commit timeout.
+        :returns: ``Deposed`` and ``Rejected`` only if none of the records will ever be
+            replayed; ``Lost`` if that is not known within the commit timeout.
+        :raises Exception: when ``apply`` or an append has failed unexpectedly.
         """
-        refusal = self._refuse(records)
+        refusal = self._find_refusal(records)
         if refusal is None:
             commit = Commit(records, self._clock.monotonic() + self._commit_timeout)
             self._queue.add(commit)
             self._start("append", self._append_all)
             self._start("expire", self._queue.expire)
-            return await commit.answer
+            return await commit.result
         if isinstance(refusal, Rejected):
             count_refusal("ledger", refusal.code)
         return refusal
 
     async def close(self) -> None:
-        """Take no more commits, let those that wait end, and stop."""
+        """Reject new commits, wait for the queued ones to end, and stop."""
         self._is_closing = True
         while waiting := self._queue.list_waiting():
-            await asyncio.wait([commit.answer for commit in waiting])
+            await asyncio.wait([commit.result for commit in waiting])
         for task in self._tasks.values():
             task.cancel()
         for task in self._tasks.values():
             with contextlib.suppress(asyncio.CancelledError):
                 await task
 
-    def _refuse(self, records: tuple[bytes, ...]) -> Deposed | Rejected | None:
+    def _find_refusal(self, records: tuple[bytes, ...]) -> Deposed | Rejected | None:
         if self._failure is not None:
             raise self._failure
         if self._unreadable is not None:
@@ -166,29 +170,36 @@
             return self._log.deposed
         if len(self._queue) >= self._queue_limit:
             return Rejected("queue_full")
-        room = self._backing.value_limit - SEGMENT_OVERHEAD
-        if any(measure_records([record]) > room for record in records):
-            return Rejected("value_too_large", f"at most {room} bytes a record")
+        limit = self._backend.value_limit - SEGMENT_OVERHEAD_BYTES
+        if any(measure_records([record]) > limit for record in records):
+            return Rejected("value_too_large", f"a record may have {limit} bytes")
         return None
 
-    def _start(self, name: str, act: Callable[[], object]) -> None:
+    def _start(self, name: str, action: Callable[[], object]) -> None:
         task = self._tasks.get(name)
         if task is None or task.done():
-            self._tasks[name] = asyncio.ensure_future(self._guard(act))
+            self._tasks[name] = asyncio.ensure_future(self._run_guarded(action))
 
-    async def _guard(self, act: Callable[[], object]) -> None:
+    async def _run_guarded(self, action: Callable[[], object]) -> None:
         try:
-            await act()
+            await action()
         except LedgerError as error:
-            self._give_up(error)
+            self._stop_unreadable(error)
         except Exception as error:
-            _log.error("Stopped by a fault.", ledger=self.name, fault=repr(error))
+            _log.error(
+                "The ledger failed unexpectedly.", ledger=self.name, fault=repr(error)
+            )
             self._failure = failure = error
             self._queue.settle_all(lambda commit: commit.fail(failure))
 
-    def _give_up(self, error: LedgerError) -> None:
-        """Take no more commits, as what others wrote to the ledger is unreadable."""
-        _log.error("Can't be read.", ledger=self.name, code=error.code, why=str(error))
+    def _stop_unreadable(self, error: LedgerError) -> None:
+        """Reject all commits, as other writers left the ledger unreadable."""
+        _log.error(
+            "The ledger is unreadable.",
+            ledger=self.name,
+            code=error.code,
+            why=str(error),
+        )
         refusal = self._unreadable = Rejected(error.code, str(error))
         lost = Lost(error.code, str(error))
         self._queue.settle_all(
@@ -198,14 +209,14 @@
     async def _append_all(self) -> None:
         backoff = Backoff(self._clock)
         while self._queue:
-            await self._pace.wait()
-            group = self._queue.take_group(self._backing.value_limit)
+            await self._limiter.wait()
+            group = self._queue.take_group(self._backend.value_limit)
             if not group:
                 continue
             self._compact_if_due()
             outcome = await self._append(group)
-            if isinstance(outcome, Rejected) and outcome.code not in LASTING_CODES:
-                self._queue.refusal = _name_refusal(outcome)
+            if isinstance(outcome, Rejected) and outcome.code not in PERMANENT_CODES:
+                self._queue.refusal = _convert_refusal(outcome)
                 await backoff.wait(outcome.code)
                 continue
             backoff = Backoff(self._clock)
@@ -241,7 +252,7 @@
             self._queue.settle_all(lambda commit: commit.settle(deposed))
 
     def _compact_if_due(self) -> None:
-        if self._is_due() or self._compaction.has_leftovers:
+        if self._is_due() or self._compaction.needs_cleanup:
             self._start("compact", self._compact)
 
     async def _compact(self) -> None:
@@ -249,12 +260,12 @@
 
     def _is_due(self) -> bool:
         log = self._log
-        limit = max(COMPACTION_SIZE, 2 * self._compaction.snapshot_size)
+        limit = max(MIN_COMPACTION_BYTES, 2 * self._compaction.snapshot_size)
         covered = log.closed - log.head.base
         return covered >= log.head.slots // 2 or (covered > 0 and log.size >= limit)
 
 
-def _name_refusal(outcome: Rejected) -> Rejected:
+def _convert_refusal(outcome: Rejected) -> Rejected:
     if outcome.code == "unreachable":
         return Rejected("store_unavailable", outcome.code)
     return outcome
--- a/src/damaskdeck/state/log.py
+++ b/src/damaskdeck/state/log.py
@@ -1,4 +1,4 @@
-"""The append end of a ledger's log, held by one keeper."""
+"""The write end of a ledger's log, used by one ledger owner."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -8,8 +8,8 @@
 from damaskdeck.errors import InvariantError
 from damaskdeck.logs import get_logger
 from damaskdeck.protocol.ports import Found, Lost, Rejected, Written
-from damaskdeck.state.backing import Backing
-from damaskdeck.state.images import Image
+from damaskdeck.state.backend import LedgerBackend
+from damaskdeck.state.contents import LedgerContents
 from damaskdeck.state.segments import (
     Head,
     Segment,
@@ -17,11 +17,13 @@
     encode,
     split_records,
 )
-from damaskdeck.state.writes import Backoff, Clash, Write, write_once
+from damaskdeck.state.writes import Backoff, ConditionalWrite, WriteConflict, write_once
 
-LASTING_CODES = frozenset({"store_full", "value_too_large"})
-RESERVED_SHARE = 8
-LARGEST_SHARE = 4
+# Rejections that a retry doesn't change.
+PERMANENT_CODES = frozenset({"store_full", "value_too_large"})
+# One slot in 8 stays free for the fences of takeovers; a group may use one in 4.
+RESERVE_DIVISOR = 8
+MAX_GROUP_DIVISOR = 4
 
 _log = get_logger("ledger")
 
@@ -33,116 +35,125 @@
 
 
 class Deposed(NamedTuple):
-    """A keeper of ``epoch`` has taken over; the records were not written."""
+    """An owner with ``epoch`` has taken over; the records were not written."""
 
     epoch: int
 
 
 class Log:
-    """Appends segments to the slots in turn, each by compare-and-swap.
-
-    A slot is never deleted, so each write gives it a revision that it never had
-    before. A keeper that was paused expects a revision from before its
-    successor's first segment, and its write fails however late it arrives.
-
-    :param image: what the ledger held when it was opened.
-    :param epoch: of this keeper.
-
-    ``size`` counts the bytes of the segments that the snapshot doesn't cover.
+    """Writes segments to the slots in turn, each by compare-and-swap.
+
+    Slots are never deleted, so each write gives a slot a revision that it never had
+    before. An owner that was paused expects a revision from before the first
+    segment of its successor, so its write fails whenever it arrives.
+
+    :param contents: contents of the ledger when it was opened.
+    :param epoch: epoch of this owner.
+    :ivar last: last sequence in the log.
+    :ivar closed: last sequence that ends a group.
+    :ivar deposed: set once another owner has taken over.
+    :ivar revisions: revision of each used slot, by key.
+    :ivar sizes: size in bytes of each used slot, by key.
+    :ivar size: size in bytes of the segments that the snapshot does not cover.
     """
 
-    def __init__(self, backing: Backing, image: Image, epoch: int) -> None:
+    def __init__(
+        self, backend: LedgerBackend, contents: LedgerContents, epoch: int
+    ) -> None:
         self.epoch = epoch
-        self.head = image.head
-        self.head_revision = image.head_revision
-        self.last = image.last
-        self.closed = image.last
+        self.head = contents.head
+        self.head_revision = contents.head_revision
+        self.last = contents.last
+        self.closed = contents.last
         self.deposed: Deposed | None = None
-        self.revisions = dict(image.revisions)
-        self.sizes = dict(image.sizes)
-        self._backing = backing
-        self._keys = backing.keys
-        self.size = self._measure()
+        self.revisions = dict(contents.revisions)
+        self.sizes = dict(contents.sizes)
+        self._backend = backend
+        self._keys = backend.keys
+        self.size = self._compute_size()
 
     @property
     def length(self) -> int:
-        """How many segments the snapshot doesn't cover."""
+        """Number of segments that the snapshot does not cover."""
         return self.last - self.head.base
 
     def list_large(self, size: int) -> list[str]:
-        """List the slots that the snapshot covers and that hold more than ``size``."""
+        """List the covered slots with more than ``size`` bytes.
+
+        A slot is covered when the snapshot contains its records.
+        """
         slots = self.head.slots
         first = max(self.last - slots, 0) + 1
         keys = (self._keys.slot(n, slots) for n in range(first, self.head.base + 1))
         return [key for key in keys if self.sizes.get(key, 0) > size]
 
-    async def trim(self, key: str) -> Written | Clash | Rejected | Lost:
+    async def trim(self, key: str) -> Written | WriteConflict | Rejected | Lost:
         """Empty a slot that the snapshot covers.
 
-        May race with an append to the same slot, and its answer may be lost:
-        the append then finds an old segment in its way and takes its revision.
+        An append to the same slot may run at the same time, and the reply may be lost.
+        The append then finds an old segment in the slot and uses its revision.
         """
-        found = await self._backing.store.get(key)
+        found = await self._backend.store.get(key)
         if not isinstance(found, Found):
             return found
         segment = decode_segment(found.entry.value)
         if segment.sequence > self.head.base:
-            return Clash(found.entry, False)
+            return WriteConflict(found.entry, False)
         value = encode(msgspec.structs.replace(segment, records=()))
-        answer = await self._backing.store.put(key, value, found.entry.revision)
+        answer = await self._backend.store.put(key, value, found.entry.revision)
         if isinstance(answer, Written) and self.revisions[key] < answer.revision:
             self.revisions[key] = answer.revision
             self.sizes[key] = len(value)
         return answer
 
-    def switch(self, head: Head, revision: int) -> None:
-        """Note the head that was written with a new snapshot."""
+    def replace_head(self, head: Head, revision: int) -> None:
+        """Use the head that was written with a new snapshot."""
         self.head = head
         self.head_revision = revision
-        self.size = self._measure()
+        self.size = self._compute_size()
 
-    def depose(self, epoch: int) -> Deposed:
-        """Note that a keeper of ``epoch`` has taken over."""
+    def mark_deposed(self, epoch: int) -> Deposed:
+        """Record that an owner with ``epoch`` has taken over."""
         if self.deposed is None:
             _log.warn("Deposed.", ledger=self._keys.name, epoch=self.epoch, by=epoch)
             self.deposed = Deposed(epoch)
         return self.deposed
 
     async def append(
-        self, records: tuple[bytes, ...], is_wanted: Callable[[], bool]
+        self, records: tuple[bytes, ...], should_retry: Callable[[], bool]
     ) -> Appended | Deposed | Rejected | Lost:
-        """Append a group of records, in several segments if one can't hold it.
+        """Append a group of records, in several segments if one can't hold them.
 
-        :param is_wanted: asked before a later segment of a group is tried again.
-        :returns: ``Rejected`` and ``Deposed`` only if the group never counts.
+        :param should_retry: called before a later segment of the group is retried.
+        :returns: ``Rejected`` and ``Deposed`` only if the group will never be replayed.
         """
-        runs = list(split_records(records, self._backing.value_limit))
-        if len(runs) > self.head.slots // LARGEST_SHARE:
-            return Rejected("value_too_large", "the records need too many segments")
-        for number, run in enumerate(runs):
-            opens, closes = number == 0, number == len(runs) - 1
-            outcome = await self._append_run(run, opens, closes, is_wanted)
+        chunks = list(split_records(records, self._backend.value_limit))
+        if len(chunks) > self.head.slots // MAX_GROUP_DIVISOR:
+            return Rejected("value_too_large", "too many segments for one commit")
+        for number, chunk in enumerate(chunks):
+            opens, closes = number == 0, number == len(chunks) - 1
+            outcome = await self._append_chunk(chunk, opens, closes, should_retry)
             if not isinstance(outcome, Appended):
                 break
-        # A group that was given up ends here too: the next segment opens another.
+        # An abandoned group ends here too: the next segment opens a new one.
         self.closed = self.last
         return outcome
 
-    async def _append_run(
+    async def _append_chunk(
         self,
         records: tuple[bytes, ...],
         opens: bool,
         closes: bool,
-        is_wanted: Callable[[], bool],
+        should_retry: Callable[[], bool],
     ) -> Appended | Deposed | Rejected | Lost:
-        backoff = Backoff(self._backing.clock)
+        backoff = Backoff(self._backend.clock)
         while True:
-            if self.length >= self.head.slots - self.head.slots // RESERVED_SHARE:
+            if self.length >= self.head.slots - self.head.slots // RESERVE_DIVISOR:
                 return Rejected("ledger_full")
             outcome = await self.write_segment(records, opens, closes)
-            if not isinstance(outcome, Rejected) or outcome.code in LASTING_CODES:
+            if not isinstance(outcome, Rejected) or outcome.code in PERMANENT_CODES:
                 return outcome
-            if opens or not is_wanted():
+            if opens or not should_retry():
                 return outcome
             await backoff.wait(outcome.code)
 
@@ -151,42 +162,53 @@
     ) -> Appended | Deposed | Rejected | Lost:
         """Write one segment after the last one."""
         segment = Segment(
-            self.epoch, self.last + 1, self._backing.identify(), opens, closes, records
+            self.epoch,
+            self.last + 1,
+            self._backend.generate_id(),
+            opens,
+            closes,
+            records,
         )
         key = self._keys.slot(segment.sequence, self.head.slots)
         value = encode(segment)
         while True:
             expected = self.revisions.get(key, 0)
-            write = Write(key, value, expected, segment.is_stored_in)
-            outcome = await write_once(self._backing, write)
+            write = ConditionalWrite(key, value, expected, segment.is_stored_in)
+            outcome = await write_once(self._backend, write)
             if isinstance(outcome, Written):
                 self.last = segment.sequence
                 self.revisions[key] = outcome.revision
                 self.sizes[key] = len(value)
                 self.size += len(value)
                 return Appended(segment.sequence)
-            if not isinstance(outcome, Clash):
+            if not isinstance(outcome, WriteConflict):
                 return outcome
-            judged = self._judge(segment, outcome)
-            if judged is not None:
-                return judged
+            resolved = self._resolve_conflict(segment, outcome)
+            if resolved is not None:
+                return resolved
             self.revisions[key] = outcome.current.revision
 
-    def _measure(self) -> int:
-        places = range(self.head.base + 1, self.last + 1)
-        keys = (self._keys.slot(place, self.head.slots) for place in places)
+    def _compute_size(self) -> int:
+        sequences = range(self.head.base + 1, self.last + 1)
+        keys = (self._keys.slot(number, self.head.slots) for number in sequences)
         return sum(self.sizes[key] for key in keys)
 
-    def _judge(self, segment: Segment, clash: Clash) -> Deposed | Lost | None:
-        """Tell what a clash means; ``None`` if an old segment was rewritten."""
-        if clash.current is None:
-            raise InvariantError(f"{self._keys.prefix} has lost a slot")
-        found = decode_segment(clash.current.value)
+    def _resolve_conflict(
+        self, segment: Segment, conflict: WriteConflict
+    ) -> Deposed | Lost | None:
+        """Return the result of a conflict.
+
+        :returns: ``None`` if an old segment was rewritten, so that the write can be
+            retried.
+        """
+        if conflict.current is None:
+            raise InvariantError(f"a slot is missing in {self._keys.prefix}")
+        found = decode_segment(conflict.current.value)
         if found.sequence < segment.sequence:
             return None
         if found.epoch < self.epoch:
-            raise InvariantError(f"{self._keys.prefix} was written by an old keeper")
-        deposed = self.depose(found.epoch)
-        if clash.in_doubt and found.sequence > segment.sequence:
-            return Lost("answer_lost", "the slot was used again since")
+            raise InvariantError(f"{self._keys.prefix} was written by an old owner")
+        deposed = self.mark_deposed(found.epoch)
+        if conflict.may_have_applied and found.sequence > segment.sequence:
+            return Lost("answer_lost", "the slot was overwritten since")
         return deposed
--- a/src/damaskdeck/state/writes.py
+++ b/src/damaskdeck/state/writes.py
@@ -1,4 +1,4 @@
-"""Compare-and-swap writes whose outcome is learned even if an answer is lost."""
+"""Compare-and-swap writes whose result is determined even if a reply is lost."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -15,17 +15,17 @@
     Store,
     Written,
 )
-from damaskdeck.state.backing import Backing
+from damaskdeck.state.backend import LedgerBackend
 
-FIRST_BACKOFF = timedelta(milliseconds=50)
-LAST_BACKOFF = timedelta(seconds=1)
+MIN_BACKOFF = timedelta(milliseconds=50)
+MAX_BACKOFF = timedelta(seconds=1)
 
 
-class Write(NamedTuple):
+class ConditionalWrite(NamedTuple):
     """A write that must take effect at most once.
 
-    :param expected: revision of the entry that it replaces, 0 for none.
-    :param is_own: tells by a stored value whether this write put it there.
+    :param expected: revision of the entry that it replaces, 0 if there is none.
+    :param is_own: returns whether this write stored the given value.
     """
 
     key: str
@@ -34,56 +34,57 @@
     is_own: Callable[[bytes], bool]
 
 
-class Clash(NamedTuple):
-    """Another writer's value stands at the key.
+class WriteConflict(NamedTuple):
+    """The key holds the value of another writer.
 
-    :param in_doubt: whether an answer was lost before, so that this write may
-        have taken effect and been replaced since.
+    :param current: the entry now, ``None`` when the key does not exist.
+    :param may_have_applied: whether an earlier reply was lost, so that this write
+        may have taken effect and have been replaced since.
     """
 
     current: Entry | None
-    in_doubt: bool
+    may_have_applied: bool
 
 
 class Backoff:
-    """Waits that double up to a limit."""
+    """Exponential backoff up to a maximum."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._wait = FIRST_BACKOFF
+        self._delay = MIN_BACKOFF
 
     async def wait(self, reason: str) -> None:
-        """Wait before the next try and count it."""
+        """Wait before the next attempt and count the retry."""
         count_retry("ledger", reason)
-        wait, self._wait = self._wait, min(2 * self._wait, LAST_BACKOFF)
-        await self._clock.sleep(wait)
+        delay, self._delay = self._delay, min(2 * self._delay, MAX_BACKOFF)
+        await self._clock.sleep(delay)
 
 
 async def write_once(
-    backing: Backing, write: Write, until: timedelta | None = None
-) -> Written | Clash | Rejected | Lost:
-    """Write and find out what became of it.
+    backend: LedgerBackend, write: ConditionalWrite, until: timedelta | None = None
+) -> Written | WriteConflict | Rejected | Lost:
+    """Write a value and determine whether the write took effect.
 
-    After a lost answer the key is read back. If the old entry still stands,
-    the lost call may yet arrive; the same call is made again, and the
+    After a lost reply the key is read back. If it still holds the old entry, the
+    lost call may still arrive. The same call is repeated then, and the
     compare-and-swap lets only one of them take effect.
 
-    :param until: monotonic time at which an unresolved write is given up as
-        ``Lost``; never, if ``None``.
-    :returns: ``Rejected`` only if the write is proved to have no effect.
+    :param until: monotonic time after which an undetermined write is returned as
+        ``Lost``; ``None`` for no limit.
+    :returns: ``Rejected`` only if the write is known to have had no effect.
     """
-    store, clock = backing.store, backing.clock
+    store, clock = backend.store, backend.clock
     backoff = Backoff(clock)
     answer = await store.put(write.key, write.value, write.expected)
     if isinstance(answer, Rejected):
         return answer
-    in_doubt = isinstance(answer, Lost)
+    may_have_applied = isinstance(answer, Lost)
     is_first = True
     while True:
         if isinstance(answer, Written):
             return answer
         if isinstance(answer, Conflict):
-            return _judge(answer.current, write, in_doubt)
+            return _resolve_conflict(answer.current, write, may_have_applied)
         if until is not None and clock.monotonic() >= until:
             return Lost(answer.code, answer.detail)
         if is_first:
@@ -95,7 +96,7 @@
 
 
 async def _read_back(
-    store: Store, write: Write
+    store: Store, write: ConditionalWrite
 ) -> Written | Conflict | Rejected | Lost:
     found = await store.get(write.key)
     if isinstance(found, Rejected | Lost):
@@ -106,7 +107,9 @@
     return await store.put(write.key, write.value, write.expected)
 
 
-def _judge(current: Entry | None, write: Write, in_doubt: bool) -> Written | Clash:
+def _resolve_conflict(
+    current: Entry | None, write: ConditionalWrite, may_have_applied: bool
+) -> Written | WriteConflict:
     if current is not None and write.is_own(current.value):
         return Written(current.revision)
-    return Clash(current, in_doubt)
+    return WriteConflict(current, may_have_applied)
--- a/tests/ledger_checks.py
+++ b/tests/ledger_checks.py
@@ -1,16 +1,16 @@
-"""What a ledger promises, checked by looking into the store."""
+"""Checks of a ledger's guarantees against the contents of the store."""
 
 from collections.abc import Iterable
 
 from damaskdeck.protocol.ports import Rejected
-from damaskdeck.state.images import read_image
+from damaskdeck.state.contents import parse_contents
 from damaskdeck.state.ledger import Committed, Deposed
 from damaskdeck.state.segments import Keys
 from standins.store import MemoryStore
 
 
-class Witness:
-    """Remembers what callers were told and compares it with the store.
+class LedgerChecker:
+    """Records the outcomes that callers got and compares them with the store.
 
     Each record must be unique.
     """
@@ -22,27 +22,28 @@
         self.outcomes: dict[tuple[bytes, ...], object] = {}
 
     def replay(self) -> list[bytes]:
-        """Return what a keeper would replay now."""
-        image = read_image(self._keys, self._store.list(self._keys.prefix), 0)
-        self._replayed = [*image.snapshot, *image.records]
+        """Return what a new owner would replay now."""
+        contents = parse_contents(self._keys, self._store.list(self._keys.prefix), 0)
+        self._replayed = [*contents.snapshot, *contents.records]
         return self._replayed
 
     def check(self, states: Iterable[list[bytes]]) -> list[bytes]:
-        """Check every promise and return what a keeper would replay now.
+        """Check all guarantees and return what a new owner would replay now.
 
-        :param states: of all keepers, also of dead ones, as lists of records.
+        :param states: states of all owners, including stopped ones, as lists of
+            records.
         """
         before, replay = self._replayed, self.replay()
         found = set(replay)
         assert replay[: len(before)] == before, f"{before} became {replay}"
-        assert len(found) == len(replay), f"twice in {replay}"
+        assert len(found) == len(replay), f"duplicate records in {replay}"
         for state in states:
-            assert replay[: len(state)] == state, f"{state} is not in {replay}"
+            assert replay[: len(state)] == state, f"{state} is no prefix of {replay}"
         for records, outcome in self.outcomes.items():
             if isinstance(outcome, Committed):
-                assert found.issuperset(records), f"{records} was lost"
+                assert found.issuperset(records), f"{records} were committed but lost"
             elif isinstance(outcome, Deposed | Rejected):
-                assert found.isdisjoint(records), f"{records} was refused"
+                assert found.isdisjoint(records), f"{records} were refused but stored"
             elif outcome is not None:
                 part = found.intersection(records)
                 assert len(part) in (0, len(records)), f"only {part} of {records}"
--- a/tests/test_ledger_machine.py
+++ b/tests/test_ledger_machine.py
@@ -1,4 +1,4 @@
-"""A state machine of keepers that die, pause, race and lose answers."""
+"""State machine test: ledger owners that crash, pause, race and lose replies."""
 
 import asyncio
 import itertools
@@ -14,19 +14,19 @@
 from standins.clock import ManualClock, settle
 from standins.faults import FaultKind
 from standins.store import MemoryStore
-from tests.ledger_checks import Witness
+from tests.ledger_checks import LedgerChecker
 
 SLOTS = 16
-KEEPERS = 3
+DAEMON_COUNT = 3
 MILLISECOND = timedelta(milliseconds=1)
-PLACES = st.integers(0, KEEPERS - 1)
+DAEMON_INDEXES = st.integers(0, DAEMON_COUNT - 1)
 WAITS = st.sampled_from([0, 5, 50, 300])
 
 
 class Link:
-    """Wraps a client; while paused, calls or their answers are held up.
+    """Wraps a client; while paused, calls or their replies are delayed.
 
-    :param client: of the store.
+    :param client: client of the store.
     """
 
     def __init__(self, client) -> None:
@@ -37,11 +37,11 @@
         self._held: list[asyncio.Future] = []
 
     def pause(self) -> None:
-        """Hold up all calls that are not under way, and all answers."""
+        """Delay all calls that have not started, and all replies."""
         self._running.clear()
 
     def resume(self) -> None:
-        """Let all go on."""
+        """Deliver the delayed calls and replies."""
         self._running.set()
 
     def __getattr__(self, operation):
@@ -64,7 +64,7 @@
 
 
 class Daemon:
-    """A keeper's ledger with the state that follows from what it applied."""
+    """A ledger with the state that results from the records it applied."""
 
     def __init__(self, store: MemoryStore, clock: ManualClock, number: int) -> None:
         self.state: list[bytes] = []
@@ -79,7 +79,7 @@
             self.state.extend,
             slots=SLOTS,
             value_limit=600,
-            identify=lambda: f"{number}-{next(numbers)}",
+            generate_id=lambda: f"{number}-{next(numbers)}",
         )
 
     async def open(self, epoch: int) -> None:
@@ -91,27 +91,27 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Anything may happen to three daemons, to the store and between them."""
+    """Random events in three daemons, in the store and between them."""
 
     def __init__(self) -> None:
         super().__init__()
         self.loop = asyncio.new_event_loop()
         self.clock = ManualClock()
         self.store = MemoryStore(self.clock)
-        self.witness = Witness(self.store, "03")
+        self.checker = LedgerChecker(self.store, "03")
         self.numbers = itertools.count(1)
         self.epochs = itertools.count(1)
         self.tasks: list[asyncio.Task] = []
         self.all_daemons: list[Daemon] = []
         self.daemons: list[Daemon] = []
-        self.run(self._boot())
+        self.run(self._start_daemons())
 
     def run(self, call) -> None:
         """Run one step to its end."""
         self.loop.run_until_complete(call)
 
-    async def _boot(self) -> None:
-        self.daemons = [self._make_daemon() for _ in range(KEEPERS)]
+    async def _start_daemons(self) -> None:
+        self.daemons = [self._make_daemon() for _ in range(DAEMON_COUNT)]
         await self._take_over(0, False)
 
     def _make_daemon(self) -> Daemon:
@@ -119,20 +119,22 @@
         self.all_daemons.append(daemon)
         return daemon
 
-    @rule(place=PLACES, is_late=st.booleans(), wait=WAITS)
-    def take_over(self, place, is_late, wait):
+    @rule(index=DAEMON_INDEXES, is_late=st.booleans(), wait=WAITS)
+    def take_over(self, index, is_late, wait):
         """Restart a daemon and let it open with a new epoch, now or later."""
-        self.run(self._take_over(place, is_late))
+        self.run(self._take_over(index, is_late))
         self.run(self.clock.advance(wait * MILLISECOND))
 
-    async def _take_over(self, place: int, is_late: bool) -> None:
-        daemon = self.daemons[place] = self._make_daemon()
+    async def _take_over(self, index: int, is_late: bool) -> None:
+        daemon = self.daemons[index] = self._make_daemon()
         if is_late:
             daemon.link.pause()
         self.tasks.append(asyncio.ensure_future(daemon.open(next(self.epochs))))
         await settle()
 
-    @rule(pick=PLACES, size=st.integers(1, 3), count=st.integers(1, 8), wait=WAITS)
+    @rule(
+        pick=DAEMON_INDEXES, size=st.integers(1, 3), count=st.integers(1, 8), wait=WAITS
+    )
     def commit(self, pick, size, count, wait):
         """Start commits at an open daemon; three records need two segments."""
         ready = [daemon for daemon in self.daemons if daemon.is_open]
@@ -140,56 +142,58 @@
             self.run(self._commit(ready[pick % len(ready)], size, count))
         self.run(self.clock.advance(wait * MILLISECOND))
 
-    @rule(place=PLACES, count=st.integers(4, 12))
-    def commit_one_by_one(self, place, count):
-        """Let a daemon append so often that it compacts."""
-        for _ in range(count if self.daemons[place].is_open else 0):
-            self.run(self._commit(self.daemons[place], 1, 1))
+    @rule(index=DAEMON_INDEXES, count=st.integers(4, 12))
+    def commit_one_by_one(self, index, count):
+        """Let a daemon append often enough to compact."""
+        for _ in range(count if self.daemons[index].is_open else 0):
+            self.run(self._commit(self.daemons[index], 1, 1))
             self.run(self.clock.advance(60 * MILLISECOND))
 
     async def _commit(self, daemon: Daemon, size: int, count: int) -> None:
         for _ in range(count):
             records = tuple(b"%d." % next(self.numbers) * 30 for _ in range(size))
-            call = self._note(daemon, records)
+            call = self._commit_and_record(daemon, records)
             self.tasks.append(asyncio.ensure_future(call))
         await settle()
 
-    async def _note(self, daemon: Daemon, records: tuple[bytes, ...]) -> None:
-        self.witness.outcomes[records] = None
-        self.witness.outcomes[records] = await daemon.ledger.commit(records)
+    async def _commit_and_record(
+        self, daemon: Daemon, records: tuple[bytes, ...]
+    ) -> None:
+        self.checker.outcomes[records] = None
+        self.checker.outcomes[records] = await daemon.ledger.commit(records)
 
     @rule(duration=st.sampled_from([300, 2000, 9000]))
     def wait(self, duration):
-        """Let time pass."""
+        """Advance the clock."""
         self.run(self.clock.advance(duration * MILLISECOND))
 
-    @rule(place=PLACES)
-    def pause(self, place):
-        """Pause a daemon between a call and its answer, or before a call."""
-        self.daemons[place].link.pause()
+    @rule(index=DAEMON_INDEXES)
+    def pause(self, index):
+        """Pause a daemon between a call and its reply, or before a call."""
+        self.daemons[index].link.pause()
 
-    @rule(place=PLACES)
-    def resume(self, place):
+    @rule(index=DAEMON_INDEXES)
+    def resume(self, index):
         """Resume a daemon."""
-        self.daemons[place].link.resume()
+        self.daemons[index].link.resume()
         self.run(settle())
 
-    @rule(place=PLACES)
-    def delay_a_write(self, place):
-        """Lose the next answer, and let its call arrive after the next resume."""
-        self.daemons[place].link.lose_next = True
+    @rule(index=DAEMON_INDEXES)
+    def delay_a_write(self, index):
+        """Lose the next reply, and let its call arrive after the next resume."""
+        self.daemons[index].link.lose_next = True
 
     @rule(
         operation=st.sampled_from(["put", "put", "get", "list", "delete"]),
         kinds=st.lists(st.sampled_from(list(FaultKind)), min_size=1, max_size=3),
     )
     def plan_faults(self, operation, kinds):
-        """Let the next calls of a kind fail."""
+        """Let the next calls of an operation fail."""
         self.store.faults.plan(operation, *kinds)
 
     @rule(duration=st.sampled_from([100, 1000, 9000]))
     def fail_store(self, duration):
-        """Let the store be down for a while, in the midst of whatever goes on."""
+        """Stop the store for a time, during any activity."""
         self.store.faults.outage = True
         self.run(self.clock.advance(duration * MILLISECOND))
         self.store.faults.outage = False
@@ -201,20 +205,20 @@
 
     @rule(spare=st.sampled_from([0, 200, 1 << 20, 1 << 20]))
     def limit_store(self, spare):
-        """Leave little room in the store, or much."""
+        """Leave little or much free space in the store."""
         used = sum(len(entry.value) for entry in self.store.list("").entries)
         self.store.capacity = used + spare
 
     @invariant()
-    def promises_hold(self):
-        """Check what every caller was told."""
+    def guarantees_hold(self):
+        """Check the outcomes of all callers."""
         for task in self.tasks:
             if task.done() and not task.cancelled() and task.exception():
                 raise task.exception()
-        self.witness.check(daemon.state for daemon in self.all_daemons)
+        self.checker.check(daemon.state for daemon in self.all_daemons)
 
     def teardown(self):
-        """Let all end: whatever is in doubt must be resolved once all is well."""
+        """Remove all faults; then every unconfirmed commit must be resolved."""
         self.store.faults.outage = False
         self.store.faults.planned.clear()
         self.store.faults.delay = timedelta()
@@ -236,11 +240,11 @@
             daemon.link.resume()
         for _ in range(3):
             await self.clock.advance(timedelta(seconds=9))
-        self.promises_hold()
+        self.guarantees_hold()
         await self._take_over(0, False)
         await self.clock.advance(timedelta(seconds=9))
         assert self.daemons[0].is_open, self.daemons[0].opened
-        assert self.daemons[0].state == self.witness.replay()
+        assert self.daemons[0].state == self.checker.replay()
 
 
 TestLedgerMachine = LedgerMachine.TestCase
--- a/tests/test_ledger_model.py
+++ b/tests/test_ledger_model.py
@@ -1,4 +1,4 @@
-"""Every interleaving of a few keepers' store calls, driven through the real ledger."""
+"""Explores every interleaving of a few owners' store calls with the real ledger."""
 
 import asyncio
 import itertools
@@ -10,7 +10,7 @@
 from damaskdeck.state.ledger import Committed, Deposed, Ledger, Opened
 from standins.clock import ManualClock
 from standins.store import MemoryStore
-from tests.ledger_checks import Witness
+from tests.ledger_checks import LedgerChecker
 
 ROUNDS = 8
 LONG = timedelta(seconds=2)
@@ -18,13 +18,13 @@
 
 
 async def settle_rounds() -> None:
-    """Let the keepers run until they wait for the store."""
+    """Let the owners run until they wait for the store."""
     for _ in range(ROUNDS):
         await asyncio.sleep(0)
 
 
 class InstantClock:
-    """Short waits end at once and long ones never: any order may happen."""
+    """Short waits end at once and long ones never, so any order is possible."""
 
     def now(self) -> datetime:
         """Return a fixed time of day."""
@@ -35,14 +35,14 @@
         return timedelta()
 
     async def sleep(self, duration: timedelta) -> None:
-        """Wait for the next round, or for good."""
+        """Wait for the next round, or forever."""
         if duration >= LONG:
             await asyncio.Event().wait()
         await asyncio.sleep(0)
 
 
 class Call(NamedTuple):
-    """A store call on its way."""
+    """A store call in transit."""
 
     operation: str
     arguments: tuple
@@ -50,7 +50,7 @@
 
 
 class SteppedStore:
-    """A client whose calls wait until the explorer decides about them."""
+    """A client whose calls wait for a decision of the explorer."""
 
     def __init__(self) -> None:
         self.calls: list[Call] = []
@@ -66,10 +66,10 @@
 
 
 class Script(NamedTuple):
-    """What a keeper does: open with an epoch, then commit one after another.
+    """What an owner does: open with an epoch, then commit records one by one.
 
     :param records: each is a commit of its own.
-    :param losses: how many answers of its writes may be lost.
+    :param losses: how many replies to its writes may be lost.
     """
 
     epoch: int
@@ -77,8 +77,8 @@
     losses: int = 0
 
 
-class Keeper:
-    """A real ledger with a script, its state and all that it was told."""
+class ScriptedOwner:
+    """A real ledger with a script, its state and the outcomes of its commits."""
 
     def __init__(self, number: int, script: Script, slots: int) -> None:
         self.store = SteppedStore()
@@ -95,7 +95,7 @@
             lambda: tuple(self.state),
             self.state.extend,
             slots=slots,
-            identify=lambda: f"{number}-{next(numbers)}",
+            generate_id=lambda: f"{number}-{next(numbers)}",
         )
         self.task = asyncio.ensure_future(self._run())
 
@@ -110,33 +110,33 @@
 
 
 class World:
-    """One run: a store, the keepers, and calls whose answers were lost."""
+    """One run: a store, the owners, and calls whose replies were lost."""
 
     def __init__(self, scripts: tuple[Script, ...], slots: int) -> None:
         self.store = MemoryStore(ManualClock())
-        self.keepers = [Keeper(n, s, slots) for n, s in enumerate(scripts)]
+        self.owners = [ScriptedOwner(n, s, slots) for n, s in enumerate(scripts)]
         self.late: list[Call] = []
-        self.witness = Witness(self.store, "00")
+        self.checker = LedgerChecker(self.store, "00")
 
     def list_actions(self) -> list[tuple[str, int, int]]:
-        """List all that may happen next."""
+        """List all actions that are possible next."""
         actions = [("arrive_late", 0, index) for index in range(len(self.late))]
-        for number, keeper in enumerate(self.keepers):
-            for index, call in enumerate(keeper.store.calls):
+        for number, owner in enumerate(self.owners):
+            for index, call in enumerate(owner.store.calls):
                 actions.append(("answer", number, index))
-                if keeper.losses and call.operation in WRITES:
+                if owner.losses and call.operation in WRITES:
                     actions.append(("lose_answer", number, index))
                     actions.append(("hold_up", number, index))
         return actions
 
     async def act(self, action: tuple[str, int, int]) -> None:
-        """Let one thing happen and every keeper go on until it waits again."""
+        """Perform one action and let every owner run until it waits again."""
         kind, number, index = action
         if kind == "arrive_late":
             self._perform(self.late.pop(index))
         else:
-            keeper = self.keepers[number]
-            call = keeper.store.calls.pop(index)
+            owner = self.owners[number]
+            call = owner.store.calls.pop(index)
             answer = Lost("timeout")
             if kind == "hold_up":
                 self.late.append(call)
@@ -144,8 +144,8 @@
                 self._perform(call)
             else:
                 answer = self._perform(call)
-            keeper.losses -= kind != "answer"
-            keeper.store.history.append((call.operation, call.arguments, answer))
+            owner.losses -= kind != "answer"
+            owner.store.history.append((call.operation, call.arguments, answer))
             call.answer.set_result(answer)
         await settle_rounds()
 
@@ -156,26 +156,26 @@
         return getattr(self.store, call.operation)(*arguments)
 
     def describe(self) -> int:
-        """Return a digest: equal ones go on alike, whatever led there."""
+        """Return a digest of the state; runs with equal digests continue alike."""
         return hash(
             (
                 self.store.list("").entries,
-                tuple(tuple(k.store.history) for k in self.keepers),
+                tuple(tuple(k.store.history) for k in self.owners),
                 tuple((c.operation, c.arguments) for c in self.late),
-                tuple(k.losses for k in self.keepers),
+                tuple(k.losses for k in self.owners),
             )
         )
 
     def check(self) -> None:
-        """Check every promise, as a keeper that replays now would see it."""
-        for keeper in self.keepers:
-            self.witness.outcomes.update(keeper.outcomes)
-        replay = self.witness.check(keeper.state for keeper in self.keepers)
+        """Check every guarantee, as an owner that replays now would see it."""
+        for owner in self.owners:
+            self.checker.outcomes.update(owner.outcomes)
+        replay = self.checker.check(owner.state for owner in self.owners)
         self._check_order(replay)
 
     def _check_order(self, replay: list[bytes]) -> None:
-        """Once a keeper has opened, no lower epoch adds anything."""
-        for old, new in itertools.permutations(self.keepers, 2):
+        """Once an owner has opened, no lower epoch adds anything."""
+        for old, new in itertools.permutations(self.owners, 2):
             if new.opened and old.script.epoch < new.script.epoch:
                 added = replay[len(new.opened.snapshot) :]
                 late = set(added).intersection(old.script.records)
@@ -191,10 +191,10 @@
 
 
 class Visited(NamedTuple):
-    """What an exploration met.
+    """The result of an exploration.
 
-    :param states: how many different states there are.
-    :param outcomes: the kinds of outcome that commits had in them.
+    :param states: number of different states.
+    :param outcomes: types of the commit outcomes in these states.
     """
 
     states: int
@@ -213,7 +213,7 @@
         try:
             for action in schedule[:-1]:
                 await world.act(action)
-            world.witness.replay()
+            world.checker.replay()
             for action in schedule[-1:]:
                 await world.act(action)
             while extend(world, schedule, seen, unexplored):
@@ -222,7 +222,7 @@
         except AssertionError as error:
             raise AssertionError(f"{error} after {schedule}") from error
         finally:
-            outcomes.update(type(o) for o in world.witness.outcomes.values())
+            outcomes.update(type(o) for o in world.checker.outcomes.values())
             await world.close()
     return Visited(len(seen), outcomes)
 
@@ -233,7 +233,10 @@
     seen: set[int],
     unexplored: list[tuple[tuple[str, int, int], ...]],
 ) -> bool:
-    """Check a state and note its successors; false if it was seen or is the end."""
+    """Check a state and add its successors.
+
+    :returns: false if it was visited before or has no successors.
+    """
     digest = world.describe()
     if digest in seen:
         return False
@@ -245,60 +248,60 @@
 
 
 class TestModel(unittest.IsolatedAsyncioTestCase):
-    """All schedules of small scripts keep the promises of the ledger."""
+    """All schedules of small scripts keep the guarantees of the ledger."""
 
     async def asyncSetUp(self):
         asyncio.get_running_loop().set_debug(False)
 
-    async def test_one_keeper_with_two_lost_answers(self):
+    async def test_one_owner_with_two_lost_replies(self):
         visited = await explore((Script(1, (b"a", b"b"), 2),), 16)
         self.assertEqual(visited.outcomes, {Committed})
         self.assertGreater(visited.states, 400)
 
-    async def test_a_takeover_while_the_old_keeper_loses_an_answer(self):
+    async def test_takeover_while_the_old_owner_loses_a_reply(self):
         visited = await explore((Script(1, (b"a",), 1), Script(2, (b"b",))), 16)
         self.assertEqual(visited.outcomes, {Committed, Deposed})
         self.assertGreater(visited.states, 1900)
 
-    async def test_a_takeover_while_the_new_keeper_loses_an_answer(self):
+    async def test_takeover_while_the_new_owner_loses_a_reply(self):
         visited = await explore((Script(1, (b"a",)), Script(2, (b"b",), 1)), 16)
         self.assertEqual(visited.outcomes, {Committed, Deposed})
         self.assertGreater(visited.states, 1900)
 
-    async def test_a_takeover_amid_the_compaction_of_the_old_keeper(self):
+    async def test_takeover_during_a_compaction_of_the_old_owner(self):
         visited = await explore((Script(1, (b"a", b"b")), Script(2)), 4)
         self.assertEqual(visited.outcomes, {Committed, Deposed})
         self.assertGreater(visited.states, 1400)
 
-    async def test_the_new_keeper_compacts_away_what_the_old_one_wrote(self):
+    async def test_new_owner_compacts_what_the_old_one_wrote(self):
         scripts = (Script(1, (b"a",)), Script(2, (b"b", b"c", b"d")))
         visited = await explore(scripts, 4)
         self.assertEqual(visited.outcomes, {Committed, Deposed})
         self.assertGreater(visited.states, 2800)
 
-    async def test_three_keepers_race(self):
+    async def test_three_owners_race(self):
         scripts = (Script(1), Script(2, (b"b",)), Script(3))
         visited = await explore(scripts, 16)
         self.assertEqual(visited.outcomes, {Committed, Deposed})
         self.assertGreater(visited.states, 6000)
 
-    async def test_two_ledgers_of_one_keeper(self):
+    async def test_two_ledger_objects_with_one_epoch(self):
         visited = await explore((Script(1, (b"a",)), Script(1, (b"b",))), 16)
         self.assertEqual(visited.outcomes, {Committed, Deposed})
         self.assertGreater(visited.states, 260)
 
 
 LARGER = {
-    "an answer of each keeper is lost": (
+    "a reply to each owner is lost": (
         (Script(1, (b"a",), 1), Script(2, (b"b",), 1)),
         16,
     ),
-    "an answer is lost amid compaction": ((Script(1, (b"a", b"b"), 1), Script(2)), 4),
+    "a reply is lost during compaction": ((Script(1, (b"a", b"b"), 1), Script(2)), 4),
     "a lost call arrives after compaction": (
         (Script(1, (b"a",), 1), Script(2, (b"b", b"c", b"d"))),
         4,
     ),
-    "three keepers, two of them commit": (
+    "three owners, two of them commit": (
         (Script(1, (b"a",)), Script(2), Script(3, (b"b",))),
         16,
     ),
@@ -306,7 +309,10 @@
 
 
 async def explore_larger() -> None:
-    """Explore what takes a minute or two: ``python -m tests.test_ledger_model``."""
+    """Explore larger scripts: ``python -m tests.test_ledger_model``.
+
+    Takes one or two minutes.
+    """
     for name, (scripts, slots) in LARGER.items():
         print(name, await explore(scripts, slots), flush=True)
 
