--- a/src/damaskdeck/state/__init__.py
+++ b/src/damaskdeck/state/__init__.py
@@ -1,1 +1,1 @@
-"""Ledgers, configuration, resource accounts and quotas."""
+"""Ledgers, configuration, worker accounts, job state and quotas."""
--- a/src/damaskdeck/state/changehistory.py
+++ b/src/damaskdeck/state/changehistory.py
@@ -1,4 +1,4 @@
-"""The bounded history of configuration changes, which watchers read from memory."""
+"""Bounded in-memory history of configuration changes for watchers."""
 
 import asyncio
 from collections import deque
@@ -14,8 +14,8 @@
 class ResourceChange(NamedTuple):
     """A change of one declared resource.
 
-    :param resource: as it is from ``revision`` on; ``None`` once deleted.
-    :param previous: as it was before; ``None`` when it did not exist.
+    :param resource: the resource from ``revision`` on; ``None`` once deleted.
+    :param previous: the resource before; ``None`` when it did not exist.
     """
 
     kind: Kind
@@ -26,28 +26,31 @@
 
 
 class ResourceChanges(NamedTuple):
-    """All changes after the asked revision and up to ``revision``; may be empty."""
+    """All changes after the requested revision and up to ``revision``; may be empty."""
 
     changes: tuple[ResourceChange, ...]
     revision: int
 
 
 class HistoryExpired(NamedTuple):
-    """The asked revision is no longer kept; list again."""
+    """The requested revision is no longer kept; the reader must list again.
+
+    :param oldest: the lowest revision that a reader may start after.
+    """
 
     oldest: int
 
 
 class ReaderTooSlow(NamedTuple):
-    """The reader is too slow; it may come back with ``revision``."""
+    """The reader lags too far behind; it may continue from ``revision``."""
 
     revision: int
 
 
 class ChangeHistory:
-    """Changes in order of revision; readers keep a cursor and cost no memory.
+    """Changes in order of revision. Readers keep a cursor and need no memory here.
 
-    :param limit: how many changes are kept.
+    :param limit: maximum number of changes that are kept.
     """
 
     def __init__(self, limit: int = defaults.HISTORY_LIMIT) -> None:
@@ -68,18 +71,21 @@
         return self._oldest
 
     def record(self, changes: tuple[ResourceChange, ...], revision: int) -> None:
-        """Append changes in order of revision, which are all up to ``revision``."""
+        """Append changes in order of revision.
+
+        :param revision: the history is complete up to this revision.
+        """
         self._changes.extend(changes)
         while len(self._changes) > self._limit:
             self._oldest = self._changes.popleft().revision
         self._revision = revision
-        self._wake()
+        self._notify_waiters()
 
     def reset(self, revision: int) -> None:
-        """Start anew at ``revision`` when the changes up to it aren't known."""
+        """Discard the history when the changes up to ``revision`` are not known."""
         self._changes.clear()
         self._oldest = self._revision = revision
-        self._wake()
+        self._notify_waiters()
 
     def read(self, after: int) -> ResourceChanges | HistoryExpired:
         """Return all changes after a revision."""
@@ -89,7 +95,7 @@
         return ResourceChanges(changes, max(after, self._revision))
 
     async def wait(self, after: int, timeout: timedelta, clock: Clock) -> None:
-        """Wait until there is more than ``after``, at most for ``timeout``."""
+        """Wait until there is a revision above ``after``, at most for ``timeout``."""
         if self._revision > after or self._oldest > after:
             return
         await wait_for_event(self._changed, timeout, clock)
@@ -100,16 +106,16 @@
             index -= 1
         return index
 
-    def _wake(self) -> None:
+    def _notify_waiters(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
 
 class HistoryReader:
-    """One watcher's place in the history.
+    """The position of one watcher in the history.
 
     :param after: the revision that the watcher has already seen.
-    :param lag_limit: a reader with more changes before it is dropped.
+    :param lag_limit: a reader with more pending changes than this is dropped.
     """
 
     def __init__(
@@ -128,10 +134,10 @@
     async def read(
         self, timeout: timedelta
     ) -> ResourceChanges | HistoryExpired | ReaderTooSlow:
-        """Return what came since the last call, waiting at most ``timeout``.
+        """Return the changes since the last call, waiting at most ``timeout``.
 
-        The first call may return any number of kept changes; later ones only
-        ``lag_limit`` of them.
+        The first call may return any number of kept changes, later calls at most
+        ``lag_limit``.
         """
         history = self._history
         await history.wait(self.revision, timeout, self._clock)
--- a/src/damaskdeck/state/configuration.py
+++ b/src/damaskdeck/state/configuration.py
@@ -1,4 +1,4 @@
-"""The declared resources in force on this daemon, never lower than before."""
+"""The declared resources in force on this daemon; revisions never go back."""
 
 from collections.abc import Iterable
 
@@ -17,7 +17,8 @@
 
 COMPONENT = "configuration"
 
-_Versions = list[ResourceVersion]  # Where the method of that name hides the type.
+# In the class the method ``list`` hides the built-in type.
+_VersionList = list[ResourceVersion]
 
 _log = get_logger(COMPONENT)
 
@@ -25,14 +26,14 @@
 class Configuration:
     """Implements :class:`ConfigurationReader`.
 
-    The base is exactly the store's state as of ``revision``. Writes that this
-    daemon learns of before everything below them lie ahead of the base; they
-    are in force too.
+    The base is exactly the state of the store as of ``revision``. Writes that this
+    daemon learns of before it has all changes below them are kept ahead of the
+    base. They are in force, too.
 
     Promise: "A configuration the system has accepted is in force everywhere
     within seconds and never reverts."
 
-    :param history: takes the changes of the base in order.
+    :param history: records the changes of the base in order.
     """
 
     def __init__(self, history: ChangeHistory | None = None) -> None:
@@ -48,12 +49,12 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Whether a whole state was ever applied."""
+        """Whether a complete state was ever applied."""
         return self._is_loaded
 
     @property
     def revision(self) -> int:
-        """The revision up to which everything is in force."""
+        """The revision up to which all changes are in force."""
         return self._revision
 
     def get(self, kind: Kind, name: str) -> Resource | None:
@@ -69,12 +70,15 @@
         return found
 
     def subscribe(self, handler: ConfigurationHandler) -> None:
-        """Call ``handler(kind, name, resource)`` on each change; ``None``: deleted."""
+        """Call ``handler(kind, name, resource)`` on each change.
+
+        ``resource`` is ``None`` for a deletion.
+        """
         self._handlers.append(handler)
 
     @property
     def ahead_revisions(self) -> frozenset[int]:
-        """Revisions above :attr:`revision` that are in force already."""
+        """Revisions above :attr:`revision` that are already in force."""
         return frozenset(version.revision for version in self._ahead.values())
 
     def dump(self) -> tuple[Event, ...]:
@@ -83,30 +87,30 @@
         return tuple(sorted(encode_version(version) for version in versions))
 
     def dump_ahead(self) -> tuple[Event, ...]:
-        """Return the writes that lie ahead of the base, for a peer."""
+        """Return the writes that are ahead of the base, for a peer."""
         return tuple(encode_version(version) for version in self._ahead.values())
 
     def apply_changes(self, base: int, events: Iterable[Event], revision: int) -> bool:
         """Apply all changes after ``base`` and up to ``revision``, in order.
 
-        :returns: whether they follow on what is known; else there is a gap.
+        :returns: whether they follow on the known state; otherwise there is a gap.
         """
         if not self._is_loaded or base > self._revision:
             return False
         if revision <= self._revision:
             return True
         known, self._revision = self._revision, revision
-        versions = [v for e in events if e.revision > known and (v := _read(e))]
-        changes, notices = self._replace_all(versions)
+        versions = [v for e in events if e.revision > known and (v := _decode_event(e))]
+        changes, notifications = self._replace_all(versions)
         self.history.record(changes, revision)
         set_revision(revision)
-        self._notify(notices)
+        self._notify(notifications)
         return True
 
     def apply_snapshot(self, events: Iterable[Event], revision: int) -> bool:
-        """Apply the whole state as of ``revision``.
+        """Apply the complete state as of ``revision``.
 
-        :returns: whether it was new enough; an older read changes nothing.
+        :returns: whether it was new enough; an older snapshot changes nothing.
         """
         if self._is_loaded and revision <= self._revision:
             if revision < self._revision:
@@ -115,18 +119,18 @@
         known = self._revision if self._is_loaded else -1
         listed = {event.key: event for event in events}
         versions = [
-            v for e in listed.values() if e.revision > known and (v := _read(e))
+            v for e in listed.values() if e.revision > known and (v := _decode_event(e))
         ]
-        versions += self._find_missing(listed, revision)
+        versions += self._list_missing(listed, revision)
         self._is_loaded, self._revision = True, revision
-        _, notices = self._replace_all(versions)
+        _, notifications = self._replace_all(versions)
         self.history.reset(revision)
         set_revision(revision)
-        self._notify(notices)
+        self._notify(notifications)
         return True
 
     def apply_ahead(self, version: ResourceVersion) -> None:
-        """Apply one version without knowing all those below it."""
+        """Apply one version without knowing all changes below it."""
         key = (version.kind, version.name)
         known = self._ahead.get(key) or self._base[version.kind].get(version.name)
         lowest = max(self._revision, known.revision if known else 0)
@@ -142,30 +146,34 @@
         found = (self.get(kind, name) for name in sorted(names))
         return tuple(resource for resource in found if resource is not None)
 
-    def _find_missing(self, listed: dict[str, Event], revision: int) -> _Versions:
-        held = {
+    def _list_missing(self, listed: dict[str, Event], revision: int) -> _VersionList:
+        known_keys = {
             (v.kind, v.name) for names in self._base.values() for v in names.values()
         }
-        held.update(k for k, v in self._ahead.items() if v.revision <= revision)
+        known_keys.update(k for k, v in self._ahead.items() if v.revision <= revision)
         return [
             ResourceVersion(kind, name, revision, None)
-            for kind, name in sorted(held)
+            for kind, name in sorted(known_keys)
             if make_key(kind, name) not in listed
         ]
 
     def _replace_all(
         self, versions: Iterable[ResourceVersion]
-    ) -> tuple[tuple[ResourceChange, ...], _Versions]:
-        """Return the changes of the base and what is news to subscribers."""
-        changes, notices = [], []
+    ) -> tuple[tuple[ResourceChange, ...], _VersionList]:
+        """Replace versions in the base.
+
+        :returns: the changes of the base, and the versions that subscribers have not
+            seen.
+        """
+        changes, notifications = [], []
         for version in versions:
             change = self._replace(version)
             is_change = bool(change.resource or change.previous)
             if is_change:
                 changes.append(change)
-            if self._settle(version, is_change):
-                notices.append(version)
-        return tuple(changes), notices
+            if self._drop_superseded(version, is_change):
+                notifications.append(version)
+        return tuple(changes), notifications
 
     def _replace(self, version: ResourceVersion) -> ResourceChange:
         names = self._base[version.kind]
@@ -177,8 +185,11 @@
         before = previous.resource if previous else None
         return ResourceChange(*version, previous=before)
 
-    def _settle(self, version: ResourceVersion, is_change: bool) -> bool:
-        """Drop what lay ahead of ``version``; return whether it is news."""
+    def _drop_superseded(self, version: ResourceVersion, is_change: bool) -> bool:
+        """Drop the write ahead of the base that ``version`` supersedes.
+
+        :returns: whether subscribers have not seen ``version``.
+        """
         self._sorted.pop(version.kind, None)
         key = (version.kind, version.name)
         ahead = self._ahead.get(key)
@@ -194,9 +205,9 @@
                 handler(version.kind, version.name, version.resource)
 
 
-def _read(event: Event) -> ResourceVersion | None:
+def _decode_event(event: Event) -> ResourceVersion | None:
     version = read_version(event)
     if version is None:
-        _log.error("Ignored a value that can't be read.", key=event.key)
+        _log.error("Ignored an unreadable value.", key=event.key)
         count_drop(COMPONENT, "invalid_value")
     return version
--- a/src/damaskdeck/state/jobmodel.py
+++ b/src/damaskdeck/state/jobmodel.py
@@ -1,4 +1,4 @@
-"""Jobs, tasks and keys as the keeper of a ledger knows them."""
+"""Jobs, tasks and idempotency keys, as the owner of a ledger knows them."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -29,11 +29,11 @@
     """A task of a job.
 
     :param attempt: number of its last placement.
-    :param epoch: of the owner that granted the last placement.
+    :param epoch: epoch of the worker's owner that granted the last placement.
     :param marked: the start of this attempt must never be repeated.
-    :param failures: attempts that count against the workload's.
-    :param crashes: attempts whose workers restarted under them.
-    :param avoid: workers that it failed on.
+    :param failures: number of attempts that count against the workload's limit.
+    :param avoid: workers on which it failed.
+    :param crashes: number of attempts whose workers restarted.
     """
 
     name: str
@@ -52,14 +52,14 @@
 
 
 class Job(NamedTuple):
-    """A job; ``unsettled`` counts its tasks that haven't ended.
-
-    ``result_size`` is the sum of their results, in bytes.
+    """A job.
 
     :param submitted: time of day in seconds since 1970, as all times here.
     :param ran: whether some task may have run.
-    :param cancelled: whether a caller asked to cancel it.
-    :param code: why it didn't complete, or why its tasks are being stopped.
+    :param cancelled: whether a caller asked to cancel the job.
+    :param unsettled: number of tasks that have not ended.
+    :param result_size: size in bytes of the results of all tasks.
+    :param code: why the job did not complete, or why its tasks are being stopped.
     """
 
     name: str
@@ -82,16 +82,16 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether no task of it may be started any more."""
+        """Whether none of its tasks may be started any more."""
         return bool(self.code) or self.cancelled
 
 
 class IdempotencyKey(NamedTuple):
-    """An idempotency key of a request.
+    """The idempotency key of a request.
 
-    :param digest: of the request, to recognise another one under the same key.
-    :param deadline: time of day in seconds since 1970, after which an unsettled
-        key counts as unknown.
+    :param digest: digest of the request, to detect another request with this key.
+    :param deadline: time of day in seconds since 1970, after which the outcome of
+        an unsettled key counts as unknown.
     :param outcome: ``None`` until the request is settled.
     """
 
@@ -100,12 +100,12 @@
     outcome: OutcomeData | None = None
 
 
-# Team, service and key.
+# Team, service and the caller's key.
 KeyIndex = tuple[str, str, str]
 
 
-def judge_job(job: Job, tasks: list[Task]) -> tuple[JobState, str]:
-    """Return the outcome of a job whose tasks have all ended, and its code."""
+def compute_job_outcome(job: Job, tasks: list[Task]) -> tuple[JobState, str]:
+    """Return the final state and the code of a job whose tasks have all ended."""
     states = {task.state for task in tasks}
     if states == {TaskState.SUCCEEDED}:
         return JobState.COMPLETED, ""
--- a/src/damaskdeck/state/jobrecords.py
+++ b/src/damaskdeck/state/jobrecords.py
@@ -1,8 +1,8 @@
-"""What lasts of jobs on queues: keys in the store and their values.
+"""Durable records of jobs on queues: keys in the store and their values.
 
-A job's record is written once, by whoever takes it from the caller; its progress
-is written by the pools' owner alone. Values are MessagePack arrays: a newer
-version may add fields with defaults at the end.
+The record of a job is written once, by the daemon that accepts it from the
+caller. Its progress is written by the pools' owner only. Values are MessagePack
+arrays: a newer version may append fields with defaults.
 """
 
 from typing import Any, NamedTuple, TypeVar
@@ -34,13 +34,14 @@
 
 
 class OwnerRecord(NamedTuple):
-    """Who decides for the pools.
-
-    :param epoch: rises with each owner; workers refuse a lower one.
-    :param incarnation: of the owner's process; a new one proves the old one dead.
-    :param is_released: the owner has handed over and orders nothing any more.
-    :param successor: who should take over first, once released.
-    :param fence: revision of the fence key when it was released, 0 if not known.
+    """The daemon that decides for the pools.
+
+    :param epoch: rises with each owner; workers refuse calls with a lower one.
+    :param incarnation: incarnation of the owner's process. A new one shows that the
+        former process has ended.
+    :param is_released: whether the owner has handed over and sends no more orders.
+    :param successor: name of the daemon that should take over first, once released.
+    :param fence: revision of the fence key at the release, 0 if not known.
     """
 
     epoch: int
@@ -54,9 +55,9 @@
 class MemberRecord(NamedTuple):
     """A daemon that is up.
 
-    :param address: for peers, as ``IP:port``.
-    :param power: processing power in cores; owners are chosen by it.
-    :param started_at: of the process, seconds since 1970 by its own clock.
+    :param address: its address for peers, as ``IP:port``.
+    :param power: processing power in cores, by which owners are chosen.
+    :param started_at: start time of the process, seconds since 1970 by its clock.
     """
 
     instance: str
@@ -68,7 +69,7 @@
 
 
 class FenceRecord(NamedTuple):
-    """Names the last commit of an owner, so that a lost answer can be settled."""
+    """Names the last commit of an owner, to determine whether a lost commit applied."""
 
     epoch: int
     number: int
@@ -81,18 +82,18 @@
 
 
 class CordonedRun(NamedTuple):
-    """A start of a task that a cordoned worker may have taken."""
+    """A start of a task that a cordoned worker may have accepted."""
 
     task: TaskName
     attempt: int
 
 
 class Cordon(NamedTuple):
-    """A worker that gets no order until this is taken back.
+    """A worker that gets no orders until the cordon is removed.
 
-    :param jobs: whose tasks it may run.
-    :param is_silent: its lease isn't extended either.
-    :param runs: what it may run of them; they are lost if it has crashed.
+    :param jobs: jobs whose tasks it may run.
+    :param is_silent: whether its lease is not renewed either.
+    :param runs: runs of these jobs that it may have; lost if it has crashed.
     """
 
     worker: str
@@ -102,7 +103,7 @@
 
 
 class CordonsRecord(NamedTuple):
-    """The workers that were silent or leaving when an owner last wrote this."""
+    """Workers that were silent or leaving when an owner last wrote this."""
 
     cordons: tuple[Cordon, ...] = ()
 
@@ -114,15 +115,16 @@
 
 
 class JobRecord(NamedTuple):
-    """A job as it was taken.
-
-    :param queue: as declared when the job was taken.
-    :param epoch: of the owner that the job was stored for: only that owner and
-        later ones can have started it.
-    :param accepted_at: seconds since 1970 by the clock of the daemon that took it.
-    :param zones: availability zones whose workers alone may run it, until its
-        progress names more; all where none is named.
-    :param account: whose key handed it in, an empty string on a public queue.
+    """A job as it was accepted.
+
+    :param queue: the queue as declared when the job was accepted.
+    :param epoch: epoch of the owner for which the job was stored. Only that owner
+        and later ones can have started it.
+    :param accepted_at: seconds since 1970 by the clock of the accepting daemon.
+    :param zones: availability zones whose workers may run it, until its progress
+        names more; empty for all.
+    :param account: account of the key that submitted it, an empty string on a
+        public queue.
     """
 
     identifier: str
@@ -135,13 +137,13 @@
 
 
 class StepProgress(NamedTuple):
-    """What is known for good of one step of one occurrence.
+    """Durable progress of one step of one occurrence.
 
-    :param completed: indexes of tasks that have completed.
-    :param failures: the attempts that have failed, by index; -1 is the gang.
-    :param checkpoints: by index.
-    :param crashes: the attempts whose workers crashed, by index.
-    :param suspected: those of them that were the likely cause.
+    :param completed: indexes of completed tasks.
+    :param failures: failed attempts by task index; -1 stands for the gang.
+    :param checkpoints: last checkpoint by task index.
+    :param crashes: attempts whose workers crashed, by task index.
+    :param suspected: those of the crashes that the task is suspected to have caused.
     """
 
     occurrence: int
@@ -154,11 +156,11 @@
 
 
 class ProgressRecord(NamedTuple):
-    """What is known for good of a job.
+    """Durable progress of a job.
 
     :param final: the final state, or an empty string.
-    :param has_started: a task of it has started.
-    :param zones: in place of those of the job's record, unless ``None``.
+    :param has_started: whether one of its tasks has started.
+    :param zones: replaces the zones of the job's record, unless ``None``.
     """
 
     final: str = ""
@@ -175,7 +177,7 @@
 def decode_record(kind: type[T], value: bytes) -> T:
     """Decode a record.
 
-    :raises MessageError: when the value is no record of that kind.
+    :raises MessageError: when the value is not a record of that kind.
     """
     try:
         return msgspec.msgpack.decode(value, type=kind)
@@ -184,23 +186,25 @@
 
 
 def decode_job(value: bytes) -> JobRecord:
-    """Decode a job's record.
+    """Decode the record of a job.
 
-    :raises MessageError: when it is none, or its steps make no sense.
+    :raises MessageError: when the value is not such a record, or a step has no
+        tasks or depends on a step that is not before it.
     """
     record = decode_record(JobRecord, value)
     for number, step in enumerate(record.spec.steps):
         if step.tasks < 1 or not all(0 <= n < number for n in step.after):
-            raise MessageError(f"JobRecord: step {number} makes no sense")
+            raise MessageError(f"JobRecord: invalid tasks or 'after' in step {number}")
     return record
 
 
 def decode_progress(value: bytes) -> ProgressRecord:
-    """Decode a job's progress.
+    """Decode the progress of a job.
 
-    :raises MessageError: when it is none, or names a state that there isn't.
+    :raises MessageError: when the value is not such a record, or the final state is
+        unknown.
     """
     record = decode_record(ProgressRecord, value)
     if record.final and record.final not in FINAL_STATES:
-        raise MessageError(f"ProgressRecord: no final state: {record.final[:32]!r}")
+        raise MessageError(f"ProgressRecord: not a final state: {record.final[:32]!r}")
     return record
--- a/src/damaskdeck/state/jobtable.py
+++ b/src/damaskdeck/state/jobtable.py
@@ -1,4 +1,4 @@
-"""The jobs, tasks and keys of a ledger, rebuilt by applying its records in order."""
+"""The jobs, tasks and keys of a ledger, rebuilt by replaying its records."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -12,19 +12,24 @@
     KeyIndex,
     Task,
     TaskState,
-    judge_job,
+    compute_job_outcome,
 )
 from damaskdeck.state.names import build_task_name
 
-REASON_LIMIT = 8
+MAX_REASONS = 8
 
 
 class JobTable:
     """The jobs, tasks and keys of one ledger.
 
-    :func:`damaskdeck.state.replay.apply_record` changes it. Applying the same
-    records in the same order gives the same table, on whichever daemon: nothing
-    here reads a clock or a random number.
+    :func:`damaskdeck.state.replay.apply_record` changes the table. The same records
+    in the same order give the same table on each daemon, so nothing here may read a
+    clock or a random number.
+
+    :ivar removed_jobs: names of the jobs that were removed last, oldest first.
+    :ivar revision: number of the last applied record.
+    :ivar changed_tasks: names of the tasks changed since the last
+        :meth:`take_changed_tasks`, in order.
     """
 
     def __init__(self) -> None:
@@ -33,13 +38,13 @@
         self.keys: dict[KeyIndex, IdempotencyKey] = {}
         self.removed_jobs: OrderedDict[str, None] = OrderedDict()
         self.revision = 0
-        self.touched: dict[str, None] = {}
+        self.changed_tasks: dict[str, None] = {}
 
     def take_changed_tasks(self) -> tuple[str, ...]:
         """Return the tasks changed since the last call, in order."""
-        touched = tuple(self.touched)
-        self.touched.clear()
-        return touched
+        changed_tasks = tuple(self.changed_tasks)
+        self.changed_tasks.clear()
+        return changed_tasks
 
     def list_tasks(self, job: Job) -> Iterator[Task]:
         """Yield the tasks of a job in order."""
@@ -49,7 +54,7 @@
                 yield task
 
     def find_attempt(self, task: str, attempt: int) -> Task | None:
-        """Return a task that waits for news of exactly this attempt."""
+        """Return a task if exactly this attempt of it is placed or runs."""
         found = self.tasks.get(task)
         if found is None or found.attempt != attempt:
             return None
@@ -60,24 +65,26 @@
     def snapshot(self) -> Iterator[bytes]:
         """Yield records that rebuild this table."""
         for name in self.removed_jobs:
-            removed_jobs = records.RemovedJobs(jobs=[name], keys=[])
-            yield records.encode_record(removed_jobs, records.RemovedJobs)
+            removed = records.RemovedJobs(jobs=[name], keys=[])
+            yield records.encode_record(removed, records.RemovedJobs)
         for index, key in self.keys.items():
-            yield records.encode_record(_image_key(index, key), records.KeySnapshot)
+            yield records.encode_record(
+                _build_key_snapshot(index, key), records.KeySnapshot
+            )
         for job in self.jobs.values():
-            image = records.JobSnapshot(fields=job._asdict())
-            yield records.encode_record(image, records.JobSnapshot)
+            snapshot = records.JobSnapshot(fields=job._asdict())
+            yield records.encode_record(snapshot, records.JobSnapshot)
         for task in self.tasks.values():
             if task == Task(task.name, task.job):
                 continue
-            image = records.TaskSnapshot(fields=task._asdict())
-            yield records.encode_record(image, records.TaskSnapshot)
+            snapshot = records.TaskSnapshot(fields=task._asdict())
+            yield records.encode_record(snapshot, records.TaskSnapshot)
 
     def change_job(self, job: Job, reason: str = "", **fields: Any) -> Job:
-        """Replace fields of a job and remember why."""
+        """Replace fields of a job and append the reason to its list."""
         reasons = job.reasons
         if reason and (not reasons or reasons[-1] != reason):
-            reasons = (*reasons, reason)[-REASON_LIMIT:]
+            reasons = (*reasons, reason)[-MAX_REASONS:]
         changed = job._replace(reasons=reasons, revision=self.revision, **fields)
         self.jobs[job.name] = changed
         return changed
@@ -85,38 +92,38 @@
     def change_task(self, task: Task, **fields: Any) -> Task:
         """Replace fields of a task."""
         changed = self.tasks[task.name] = task._replace(**fields)
-        self.touched[task.name] = None
+        self.changed_tasks[task.name] = None
         return changed
 
-    def touch_job(self, job: Job) -> None:
+    def mark_job_changed(self, job: Job) -> None:
         """Mark all tasks of a job as changed."""
-        self.touched.update((task.name, None) for task in self.list_tasks(job))
+        self.changed_tasks.update((task.name, None) for task in self.list_tasks(job))
 
-    def settle_task(self, task: Task, at: float, **fields: Any) -> None:
-        """Give a task its final state, and its job once it was the last."""
+    def finish_task(self, task: Task, at: float, **fields: Any) -> None:
+        """Set the final state of a task, and that of its job after its last task."""
         if task.state in FINAL_TASK_STATES:
             return
         self.change_task(task, **fields)
         job = self.jobs[task.job]
         job = self.change_job(job, unsettled=job.unsettled - 1)
         if job.unsettled == 0:
-            self._settle_job(job, at)
+            self._finish_job(job, at)
 
-    def stop_queued(self, job: Job, at: float) -> None:
-        """Give up the tasks of a job that wait for a worker."""
+    def stop_queued_tasks(self, job: Job, at: float) -> None:
+        """Stop the tasks of a job that wait for a worker."""
         for task in list(self.list_tasks(job)):
             if task.state is TaskState.QUEUED:
-                self.settle_task(task, at, state=TaskState.STOPPED)
+                self.finish_task(task, at, state=TaskState.STOPPED)
 
-    def _settle_job(self, job: Job, at: float) -> None:
+    def _finish_job(self, job: Job, at: float) -> None:
         tasks = list(self.list_tasks(job))
-        state, code = judge_job(job, tasks)
+        state, code = compute_job_outcome(job, tasks)
         self.change_job(job, f"ended: {state}", state=state, code=code, ended=at)
 
 
-def _image_key(index: KeyIndex, key: IdempotencyKey) -> records.KeySnapshot:
+def _build_key_snapshot(index: KeyIndex, key: IdempotencyKey) -> records.KeySnapshot:
     team, service, name = index
-    image = records.KeySnapshot(
+    snapshot = records.KeySnapshot(
         team=team,
         service=service,
         key=name,
@@ -124,5 +131,5 @@
         deadline=key.deadline,
     )
     if key.outcome is not None:
-        image["outcome"] = key.outcome
-    return image
+        snapshot["outcome"] = key.outcome
+    return snapshot
--- a/src/damaskdeck/state/pooljobs.py
+++ b/src/damaskdeck/state/pooljobs.py
@@ -1,7 +1,7 @@
 """The jobs that the pools' owner knows, with their steps, tasks and runs.
 
-Everything here is in memory and is changed by the owner only; what must last of
-it is in :mod:`damaskdeck.state.jobrecords`.
+This state is in memory and only the owner changes it. Its durable part is in
+:mod:`damaskdeck.state.jobrecords`.
 """
 
 from collections.abc import Iterator
@@ -20,56 +20,64 @@
     StepProgress,
 )
 
-# The index under which a gang's failures are kept.
-GANG = -1
-# A run's pace is taken over so long at least: a look at a worker comes this often.
-PACE_SECONDS = 0.45
-# Whole percent are too coarse for a pace below this.
-TELLING_GAIN = 3
-# What is taken for the gain where none is seen.
-UNSEEN_GAIN = 0.5
+# The index under which the failures of a gang are stored.
+GANG_INDEX = -1
+# Minimum time over which the progress rate of a run is measured: workers are polled
+# about this often.
+MIN_RATE_SECONDS = 0.45
+# Progress is reported in whole percent, too coarse for a rate from a smaller gain.
+MIN_SIGNIFICANT_GAIN = 3
+# Assumed gain in percent when none is reported.
+HIDDEN_GAIN = 0.5
 
 
 class RunPhase(Enum):
-    """How far an order to start has come."""
+    """State of an order to start a task.
+
+    ``DOUBTFUL`` means that it is unconfirmed whether the worker started the task. The
+    lower-case names are values of a log field.
+    """
 
     ORDERED = auto()
     RUNNING = auto()
     DOUBTFUL = auto()
 
 
-class Pace(NamedTuple):
-    """What a run has gained lately, in percent of its work, and in which time."""
+class ProgressRate(NamedTuple):
+    """The recent progress of a run: percent of its work gained, and in which time."""
 
     gained: int
     seconds: float
 
     @property
     def least(self) -> float:
-        """What it gained; above 0, as less than a percent may not show."""
-        return max(self.gained, UNSEEN_GAIN)
+        """The gain for estimates, above 0.
+
+        A gain below one percent may not show in the reports.
+        """
+        return max(self.gained, HIDDEN_GAIN)
 
     @property
     def rate(self) -> float:
-        """Percent in a second, above 0."""
+        """Percent per second, above 0."""
         return self.least / self.seconds
 
 
 class Run:
-    """One start of a task on a worker; it takes room there until it is gone.
+    """One start of a task on a worker; it uses capacity there until it is removed.
 
-    :ivar worker: identifier of the life that it was ordered on.
+    :ivar worker: identifier of the worker's incarnation that it was ordered on.
     :ivar ordered_at: monotonic seconds, as all times here.
-    :ivar settled_at: when the worker confirmed it, or the order became doubtful.
-    :ivar stopping_since: when it was first told to stop, ``None`` if never.
-    :ivar stopped_at: when the worker first confirmed a stop; later ones don't count.
-    :ivar percent: of its work, as last reported.
-    :ivar progressed_at: when that percent last rose.
-    :ivar first_percent: as it was first reported, at ``first_at``.
-    :ivar mark: percent and time that the next pace is taken from.
-    :ivar pace: what it has gained lately, ``None`` while that isn't known.
-    :ivar best_pace: the most percent in a second that it gained before.
-    :ivar is_adopted: an owner found it running, ``ordered_at`` tells when.
+    :ivar settled_at: when the worker confirmed it, or the order became unconfirmed.
+    :ivar stopping_since: when a stop was first requested, ``None`` if never.
+    :ivar stopped_at: when the worker first confirmed a stop; later ones are ignored.
+    :ivar percent: completed part of its work, as last reported.
+    :ivar progressed_at: when ``percent`` last changed.
+    :ivar first_percent: percent in the first report, at ``first_at``.
+    :ivar baseline: percent and time from which the next rate is measured.
+    :ivar pace: its recent progress rate, ``None`` while that is not known.
+    :ivar best_pace: the highest earlier rate in percent per second.
+    :ivar is_adopted: whether an owner found it running, at ``ordered_at``.
     """
 
     __slots__ = (
@@ -79,7 +87,7 @@
         "first_at",
         "first_percent",
         "is_adopted",
-        "mark",
+        "baseline",
         "progressed_at",
         "ordered_at",
         "pace",
@@ -105,23 +113,23 @@
         self.percent = 0
         self.first_percent: int | None = None
         self.first_at = now
-        self.mark = (0, now)
-        self.pace: Pace | None = None
+        self.baseline = (0, now)
+        self.pace: ProgressRate | None = None
         self.best_pace = 0.0
         self.checkpoint = ""
         self.is_adopted = False
 
     def record_progress(self, percent: int, now: float) -> None:
-        """Take note of the progress that the worker tells."""
+        """Record the progress that the worker reports."""
         if self.first_percent is None:
             self.first_percent, self.first_at = percent, now
-            self.mark = percent, now
-        since, seconds = self.mark[0], now - self.mark[1]
-        if seconds >= PACE_SECONDS:
-            if self.pace is not None and self.pace.gained >= TELLING_GAIN:
+            self.baseline = percent, now
+        since, seconds = self.baseline[0], now - self.baseline[1]
+        if seconds >= MIN_RATE_SECONDS:
+            if self.pace is not None and self.pace.gained >= MIN_SIGNIFICANT_GAIN:
                 self.best_pace = max(self.best_pace, self.pace.rate)
-            self.pace = Pace(percent - since, seconds)
-            self.mark = percent, now
+            self.pace = ProgressRate(percent - since, seconds)
+            self.baseline = percent, now
         if percent != self.percent:
             self.percent = percent
             self.progressed_at = now
@@ -130,8 +138,8 @@
 class Task:
     """One task; it waits when it has neither completed nor a run.
 
-    :ivar failed_on: workers on which an attempt of it failed or was given up.
-    :ivar moves: how often it was taken off a slow worker.
+    :ivar failed_on: workers on which an attempt failed or was abandoned.
+    :ivar moves: number of times it was moved off a slow worker.
     """
 
     __slots__ = (
@@ -157,21 +165,21 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether the task must be started (again)."""
+        """Whether the task must be started, for the first time or again."""
         return not self.is_completed and not self.runs
 
 
 class Step:
     """One step of one occurrence of a job.
 
-    :ivar name: the name under which the advisor knows it.
-    :ivar due_at: monotonic seconds when its occurrence was due, or its job came.
-    :ivar failures: the attempts that failed, by index; :data:`GANG` for a gang.
-    :ivar crashes: the attempts whose workers crashed, by index.
-    :ivar suspected: those of them that were the likely cause.
-    :ivar constrained_since: since when it has had no room where it runs best, ``None``
-        if it has.
-    :ivar not_before: monotonic seconds; a gang that could not start waits so long.
+    :ivar name: the name by which the advisor knows it.
+    :ivar due_at: monotonic seconds when its occurrence was due, or its job arrived.
+    :ivar failures: failed attempts by task index; :data:`GANG_INDEX` for a gang.
+    :ivar crashes: attempts whose workers crashed, by task index.
+    :ivar suspected: those of the crashes that the task is suspected to have caused.
+    :ivar constrained_since: since when there is no capacity where it runs best,
+        ``None`` if there is.
+    :ivar not_before: monotonic seconds until which a gang waits that could not start.
     """
 
     __slots__ = (
@@ -217,7 +225,7 @@
 
     @property
     def has_crashes(self) -> bool:
-        """Whether workers have crashed under tasks of it."""
+        """Whether workers have crashed while they ran tasks of this step."""
         return bool(self.crashes)
 
     @property
@@ -234,30 +242,30 @@
             yield from task.runs
 
     def list_waiting(self) -> list[Task]:
-        """List the tasks to start; of a gang all or none."""
+        """List the tasks to start; all or none of a gang."""
         if self.spec.is_gang and any(task.runs for task in self.tasks):
             return []
         return [task for task in self.tasks if task.is_waiting]
 
     def complete(self, task: Task) -> None:
-        """Take note that a task, or with it its whole gang, has completed."""
+        """Record that a task, or with it its whole gang, has completed."""
         for member in self.tasks if self.spec.is_gang else (task,):
             if not member.is_completed:
                 member.is_completed = True
                 self.completed += 1
 
     def fail(self, task: Task, attempt: int) -> int:
-        """Take note of a failed attempt; return how many have failed."""
-        key = GANG if self.spec.is_gang else task.name.index
+        """Record a failed attempt and return the number of failed attempts."""
+        key = GANG_INDEX if self.spec.is_gang else task.name.index
         attempts = self.failures.setdefault(key, set())
         attempts.add(attempt)
         return len(attempts)
 
     def record_crash(self, task: Task, attempt: int, is_suspected: bool) -> None:
-        """Take note of an attempt that was lost as its worker crashed.
+        """Record an attempt that was lost because its worker crashed.
 
-        Of a gang only the members that ran there: others end with them, but crash
-        nothing.
+        In a gang, only the members that ran on that worker are recorded. The others end
+        with them, but crashed nothing.
         """
         key = task.name.index
         self.crashes.setdefault(key, set()).add(attempt)
@@ -265,26 +273,26 @@
             self.suspected.setdefault(key, set()).add(attempt)
 
     def count_crashes(self, task: Task) -> tuple[int, int]:
-        """Return how many attempts crashed workers, and how many were suspected."""
+        """Return the number of crashes, and that of suspected ones."""
         key = task.name.index
         return len(self.crashes.get(key, ())), len(self.suspected.get(key, ()))
 
     def clear_crashes(self, task: Task) -> None:
-        """Hold nothing against a task that has been at work."""
+        """Remove the recorded crashes of a task once it has run well."""
         key = task.name.index
         self.crashes.pop(key, None)
         self.suspected.pop(key, None)
 
     def store_checkpoint(self, task: Task, checkpoint: str) -> None:
-        """Remember a checkpoint; any member's is valid for its gang."""
+        """Store a checkpoint; that of any member is valid for its gang."""
         if checkpoint:
             for member in self.tasks if self.spec.is_gang else (task,):
                 member.checkpoint = checkpoint
 
     def summarize(self) -> StepProgress | None:
-        """Return what must last, ``None`` when there is nothing."""
+        """Return the durable progress, ``None`` when there is none."""
         completed = tuple(t.name.index for t in self.tasks if t.is_completed)
-        failures = _freeze(self.failures)
+        failures = _to_tuples(self.failures)
         checkpoints = {
             t.name.index: t.checkpoint
             for t in self.tasks
@@ -298,41 +306,41 @@
             completed,
             failures,
             checkpoints,
-            _freeze(self.crashes),
-            _freeze(self.suspected),
+            _to_tuples(self.crashes),
+            _to_tuples(self.suspected),
         )
 
     def restore(self, progress: StepProgress) -> None:
-        """Take over what lasted."""
+        """Restore durable progress."""
         for index in progress.completed:
             if not self.tasks[index].is_completed:
                 self.tasks[index].is_completed = True
                 self.completed += 1
-        self.failures = _thaw(progress.failures)
-        self.crashes = _thaw(progress.crashes)
-        self.suspected = _thaw(progress.suspected)
+        self.failures = _to_sets(progress.failures)
+        self.crashes = _to_sets(progress.crashes)
+        self.suspected = _to_sets(progress.suspected)
         for index, checkpoint in progress.checkpoints.items():
             self.tasks[index].checkpoint = checkpoint
 
 
-def _freeze(attempts: dict[int, set[int]]) -> dict[int, tuple[int, ...]]:
+def _to_tuples(attempts: dict[int, set[int]]) -> dict[int, tuple[int, ...]]:
     return {key: tuple(sorted(numbers)) for key, numbers in attempts.items()}
 
 
-def _thaw(attempts: dict[int, tuple[int, ...]]) -> dict[int, set[int]]:
+def _to_sets(attempts: dict[int, tuple[int, ...]]) -> dict[int, set[int]]:
     return {key: set(numbers) for key, numbers in attempts.items()}
 
 
 class Job:
     """A job with the steps of its occurrences.
 
-    :ivar visible_state: the state that callers may be told: final only once durable.
+    :ivar visible_state: the state that callers get; final only once it is durable.
     :ivar final: the final state, durable or not.
-    :ivar arrived_at: monotonic seconds when it was taken, as far as known.
-    :ivar has_unconfirmed_runs: an earlier owner may have started some of its tasks on a
-        worker that has not answered yet.
-    :ivar zones: whose workers may run it, durably; all when empty.
-    :ivar wider_zones: what those shall become, ``None`` when nothing is asked for.
+    :ivar arrived_at: monotonic seconds when it was accepted, as far as known.
+    :ivar has_unconfirmed_runs: whether an earlier owner may have started some of its
+        tasks on a worker that has not answered yet.
+    :ivar zones: zones whose workers may run it, durable; all when empty.
+    :ivar wider_zones: the zones that replace them, ``None`` when no change is pending.
     """
 
     def __init__(self, record: JobRecord, arrived_at: float) -> None:
@@ -353,13 +361,13 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing of it starts any more."""
+        """Whether none of its tasks will be started any more."""
         return self.final is not None
 
     def open_occurrence(
         self, number: int, due_at: float | None = None
     ) -> tuple[Step, ...]:
-        """Return the steps of an occurrence, made when it is first needed.
+        """Return the steps of an occurrence; they are created on first use.
 
         :param due_at: monotonic seconds when it was due, if that is known.
         """
@@ -375,15 +383,15 @@
 
     @property
     def can_widen_zones(self) -> bool:
-        """Whether it is confined, and not being let into more zones already."""
+        """Whether it is confined to zones and no wider zones are pending."""
         return bool(self.zones) and self.wider_zones is None
 
     def may_run_in(self, zone: str) -> bool:
-        """Tell whether workers of an availability zone may run its tasks."""
+        """Whether workers of an availability zone may run its tasks."""
         return not self.zones or zone in self.zones
 
     def list_steps(self) -> Iterator[Step]:
-        """Yield the steps of all occurrences that were opened."""
+        """Yield the steps of all occurrences created so far."""
         for steps in self.occurrences.values():
             yield from steps
 
@@ -398,7 +406,7 @@
         return step.tasks[name.index] if 0 <= name.index < len(step.tasks) else None
 
     def close(self, state: QueueJobState, now: float) -> None:
-        """Take note of the final state; it may be shown once it is durable."""
+        """Record the final state; it becomes visible once it is durable."""
         if self.final is None:
             self.final = state
             self.final_at = now
@@ -414,13 +422,13 @@
         return False
 
     def record_start(self) -> None:
-        """Take note that a task has started."""
+        """Record that a task has started."""
         self.has_started = True
         if self.visible_state is QueueJobState.QUEUED:
             self.visible_state = QueueJobState.RUNNING
 
     def summarize(self) -> ProgressRecord:
-        """Return what must last."""
+        """Return the durable progress."""
         steps = (step.summarize() for step in self.list_steps())
         return ProgressRecord(
             self.final or "",
@@ -431,16 +439,16 @@
 
     def _summarize_zones(self) -> tuple[str, ...] | None:
         zones = self.zones if self.wider_zones is None else self.wider_zones
-        is_kept = zones == frozenset(self.record.zones)
-        return None if is_kept else tuple(sorted(zones))
+        is_unchanged = zones == frozenset(self.record.zones)
+        return None if is_unchanged else tuple(sorted(zones))
 
     def restore(self, progress: ProgressRecord, now: float) -> None:
-        """Take over what lasted.
+        """Restore durable progress.
 
-        :raises MessageError: when it tells of what the job doesn't have.
+        :raises MessageError: when the progress names a step or task that the job lacks.
         """
-        for kept in progress.steps:
-            self._find_step(kept).restore(kept)
+        for step_progress in progress.steps:
+            self._find_step(step_progress).restore(step_progress)
         if progress.zones is not None:
             self.zones = frozenset(progress.zones)
         if progress.has_started:
@@ -449,38 +457,53 @@
             self.close(QueueJobState(progress.final), now)
             self.visible_state = QueueJobState(progress.final)
 
-    def _find_step(self, kept: StepProgress) -> Step:
-        indexes = (*kept.completed, *kept.checkpoints) or (0,)
+    def _find_step(self, step_progress: StepProgress) -> Step:
+        indexes = (*step_progress.completed, *step_progress.checkpoints) or (0,)
         lowest = self.find_task(
-            TaskName(self.identifier, kept.occurrence, kept.step, min(indexes))
+            TaskName(
+                self.identifier,
+                step_progress.occurrence,
+                step_progress.step,
+                min(indexes),
+            )
         )
         highest = self.find_task(
-            TaskName(self.identifier, kept.occurrence, kept.step, max(indexes))
+            TaskName(
+                self.identifier,
+                step_progress.occurrence,
+                step_progress.step,
+                max(indexes),
+            )
         )
         if lowest is None or highest is None:
-            raise MessageError(f"progress of {kept.occurrence}.{kept.step}: no such")
+            raise MessageError(
+                f"no such step: {step_progress.occurrence}.{step_progress.step}"
+            )
         return highest.step
 
 
 class JobIndex:
-    """All jobs of an owner, by identifier."""
+    """All jobs of an owner, by identifier.
+
+    :ivar open_jobs: the jobs that are not final.
+    """
 
     def __init__(self) -> None:
         self.jobs: dict[str, Job] = {}
         self.open_jobs: dict[str, Job] = {}
 
     def add(self, job: Job) -> None:
-        """Take a job in."""
+        """Add a job."""
         self.jobs[job.identifier] = job
         if not job.is_final:
             self.open_jobs[job.identifier] = job
 
     def close(self, job: Job) -> None:
-        """Take a job off the open ones."""
+        """Remove a job from the open ones."""
         self.open_jobs.pop(job.identifier, None)
 
     def remove(self, job: Job) -> None:
-        """Forget a job."""
+        """Remove a job."""
         self.jobs.pop(job.identifier, None)
         self.open_jobs.pop(job.identifier, None)
 
@@ -490,7 +513,7 @@
         return job.find_task(name) if job is not None else None
 
     def count_waiting(self, queue: str) -> int:
-        """Count the open jobs of a queue of which nothing has started."""
+        """Count the open jobs of a queue that have started nothing."""
         return sum(
             not job.has_started and job.queue.name == queue
             for job in self.open_jobs.values()
--- a/src/damaskdeck/state/records.py
+++ b/src/damaskdeck/state/records.py
@@ -28,12 +28,13 @@
 def record(name: str) -> Callable[[type[T]], type[T]]:
     """Register a ``TypedDict`` as a kind of record.
 
-    :param name: its name in the ledger; never reused for another meaning.
+    :param name: its name in the ledger; must never be reused for another meaning.
+    :raises ValueError: when the name is taken.
     """
 
     def register(kind: type[T]) -> type[T]:
         if name in _types:
-            raise ValueError(f"record {name!r} is registered twice")
+            raise ValueError(f"record {name!r} is already registered")
         _types[name] = kind
         _names[kind] = name
         return kind
@@ -43,7 +44,7 @@
 
 @record("submitted")
 class Submitted(TypedDict):
-    """A job was taken; ``spec`` is its workload as it was then.
+    """A job was accepted; ``spec`` is its workload at that time.
 
     ``at`` is the time of day in seconds since 1970, here and in all records.
     """
@@ -69,14 +70,14 @@
 
 @record("placed")
 class Placed(TypedDict):
-    """Tasks were given to workers; written before any start is sent."""
+    """Tasks were assigned to workers; written before any start is sent."""
 
     tasks: list[Placement]
 
 
 @record("start_marked")
 class StartMarked(TypedDict):
-    """Non-idempotent tasks may have started from here on."""
+    """Tasks that are not idempotent may have started from here on."""
 
     tasks: list[str]
 
@@ -96,11 +97,11 @@
 
 
 class RequeuedAttempt(TypedDict):
-    """An attempt is over and its task waits again.
+    """An attempt has ended and its task waits again.
 
-    ``ran`` is false when it is proved that the attempt never started;
-    ``failed`` counts it against the workload's attempts; ``crashed`` says that its
-    worker had restarted.
+    ``ran`` is false when the attempt is known to have never started; ``failed``
+    says whether it counts against the attempts of the workload; ``crashed`` says
+    that its worker had restarted.
     """
 
     task: str
@@ -114,14 +115,14 @@
 
 @record("requeued")
 class Requeued(TypedDict):
-    """Tasks wait again for a worker, unless their job is being stopped."""
+    """Tasks wait for a worker again, unless their job is being stopped."""
 
     tasks: list[RequeuedAttempt]
     at: float
 
 
 class TaskEnd(TypedDict):
-    """The final state of a task, as in :class:`~damaskdeck.state.jobtable.Task`."""
+    """The final state of a task, as in :class:`~damaskdeck.state.jobmodel.Task`."""
 
     task: str
     attempt: int
@@ -132,7 +133,7 @@
 
 @record("ended")
 class Ended(TypedDict):
-    """Tasks ended for good."""
+    """Tasks reached their final state."""
 
     tasks: list[TaskEnd]
     at: float
@@ -148,7 +149,7 @@
 
 @record("refused")
 class RefusedJobs(TypedDict):
-    """Jobs that never started were refused for one reason."""
+    """Jobs that never started were refused for the same reason."""
 
     jobs: list[str]
     code: str
@@ -157,7 +158,7 @@
 
 
 class KeyName(TypedDict):
-    """Whose idempotency key it is."""
+    """Identifies an idempotency key."""
 
     team: str
     service: str
@@ -166,7 +167,10 @@
 
 @record("key_claimed")
 class KeyClaimed(KeyName):
-    """A request's key was used for the first time; ``deadline`` ends its claim."""
+    """The key of a request was used for the first time.
+
+    ``deadline`` is the end of its claim.
+    """
 
     digest: bytes
     deadline: float
@@ -182,7 +186,7 @@
 
 @record("forgotten")
 class RemovedJobs(TypedDict):
-    """Jobs and keys are older than results are kept."""
+    """Jobs and keys were removed after the retention time of results."""
 
     jobs: list[str]
     keys: list[KeyName]
@@ -190,14 +194,14 @@
 
 @record("job")
 class JobSnapshot(TypedDict):
-    """A job in a snapshot, its fields by name."""
+    """A job in a snapshot, with its fields by name."""
 
     fields: dict[str, Any]
 
 
 @record("task")
 class TaskSnapshot(TypedDict):
-    """A task in a snapshot, its fields by name."""
+    """A task in a snapshot, with its fields by name."""
 
     fields: dict[str, Any]
 
@@ -219,8 +223,9 @@
 def decode_record(data: bytes) -> tuple[type, Any] | None:
     """Decode a record of the ledger.
 
-    :returns: its type and value; ``None`` for a kind that this version lacks.
-    :raises MessageError: when it doesn't have the registered type.
+    :returns: its type and value; ``None`` for a kind that this version does not
+        know.
+    :raises MessageError: when the value does not have the registered type.
     """
     try:
         frame = _frame_decoder.decode(data)
--- a/src/damaskdeck/state/versions.py
+++ b/src/damaskdeck/state/versions.py
@@ -1,4 +1,4 @@
-"""Versions of declared resources and the store's values that hold them."""
+"""Versions of declared resources and their values in the store."""
 
 from typing import Any, NamedTuple
 
@@ -26,10 +26,10 @@
 
 
 class StoredValue(msgspec.Struct, omit_defaults=True):
-    """The value of a key: a resource, or the mark that it was deleted.
+    """The value of a key: a resource or a tombstone.
 
-    :param write: identifier of the write, to recognise it after a lost answer.
-    :param deleted: time of the deletion, in seconds since the epoch.
+    :param write: identifier of the write, to recognise it after a lost reply.
+    :param deleted: time of the deletion in seconds since 1970, 0 for a resource.
     """
 
     kind: str
@@ -55,12 +55,15 @@
 
 
 def make_key(kind: Kind, name: str) -> str:
-    """Return the store's key of a declared resource."""
+    """Return the store key of a declared resource."""
     return f"{CONFIG_PREFIX}{kind.value}/{name}"
 
 
 def split_key(key: str) -> tuple[Kind, str] | None:
-    """Return the kind and name of a key, if it is one of a declared resource."""
+    """Return the kind and name in a store key.
+
+    :returns: ``None`` when it is not the key of a declared resource.
+    """
     kind, _, name = key.removeprefix(CONFIG_PREFIX).partition("/")
     if kind not in DECLARED_KINDS or not name:
         return None
@@ -68,7 +71,7 @@
 
 
 def encode_resource(resource: Resource, write: str = "") -> bytes:
-    """Encode a resource as the store's value.
+    """Encode a resource as a value of the store.
 
     :param write: identifier of this write.
     """
@@ -78,17 +81,20 @@
 
 
 def encode_deletion(kind: Kind, name: str, write: str, now: float) -> bytes:
-    """Encode the mark that a resource was deleted.
+    """Encode the tombstone of a deleted resource.
 
-    A mark in place of the key's removal keeps a delayed creation, which
-    expects no key, from bringing the resource back.
+    The key is kept with a tombstone because a delayed creation, which expects that
+    the key does not exist, would otherwise bring the resource back.
+
+    :param write: identifier of this write.
+    :param now: time of the deletion in seconds since 1970.
     """
-    mark = StoredValue(kind.value, {"name": name}, write=write, deleted=now)
-    return _encoder.encode(mark)
+    tombstone = StoredValue(kind.value, {"name": name}, write=write, deleted=now)
+    return _encoder.encode(tombstone)
 
 
 def encode_version(version: ResourceVersion) -> Event:
-    """Encode a version for a peer; without a value when it is a deletion."""
+    """Encode a version for a peer; a deletion has no value."""
     key = make_key(version.kind, version.name)
     resource = version.resource
     value = encode_resource(resource) if resource else None
@@ -96,7 +102,7 @@
 
 
 def decode_value(value: bytes) -> StoredValue | None:
-    """Decode the store's value; ``None`` when it can't be read."""
+    """Decode a value of the store; ``None`` when it is unreadable."""
     try:
         return _decoder.decode(value)
     except DECODE_ERRORS:
@@ -104,9 +110,9 @@
 
 
 def read_version(event: Event) -> ResourceVersion | None:
-    """Decode a change of a key; ``None`` when it holds no readable resource.
+    """Decode a change of a key; ``None`` when it holds no valid resource.
 
-    Fields that only a newer daemon knows are no fault.
+    Unknown fields are accepted, as a newer daemon may have written them.
     """
     split = split_key(event.key)
     if split is None:
--- a/src/damaskdeck/state/workeraccounts.py
+++ b/src/damaskdeck/state/workeraccounts.py
@@ -1,4 +1,4 @@
-"""What workers hold and what of it is reserved, in exact arithmetic."""
+"""Capacity and reservations of workers, in exact arithmetic."""
 
 import heapq
 from collections import Counter
@@ -20,14 +20,14 @@
 
 
 class TaskNeed(NamedTuple):
-    """What a task needs of a worker and how it may be treated there.
+    """The requirements of a task and how it may be treated.
 
-    :param group: tasks of one group are spread; a service's name, else empty.
+    :param group: tasks of one group are spread; the name of a service, or empty.
     :param zones: the only availability zones allowed; empty for any.
-    :param near: preferred availability zones, as those of its data.
-    :param avoid: workers on which it was seen failing.
-    :param started: monotonic time of its start, for the work lost when stopped.
-    :param run_time: as declared; zero when it isn't.
+    :param near: preferred availability zones, such as those of its data.
+    :param avoid: workers on which it failed.
+    :param started: monotonic time of its start, to estimate the work lost by a stop.
+    :param run_time: as declared; zero when it is not declared.
     """
 
     task: str
@@ -44,10 +44,10 @@
 
 
 class Reservation(NamedTuple):
-    """A part of a worker that is set aside for a task.
+    """A part of a worker that is reserved for a task.
 
-    :param deadline: for a hold, the monotonic time when it ends unless it was
-        confirmed; else ``None``.
+    :param deadline: for a hold, the monotonic time when it ends unless it is
+        confirmed before; otherwise ``None``.
     """
 
     need: TaskNeed
@@ -56,41 +56,43 @@
 
 
 class Reserved(NamedTuple):
-    """The task has its part of ``worker``."""
+    """The task has a reservation on ``worker``."""
 
     worker: str
 
 
 class InsufficientCapacity(NamedTuple):
-    """Not now: ``dimension`` is what lacks, as in ``memory``."""
+    """The task does not fit now; ``dimension`` is what is short, as in ``memory``."""
 
     dimension: str
 
 
 class WorkerUnavailable(NamedTuple):
-    """The worker isn't known here, or takes no new work because of ``code``."""
+    """The worker is unknown, or accepts no new work because of ``code``."""
 
     code: str
 
 
 class AlreadyReserved(NamedTuple):
-    """The task holds a part of ``worker`` already; nothing was changed."""
+    """The task already has a reservation on ``worker``; nothing was changed."""
 
     worker: str
 
 
 class NoReservation(NamedTuple):
-    """The task holds nothing here."""
+    """The task has no reservation."""
 
     task: str
 
 
 class WorkerAccount:
-    """One worker's account; only :class:`WorkerAccounts` changes it.
+    """The account of one worker; only :class:`WorkerAccounts` changes it.
 
     :param instance: the worker as the platform lists it.
-    :param places: its zone, rack and name, as :meth:`WorkerAccounts.count_group`
-        has them.
+    :ivar closed: why the worker gets no new work, empty when it is open.
+    :ivar free: free capacity.
+    :ivar places: its zone, rack and name, as :meth:`WorkerAccounts.count_group`
+        uses them.
     """
 
     __slots__ = (
@@ -108,7 +110,10 @@
 
 
 class Totals(NamedTuple):
-    """Sums over all workers."""
+    """Sums over all workers.
+
+    :param tasks: number of reservations.
+    """
 
     size: Size
     free: Size
@@ -122,13 +127,13 @@
     """Reservations of tasks on the workers that this daemon owns.
 
     Promise: "No instance is given more work than its processors, memory, or
-    accelerators can hold." Whatever doesn't fit is refused as a value; a
-    negative rest raises :class:`InvariantError`.
+    accelerators can hold." A reservation that doesn't fit is refused by a returned
+    value; a negative free capacity raises :class:`InvariantError`.
     """
 
     def __init__(self) -> None:
         self._workers: dict[str, WorkerAccount] = {}
-        self._where: dict[str, WorkerAccount] = {}
+        self._account_by_task: dict[str, WorkerAccount] = {}
         self._groups: dict[str, Counter[str]] = {}
         self._holds: list[tuple[timedelta, str]] = []
         self._handlers: list[AccountHandler] = []
@@ -142,23 +147,23 @@
 
     @property
     def totals(self) -> Totals:
-        """The sums, kept with each change."""
-        return Totals(self._size, self._free, len(self._where))
+        """The sums, updated with each change."""
+        return Totals(self._size, self._free, len(self._account_by_task))
 
     def subscribe(self, handler: AccountHandler) -> None:
         """Call ``handler(account, is_present)`` after each change of a worker.
 
-        It is called at once for each worker that is known already.
+        It is called immediately for each known worker.
         """
         self._handlers.append(handler)
         for account in self._workers.values():
             handler(account, True)
 
     def set_worker(self, instance: Instance) -> InsufficientCapacity | None:
-        """Add a worker or take over what the platform now says of it.
+        """Add a worker, or update it to what the platform lists now.
 
-        :returns: the dimension when it shrank below what is reserved on it; it
-            then keeps its former size and is closed.
+        :returns: the dimension in which the worker shrank below its reservations. It
+            keeps its former size then and is closed.
         """
         account = self._workers.get(instance.name)
         if account is None:
@@ -175,11 +180,11 @@
             account.closed = "shrunk"
         elif is_leaving or account.closed in ("leaving", "shrunk"):
             account.closed = "leaving" if is_leaving else ""
-        self._tell(account, True)
+        self._notify(account, True)
         return InsufficientCapacity(shortfall) if shortfall else None
 
     def remove_worker(self, name: str) -> tuple[Reservation, ...]:
-        """Forget a worker; returns the reservations that went with it."""
+        """Remove a worker and return the reservations that it had."""
         account = self._workers.get(name)
         if account is None:
             return ()
@@ -189,13 +194,13 @@
         del self._workers[name]
         self._size = subtract_sizes(self._size, account.size)
         self._free = subtract_sizes(self._free, account.size)
-        self._tell(account, False)
+        self._notify(account, False)
         return lost
 
     def close_worker(self, name: str, code: str) -> None:
-        """Give a worker no new work.
+        """Close a worker for new work.
 
-        :param code: why, as in ``quarantined``; empty opens it again, unless
+        :param code: why, as in ``quarantined``; an empty string opens it again, unless
             it is leaving.
         """
         account = self._workers.get(name)
@@ -204,19 +209,19 @@
         if account.instance.state is InstanceState.LEAVING:
             code = "leaving"
         account.closed = code
-        self._tell(account, True)
+        self._notify(account, True)
 
     def reserve(
         self, need: TaskNeed, worker: str, deadline: timedelta | None = None
     ) -> Reserved | InsufficientCapacity | WorkerUnavailable | AlreadyReserved:
-        """Set aside a part of a worker for a task.
+        """Reserve a part of a worker for a task.
 
-        :param deadline: makes it a hold, which :meth:`expire` ends then.
+        :param deadline: makes the reservation a hold, which :meth:`expire` ends then.
         """
         account = self._workers.get(worker)
         if account is None:
             return WorkerUnavailable("unknown")
-        holder = self._where.get(need.task)
+        holder = self._account_by_task.get(need.task)
         if holder is not None:
             return AlreadyReserved(holder.name)
         if account.closed:
@@ -225,13 +230,13 @@
             return InsufficientCapacity(
                 find_exceeded_dimension(need.size, account.free) or ""
             )
-        self._put(account, Reservation(need, worker, deadline))
+        self._add_reservation(account, Reservation(need, worker, deadline))
         return Reserved(worker)
 
     def adopt(
         self, need: TaskNeed, worker: str
     ) -> Reserved | InsufficientCapacity | WorkerUnavailable | AlreadyReserved:
-        """Reserve for a task already found running, on a closed worker too."""
+        """Reserve for a task that already runs, also on a closed worker."""
         account = self._workers.get(worker)
         if account is None:
             return WorkerUnavailable("unknown")
@@ -242,8 +247,8 @@
             account.closed = code
 
     def release(self, task: str) -> Reservation | None:
-        """Give back what a task holds; ``None`` when it holds nothing."""
-        account = self._where.pop(task, None)
+        """Remove the reservation of a task; ``None`` when it has none."""
+        account = self._account_by_task.pop(task, None)
         if account is None:
             return None
         reservation = account.reservations.pop(task)
@@ -251,13 +256,13 @@
         self._change_free(account, need.size)
         if need.group:
             self._count_group(need.group, account.places, -1)
-        self._tell(account, True)
+        self._notify(account, True)
         return reservation
 
     def move(
         self, task: str, worker: str
     ) -> Reserved | InsufficientCapacity | WorkerUnavailable | NoReservation:
-        """Move a task's reservation to another worker, or leave it where it is."""
+        """Move the reservation of a task to another worker, or leave it unchanged."""
         held = self.find(task)
         if held is None:
             return NoReservation(task)
@@ -266,51 +271,51 @@
         self.release(task)
         outcome = self.reserve(held.need, worker, held.deadline)
         if not isinstance(outcome, Reserved):
-            self._put(self._workers[held.worker], held)
+            self._add_reservation(self._workers[held.worker], held)
         return outcome
 
     def resize(
         self, task: str, size: Size
     ) -> Reserved | InsufficientCapacity | NoReservation:
-        """Change the size reserved for a task, as learnt from its use."""
+        """Change the size reserved for a task, as learnt from its usage."""
         held = self.find(task)
         if held is None:
             return NoReservation(task)
-        account = self._where[task]
+        account = self._account_by_task[task]
         room = add_sizes(account.free, held.need.size)
         if not fits(size, room):
             return InsufficientCapacity(find_exceeded_dimension(size, room) or "")
         self._change_free(account, subtract_sizes(held.need.size, size))
         need = held.need._replace(size=size)
         account.reservations[task] = held._replace(need=need)
-        self._tell(account, True)
+        self._notify(account, True)
         return Reserved(account.name)
 
     def confirm(self, task: str, now: timedelta) -> bool:
-        """Turn a hold into a lasting reservation; false once it has ended."""
+        """Make a hold permanent; return false when it has ended."""
         held = self.find(task)
         if held is None:
             return False
         if held.deadline is not None:
             if held.deadline <= now:
                 return False
-            account = self._where[task]
+            account = self._account_by_task[task]
             account.reservations[task] = held._replace(deadline=None)
         return True
 
-    def prolong(self, task: str, deadline: timedelta) -> bool:
-        """Move the deadline of a hold; false when the task holds nothing."""
+    def extend_hold(self, task: str, deadline: timedelta) -> bool:
+        """Set the deadline of a hold; return false without a reservation."""
         held = self.find(task)
         if held is None:
             return False
         if held.deadline is not None:
-            account = self._where[task]
+            account = self._account_by_task[task]
             account.reservations[task] = held._replace(deadline=deadline)
             heapq.heappush(self._holds, (deadline, task))
         return True
 
     def expire(self, now: timedelta) -> tuple[Reservation, ...]:
-        """End the holds whose deadline has come."""
+        """End the holds whose deadline has passed."""
         ended = []
         while self._holds and self._holds[0][0] <= now:
             deadline, task = heapq.heappop(self._holds)
@@ -321,34 +326,34 @@
         return tuple(ended)
 
     def find(self, task: str) -> Reservation | None:
-        """Return what a task holds."""
-        account = self._where.get(task)
+        """Return the reservation of a task."""
+        account = self._account_by_task.get(task)
         return account.reservations[task] if account is not None else None
 
     def count_group(self, group: str) -> Mapping[str, int]:
-        """Count a group's tasks by zone, ``zone/rack`` and worker's name."""
+        """Count the tasks of a group by zone, by ``zone/rack`` and by worker."""
         return self._groups.get(group, {})
 
     def recount(self) -> Totals:
-        """Work out the totals from scratch, and check each worker.
+        """Compute the totals from scratch, and check each worker.
 
         :raises InvariantError: when an account differs from its reservations.
         """
         size = free = ZERO_SIZE
         tasks = 0
         for account in self._workers.values():
-            rest = account.size
+            remainder = account.size
             for reservation in account.reservations.values():
-                rest = subtract_sizes(rest, reservation.need.size)
-            if rest != account.free or min(rest) < 0:
-                raise InvariantError(f"account of {account.name} is wrong")
+                remainder = subtract_sizes(remainder, reservation.need.size)
+            if remainder != account.free or min(remainder) < 0:
+                raise InvariantError(f"inconsistent account of {account.name}")
             size = add_sizes(size, account.size)
-            free = add_sizes(free, rest)
+            free = add_sizes(free, remainder)
             tasks += len(account.reservations)
         return Totals(size, free, tasks)
 
     def recount_groups(self) -> Mapping[str, Mapping[str, int]]:
-        """Work out the counts of all groups from scratch."""
+        """Compute the counts of all groups from scratch."""
         groups: dict[str, Counter[str]] = {}
         for account in self._workers.values():
             for reservation in account.reservations.values():
@@ -357,22 +362,24 @@
                     counts.update(account.places)
         return groups
 
-    def _put(self, account: WorkerAccount, reservation: Reservation) -> None:
+    def _add_reservation(
+        self, account: WorkerAccount, reservation: Reservation
+    ) -> None:
         need = reservation.need
         size = need.size
         self._change_free(account, Size(-size[0], -size[1], -size[2]))
         account.reservations[need.task] = reservation
-        self._where[need.task] = account
+        self._account_by_task[need.task] = account
         if need.group:
             self._count_group(need.group, account.places, 1)
         if reservation.deadline is not None:
             heapq.heappush(self._holds, (reservation.deadline, need.task))
-        self._tell(account, True)
+        self._notify(account, True)
 
     def _change_free(self, account: WorkerAccount, change: Size) -> None:
         free = add_sizes(account.free, change)
         if min(free) < 0 or not fits(free, account.size):
-            raise InvariantError(f"rest of {account.name} would be {free}")
+            raise InvariantError(f"free capacity of {account.name} would be {free}")
         account.free = free
         self._free = add_sizes(self._free, change)
 
@@ -402,12 +409,12 @@
         if not counts:
             del self._groups[group]
 
-    def _tell(self, account: WorkerAccount, is_present: bool) -> None:
+    def _notify(self, account: WorkerAccount, is_present: bool) -> None:
         for handler in self._handlers:
             handler(account, is_present)
 
 
 def list_places(instance: Instance) -> tuple[str, str, str]:
-    """List a worker's zone, rack and itself, as groups are counted by them."""
+    """List the zone, the rack and the worker itself, as groups are counted by them."""
     rack = f"{instance.zone}/{instance.rack}"
     return instance.zone, rack, f"{rack}/{instance.name}"
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""Accounts of workers: exact, never over a worker's size, holds that end."""
+"""Worker accounts: exact sums, never above a worker's size, holds that expire."""
 
 import unittest
 from datetime import timedelta
@@ -36,7 +36,7 @@
         st.tuples(st.just("move"), TASKS, WORKERS),
         st.tuples(st.just("resize"), TASKS, SIZES),
         st.tuples(st.just("confirm"), TASKS, st.integers(0, 9)),
-        st.tuples(st.just("prolong"), TASKS, st.integers(0, 9)),
+        st.tuples(st.just("extend_hold"), TASKS, st.integers(0, 9)),
         st.tuples(st.just("expire"), st.integers(0, 9)),
     ),
     max_size=40,
@@ -44,14 +44,14 @@
 
 
 def make_worker(name, size=MEDIUM, zone="a", rack="r0", leaving=False):
-    """Make a worker as the platform lists it."""
+    """Return a worker as the platform lists it."""
     state = InstanceState.LEAVING if leaving else InstanceState.LIVE
     role = InstanceRole.WORKER
     return Instance(name, role, zone, "127.0.0.1:1", state, rack, size=size)
 
 
 class Driver:
-    """Applies a step of a generated history to accounts."""
+    """Applies the steps of a generated history to accounts."""
 
     def __init__(self):
         self.accounts = WorkerAccounts()
@@ -90,8 +90,8 @@
     def confirm(self, task, now):
         self.accounts.confirm(task, now * SECOND)
 
-    def prolong(self, task, deadline):
-        self.accounts.prolong(task, deadline * SECOND)
+    def extend_hold(self, task, deadline):
+        self.accounts.extend_hold(task, deadline * SECOND)
 
     def expire(self, now):
         self.accounts.expire(now * SECOND)
@@ -101,7 +101,7 @@
 
 
 class TestAccounts(unittest.TestCase):
-    """Whatever happens, the accounts are those of a recount."""
+    """After any history, the accounts equal a recount."""
 
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(STEPS)
@@ -114,7 +114,7 @@
             groups = accounts.recount_groups()
             self.assertEqual(accounts.count_group("service"), groups.get("service", {}))
 
-    def test_each_dimension_refuses_what_does_not_fit(self):
+    def test_each_dimension_refuses_a_task_that_does_not_fit(self):
         accounts = WorkerAccounts()
         accounts.set_worker(make_worker("w"))
         for size, dimension in (
@@ -137,7 +137,7 @@
         self.assertEqual(accounts.workers["w"].reservations, {})
         self.assertEqual(accounts.move("u", "x"), NoReservation("u"))
 
-    def test_a_negative_rest_breaks_the_process(self):
+    def test_negative_free_capacity_raises_invariant_error(self):
         accounts = WorkerAccounts()
         accounts.set_worker(make_worker("w"))
         account = accounts.workers["w"]
@@ -149,7 +149,7 @@
         with self.assertRaises(InvariantError):
             accounts.release("t")
 
-    def test_a_closed_or_leaving_worker_takes_only_what_runs_there(self):
+    def test_closed_or_leaving_worker_accepts_only_running_tasks(self):
         accounts = WorkerAccounts()
         accounts.set_worker(make_worker("w"))
         accounts.close_worker("w", "quarantined")
@@ -161,7 +161,7 @@
         need = TaskNeed("u", Size(1, 1, 0))
         self.assertEqual(accounts.reserve(need, "w"), WorkerUnavailable("leaving"))
 
-    def test_a_worker_that_shrank_below_its_use_takes_no_more(self):
+    def test_worker_that_shrank_below_its_usage_accepts_no_tasks(self):
         accounts = WorkerAccounts()
         accounts.set_worker(make_worker("w"))
         accounts.reserve(TaskNeed("t", Size(3000, 0, 0)), "w")
@@ -175,7 +175,7 @@
         self.assertIsNone(accounts.set_worker(shrunk))
         self.assertEqual(accounts.totals.free, Size(2000, 8000, 1))
 
-    def test_a_hold_ends_unless_it_was_confirmed_in_time(self):
+    def test_hold_ends_unless_confirmed_in_time(self):
         accounts = WorkerAccounts()
         accounts.set_worker(make_worker("w"))
         for task in ("kept", "late", "left"):
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: higher revisions only, and its history."""
+"""The configuration in force: revisions only rise, and the change history."""
 
 import unittest
 from collections.abc import Iterable
@@ -31,7 +31,7 @@
 
 
 def make_event(name: str, revision: int, deleted: bool = False) -> Event:
-    """Return the change of a team; its weight tells the revision."""
+    """Return the change of a team; its weight equals the revision."""
     key = make_key(Kind.TEAM, name)
     if deleted:
         return Event(key, encode_deletion(Kind.TEAM, name, "", 1.0), revision)
@@ -50,9 +50,9 @@
     def setUp(self) -> None:
         self.configuration = Configuration()
         self.seen: list[tuple[str, float | None]] = []
-        self.configuration.subscribe(self.note)
+        self.configuration.subscribe(self.record_change)
 
-    def note(self, kind: Kind, name: str, resource: Resource | None) -> None:
+    def record_change(self, kind: Kind, name: str, resource: Resource | None) -> None:
         self.seen.append((name, resource["spec"]["weight"] if resource else None))
 
     def load(self, revision: int, *events: Event) -> bool:
@@ -61,7 +61,7 @@
     def change(self, base: int, *events: Event) -> bool:
         return self.configuration.apply_changes(base, events, events[-1].revision)
 
-    def test_nothing_is_applied_before_a_whole_state_has_come(self):
+    def test_no_change_is_applied_before_a_complete_state(self):
         self.assertFalse(self.change(0, make_event("a", 1)))
         self.assertTrue(self.load(0))
         self.assertTrue(self.change(0, make_event("a", 1)))
@@ -80,7 +80,7 @@
         self.assertFalse(self.load(4, make_event("a", 2), make_event("b", 3)))
         self.assertEqual(read_weights(self.configuration), {"a": 5})
 
-    def test_an_older_value_in_a_newer_snapshot_is_not_taken(self):
+    def test_older_value_in_a_newer_snapshot_is_ignored(self):
         self.load(5, make_event("a", 5))
         self.load(9, make_event("a", 3), make_event("b", 4), make_event("c", 8))
         self.assertEqual(read_weights(self.configuration), {"a": 5, "c": 8})
@@ -92,7 +92,7 @@
         self.assertEqual(read_weights(self.configuration), {})
         self.assertEqual(self.seen[2:], [("b", None), ("a", None)])
 
-    def test_a_value_that_cannot_be_read_leaves_the_earlier_one_in_force(self):
+    def test_unreadable_value_leaves_the_earlier_one_in_force(self):
         self.load(5, make_event("a", 5))
         self.change(5, Event("config/team/a", b"{", 6), make_event("b", 7))
         self.load(9, Event("config/team/a", b"{", 6), make_event("b", 7))
@@ -105,13 +105,13 @@
             self.change(revision - 1, Event("config/team/a", value, revision))
         self.assertEqual(read_weights(self.configuration), {"a": 5})
 
-    def test_a_field_that_only_a_newer_daemon_knows_is_no_fault(self):
+    def test_unknown_field_of_a_newer_daemon_is_accepted(self):
         team = make_team("a", 5)
         team["spec"]["new"] = 1
         self.load(5, Event("config/team/a", encode_resource(team), 5))
         self.assertEqual(read_weights(self.configuration), {"a": 5})
 
-    def test_a_write_ahead_is_in_force_at_once_and_told_once(self):
+    def test_write_ahead_is_in_force_at_once_and_notified_once(self):
         self.load(5, make_event("a", 5))
         self.configuration.apply_ahead(read_version(make_event("a", 8)))
         self.assertEqual(read_weights(self.configuration), {"a": 8})
@@ -120,14 +120,14 @@
         self.assertEqual(self.seen, [("a", 5), ("a", 8)])
         self.assertEqual(self.configuration.ahead_revisions, frozenset())
 
-    def test_a_write_ahead_that_was_removed_since_does_not_stay(self):
+    def test_write_ahead_that_was_deleted_since_is_removed(self):
         self.load(5)
         self.configuration.apply_ahead(read_version(make_event("a", 8)))
         self.load(9)
         self.assertEqual(read_weights(self.configuration), {})
         self.assertEqual(self.seen, [("a", 8), ("a", None)])
 
-    def test_a_peer_can_be_given_the_whole_state(self):
+    def test_dump_restores_the_whole_state_on_a_peer(self):
         self.load(5, make_event("a", 5), make_event("b", 4))
         other = Configuration()
         other.apply_snapshot(self.configuration.dump(), 5)
@@ -135,11 +135,11 @@
 
 
 class TestAnyOrder(unittest.TestCase):
-    """Whatever arrives in whatever order, no name goes back."""
+    """No resource goes back to an older revision, in any order of arrival."""
 
     @settings(derandomize=True, deadline=None, max_examples=150)
     @given(data=st.data())
-    def test_no_name_goes_back_and_all_changes_converge(self, data):
+    def test_no_revision_goes_back_and_all_changes_converge(self, data):
         changes = data.draw(
             st.lists(st.tuples(st.sampled_from(NAMES), st.booleans()), max_size=8)
         )
@@ -172,7 +172,7 @@
             configuration.apply_ahead(read_version(log[upto - 1]))
 
     def read_revisions(self, configuration, log) -> dict[str, int]:
-        """Return for each name the lowest revision that explains what is in force."""
+        """Return the revision in force of each name."""
         found = {}
         for name in NAMES:
             team = configuration.get(Kind.TEAM, name)
@@ -187,7 +187,7 @@
 
 
 class TestHistory(unittest.IsolatedAsyncioTestCase):
-    """The history and its readers."""
+    """The change history and its readers."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -212,7 +212,7 @@
         found = await reader.read(timedelta())
         self.assertEqual([c.revision for c in found.changes], [16])
 
-    async def test_changes_come_in_order_even_if_one_was_in_force_before(self):
+    async def test_changes_stay_in_order_if_one_was_applied_ahead(self):
         reader = HistoryReader(self.history, 10, self.clock)
         self.configuration.apply_ahead(read_version(make_event("b", 12)))
         self.assertEqual((await reader.read(timedelta())).changes, ())
@@ -221,19 +221,19 @@
         found = await reader.read(timedelta())
         self.assertEqual([c.name for c in found.changes], ["a", "b"])
 
-    async def test_what_is_no_longer_kept_must_be_listed_again(self):
+    async def test_reader_of_expired_changes_must_list_again(self):
         self.add(11, 12, 13, 14, 15)
         self.assertEqual(self.history.read(10), HistoryExpired(11))
         self.assertIsInstance(self.history.read(11), ResourceChanges)
         reader = HistoryReader(self.history, 10, self.clock)
         self.assertEqual(await reader.read(timedelta()), HistoryExpired(11))
 
-    async def test_a_snapshot_ends_the_history_that_readers_had(self):
+    async def test_snapshot_expires_the_history_of_readers(self):
         reader = HistoryReader(self.history, 10, self.clock)
         self.configuration.apply_snapshot([make_event("a", 19)], 20)
         self.assertEqual(await reader.read(timedelta()), HistoryExpired(20))
 
-    async def test_a_slow_reader_may_come_back_where_it_was(self):
+    async def test_slow_reader_may_continue_from_its_revision(self):
         reader = HistoryReader(self.history, 10, self.clock, lag_limit=2)
         self.add(11)
         await reader.read(timedelta())
@@ -244,7 +244,7 @@
         found = await again.read(timedelta())
         self.assertEqual([c.revision for c in found.changes], [12, 13, 14])
 
-    async def test_a_reader_ahead_of_this_daemon_waits_and_is_not_set_back(self):
+    async def test_reader_ahead_of_this_daemon_waits_at_its_revision(self):
         reader = HistoryReader(self.history, 13, self.clock)
         self.add(11)
         found = await reader.read(timedelta())
@@ -254,14 +254,14 @@
 class TestVersions(unittest.TestCase):
     """Values of the store."""
 
-    def test_values_survive_and_tell_the_revision_of_the_store(self):
+    def test_values_round_trip_with_the_revision_of_the_store(self):
         workload = make_workload(tasks=3)
         value = encode_resource(workload, "w1")
         version = read_version(Event("config/workload/tiles", value, 7))
         self.assertEqual(version.resource["spec"], workload["spec"])
         self.assertEqual(version.resource["metadata"]["revision"], 7)
 
-    def test_a_mark_reads_as_a_deletion(self):
+    def test_tombstone_is_decoded_as_a_deletion(self):
         value = encode_deletion(Kind.TEAM, "a", "w1", 5.0)
         self.assertEqual(
             read_version(Event("config/team/a", value, 3)),
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -89,7 +89,7 @@
 
 
 class TestReplay(unittest.TestCase):
-    """The same records give the same table, through a snapshot too."""
+    """The same records give the same table, also through a snapshot."""
 
     @settings(derandomize=True, deadline=None, max_examples=200)
     @given(st.lists(changes, max_size=30), st.integers(0, 30))
@@ -107,7 +107,7 @@
 
     @settings(derandomize=True, deadline=None, max_examples=200)
     @given(st.lists(changes, max_size=40))
-    def test_ended_job_keeps_its_one_outcome(self, changes):
+    def test_outcome_of_an_ended_job_never_changes(self, changes):
         table = JobTable()
         outcomes = {}
         for change in changes:
@@ -120,7 +120,7 @@
                     self.assertEqual(outcomes.setdefault(name, job.state), job.state)
             outcomes = {n: s for n, s in outcomes.items() if n in table.jobs}
 
-    def test_unknown_kinds_and_fields_are_passed_over_and_bad_bytes_are_not(self):
+    def test_unknown_kinds_and_fields_are_ignored_but_not_bad_bytes(self):
         table = JobTable()
         value, kind = submitted("a-00-1")
         apply_record(table, encode_record({**value, "later": 1}, kind))
@@ -131,9 +131,9 @@
 
 
 class TestOutcomes(unittest.TestCase):
-    """Which outcome a job gets from the ends of its tasks."""
+    """The outcome of a job by the ends of its tasks."""
 
-    def judge(self, *changes):
+    def compute_outcome(self, *changes):
         table = apply_all([submitted("a-00-1"), *changes])
         job = table.jobs["a-00-1"]
         return job.state, job.code
@@ -142,7 +142,7 @@
         cancelled = ({"jobs": ["a-00-1"], "at": 3.0}, records.Cancelled)
         back = requeued("a-00-1-0", ran=False)
         self.assertEqual(
-            self.judge(placed("a-00-1-0"), cancelled, back),
+            self.compute_outcome(placed("a-00-1-0"), cancelled, back),
             (JobState.REFUSED, "cancelled"),
         )
 
@@ -150,22 +150,22 @@
         cancelled = ({"jobs": ["a-00-1"], "at": 3.0}, records.Cancelled)
         back = requeued("a-00-1-0", ran=True)
         self.assertEqual(
-            self.judge(placed("a-00-1-0"), cancelled, back),
+            self.compute_outcome(placed("a-00-1-0"), cancelled, back),
             (JobState.FAILED, "cancelled"),
         )
 
-    def test_unknown_end_outweighs_a_failure(self):
+    def test_unknown_end_takes_precedence_over_a_failure(self):
         ends = (
             placed("a-00-1-0"),
             placed("a-00-1-1"),
             ended("a-00-1-0", TaskState.FAILED),
             ended("a-00-1-1", TaskState.UNKNOWN),
         )
-        self.assertEqual(self.judge(*ends), (JobState.UNKNOWN, "end_unknown"))
+        self.assertEqual(self.compute_outcome(*ends), (JobState.UNKNOWN, "end_unknown"))
 
 
 class TestNames(unittest.TestCase):
-    """Names tell the ledger, and the same key gives the same name."""
+    """A name contains its ledger, and the same key gives the same name."""
 
     def test_ledger_and_job_are_read_from_names(self):
         job = names.build_job_name("w" * 60, "team", "03", "key")
@@ -174,7 +174,7 @@
         self.assertLessEqual(len(names.build_task_name(job, 3999)), 63)
         self.assertIsNone(names.parse_ledger_name("nonsense"))
 
-    def test_key_gives_the_name_and_no_key_a_new_one(self):
+    def test_name_depends_on_the_key_and_is_random_without(self):
         first, again, other, none = (
             names.build_job_name("w", team, "03", key)
             for team, key in (("t", "k"), ("t", "k"), ("u", "k"), ("t", ""))
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of teams against a direct computation."""
+"""Quotas of teams, compared with a direct computation."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 from damaskdeck.errors import InvariantError
 from damaskdeck.protocol.sizes import ZERO_SIZE, Size, fits, subtract_sizes
-from damaskdeck.state.quotas import Giver, Quotas, sum_sizes
+from damaskdeck.state.quotas import Borrower, Quotas, sum_sizes
 
 TEAMS = ("ash", "birch", "cedar")
 SIZES = st.builds(Size, *[st.integers(0, 4)] * 3)
@@ -24,7 +24,7 @@
 
 
 class Model:
-    """What each team has, kept as plain lists."""
+    """Usage and demand of each team as plain lists."""
 
     def __init__(self) -> None:
         self.quota = dict.fromkeys(TEAMS, ZERO_SIZE)
@@ -53,7 +53,7 @@
         return sum(self.claim(team, index) for team in TEAMS if team != but)
 
     def claim(self, team, index):
-        """Find the most that waiting work could add within the quota."""
+        """Return the most that waiting work could add within the quota."""
         return max(
             min(
                 sum_counted(self.wanted[team], rank)[index],
@@ -76,13 +76,13 @@
 
 
 def sum_counted(amounts, rank):
-    """Sum what jobs of a rank are held back by."""
+    """Return the sum of the sizes that count against jobs of a rank."""
     least = rank if rank < 2 else 3
     return sum_sizes(size for size, other in amounts if other <= least)
 
 
 class TestQuotas(unittest.TestCase):
-    """Use is exact, and only what nobody may claim is lent."""
+    """Usage is exact, and only unclaimed capacity is lent."""
 
     @settings(derandomize=True, deadline=None, max_examples=150)
     @given(STEPS, SIZES, st.builds(Size, *[st.integers(0, 30)] * 3), RANKS)
@@ -104,7 +104,7 @@
                 allowed = quotas.find_shortfall(team, need, rank) is None
                 self.assertEqual(allowed, model.allows(team, need, capacity, rank))
 
-    def test_less_urgent_use_of_its_team_holds_back_no_urgent_work(self):
+    def test_less_urgent_usage_does_not_limit_urgent_work(self):
         quotas = Quotas(Size(10, 0, 0))
         quotas.set_quota("ash", Size(6, 0, 0))
         quotas.charge("ash", Size(4, 0, 0), 3)
@@ -118,7 +118,7 @@
         found = [quotas.find_shortfall("ash", need, rank) for rank in range(4)]
         self.assertEqual(found, ["millicores"] * 4)
 
-    def test_idle_quota_is_lent_until_its_team_wants_it(self):
+    def test_idle_quota_is_lent_until_its_team_demands_it(self):
         quotas = Quotas(Size(10, 0, 0))
         quotas.set_quota("ash", Size(6, 0, 0))
         quotas.set_quota("birch", Size(4, 0, 0))
@@ -130,14 +130,14 @@
         quotas.remove_demand("birch", Size(9, 0, 0))
         self.assertIsNone(quotas.find_shortfall("ash", Size(4, 0, 0)))
 
-    def test_a_dimension_that_is_not_needed_never_refuses(self):
+    def test_dimension_that_is_not_needed_never_limits(self):
         quotas = Quotas(Size(10, 10, 1))
         quotas.set_quota("ash", Size(5, 5, 0))
         quotas.charge("ash", Size(0, 0, 1))
         self.assertIsNone(quotas.find_shortfall("ash", Size(5, 5, 0)))
         self.assertEqual(quotas.find_shortfall("ash", Size(1, 1, 1)), "accelerators")
 
-    def test_the_greatest_weighted_excess_gives_back_first(self):
+    def test_largest_weighted_excess_is_listed_first(self):
         quotas = Quotas(Size(100, 100, 10))
         quotas.set_quota("ash", Size(10, 10, 0), weight=4.0)
         quotas.set_quota("birch", Size(10, 10, 0))
@@ -146,38 +146,38 @@
         quotas.charge("birch", Size(30, 0, 0))
         quotas.charge("cedar", Size(0, 0, 9))
         self.assertEqual(
-            quotas.list_givers(Size(1, 0, 0)),
-            (Giver("birch", Size(20, 0, 0)), Giver("ash", Size(40, 0, 0))),
+            quotas.list_borrowers(Size(1, 0, 0)),
+            (Borrower("birch", Size(20, 0, 0)), Borrower("ash", Size(40, 0, 0))),
         )
 
-    def test_only_what_is_above_a_quota_is_taken_back_and_only_within_ones_own(self):
+    def test_only_excess_is_reclaimed_and_only_within_the_own_quota(self):
         quotas = Quotas(Size(10, 10, 0))
         quotas.set_quota("ash", Size(5, 5, 0))
         quotas.set_quota("birch", Size(5, 5, 0))
         quotas.charge("ash", Size(8, 4, 0))
         need, held = Size(2, 2, 0), Size(3, 0, 0)
-        self.assertTrue(quotas.may_take_back("birch", need, "ash", held))
+        self.assertTrue(quotas.may_reclaim("birch", need, "ash", held))
         more = Size(4, 0, 0)
-        self.assertFalse(quotas.may_take_back("birch", need, "ash", more))
+        self.assertFalse(quotas.may_reclaim("birch", need, "ash", more))
         only_memory = Size(0, 4, 0)
-        self.assertFalse(quotas.may_take_back("birch", need, "ash", only_memory))
-        self.assertFalse(quotas.may_take_back("birch", only_memory, "ash", held))
+        self.assertFalse(quotas.may_reclaim("birch", need, "ash", only_memory))
+        self.assertFalse(quotas.may_reclaim("birch", only_memory, "ash", held))
         too_much = Size(6, 0, 0)
-        self.assertFalse(quotas.may_take_back("birch", too_much, "ash", held))
+        self.assertFalse(quotas.may_reclaim("birch", too_much, "ash", held))
         quotas.charge("birch", Size(7, 0, 0))
-        self.assertFalse(quotas.may_take_back("ash", need, "ash", held))
-        self.assertFalse(quotas.may_take_back("ash", need, "birch", Size(1, 0, 0)))
+        self.assertFalse(quotas.may_reclaim("ash", need, "ash", held))
+        self.assertFalse(quotas.may_reclaim("ash", need, "birch", Size(1, 0, 0)))
 
-    def test_a_lowered_quota_turns_use_into_debt(self):
+    def test_usage_above_a_lowered_quota_becomes_excess(self):
         quotas = Quotas(Size(10, 0, 0))
         quotas.set_quota("ash", Size(8, 0, 0))
         quotas.charge("ash", Size(8, 0, 0))
         quotas.remove_quota("ash")
         self.assertEqual(
-            quotas.list_givers(Size(1, 0, 0)), (Giver("ash", Size(8, 0, 0)),)
+            quotas.list_borrowers(Size(1, 0, 0)), (Borrower("ash", Size(8, 0, 0)),)
         )
 
-    def test_giving_back_more_than_was_charged_is_a_broken_invariant(self):
+    def test_releasing_more_than_was_charged_raises_invariant_error(self):
         quotas = Quotas(Size(10, 0, 0))
         quotas.charge("ash", Size(2, 0, 0))
         quotas.charge("birch", Size(5, 0, 0))
@@ -191,13 +191,13 @@
 
 
 class TestBorrowing(unittest.TestCase):
-    """No team starts work above its quota with what another may claim."""
+    """No team starts work above its quota with capacity that another team claims."""
 
     @settings(derandomize=True, deadline=None, max_examples=100)
     @given(
         st.lists(st.tuples(st.sampled_from(TEAMS), SIZES, st.booleans()), max_size=60)
     )
-    def test_a_loan_leaves_idle_what_the_others_may_claim(self, steps):
+    def test_borrowing_leaves_the_claims_of_others_idle(self, steps):
         capacity, quota = Size(24, 24, 24), Size(8, 8, 8)
         quotas = Quotas(capacity)
         used, wanted = {t: [] for t in TEAMS}, {t: [] for t in TEAMS}
