--- a/src/damaskdeck/protocol/callresults.py
+++ b/src/damaskdeck/protocol/callresults.py
@@ -1,4 +1,4 @@
-"""How a caller's question about a job on a queue ends."""
+"""Results of callers' calls about jobs on queues."""
 
 from datetime import timedelta
 from enum import StrEnum
@@ -7,16 +7,17 @@
 from damaskdeck.protocol.queues import QueueJobState
 from damaskdeck.protocol.values import distinct
 
-# When to ask again where nothing says better: outages of the store last for seconds.
+# Used where no better estimate is known; outages of the store last for seconds.
 DEFAULT_RETRY_DELAY = timedelta(seconds=1)
 
 
 class Caller(NamedTuple):
-    """Who calls, as far as it counts; nobody in particular by default.
+    """The identity of a caller; anonymous by default.
 
-    :param account: of the key that was shown, an empty string on a public queue.
+    :param account: account of the key that was sent, an empty string on a public
+        queue.
     :param queue: name of the queue that was called.
-    :param digest: of the key that was shown.
+    :param digest: digest of the key that was sent.
     """
 
     account: str = ""
@@ -24,9 +25,10 @@
     digest: bytes = b""
 
     def may_see(self, account: str, queue: str) -> bool:
-        """Whether a job of an account on a queue is shown to this caller.
+        """Whether this caller may see a job of an account on a queue.
 
-        On a queue that is or was public some have no account.
+        Jobs and callers of a queue that is or was public may have no account. They
+        are compared by queue.
         """
         is_shared = not (self.account and account) and self.queue == queue
         return self.account == account or is_shared
@@ -36,7 +38,7 @@
 
 
 class CallRejectionCode(StrEnum):
-    """Why a call goes no further."""
+    """Why a call is rejected."""
 
     NO_DOCUMENT = "no_document"
     NO_QUEUE = "no_queue"
@@ -48,19 +50,19 @@
 
 @distinct
 class CallRejected(NamedTuple):
-    """The call goes no further; nothing was done."""
+    """The call was rejected; nothing was done."""
 
     code: CallRejectionCode
 
 
 @distinct
 class JobAccepted(NamedTuple):
-    """The job is stored, now or before."""
+    """The job is stored, by this call or an earlier one."""
 
 
 @distinct
 class JobNotAccepted(NamedTuple):
-    """The job was not stored and never will be; come back after ``retry``."""
+    """The job was not stored and never will be; retry after ``retry``."""
 
     code: str
     retry: timedelta = DEFAULT_RETRY_DELAY
@@ -68,7 +70,7 @@
 
 @distinct
 class JobUnconfirmed(NamedTuple):
-    """The job may have been stored, or may yet be."""
+    """The job may have been stored, or may yet be stored."""
 
     code: str
 
@@ -87,7 +89,7 @@
 
 @distinct
 class JobStateUnavailable(NamedTuple):
-    """Nobody who knows could be asked."""
+    """No daemon that knows the state could be reached; retry after ``retry``."""
 
     code: str
     retry: timedelta = DEFAULT_RETRY_DELAY
--- a/src/damaskdeck/protocol/checks.py
+++ b/src/damaskdeck/protocol/checks.py
@@ -1,4 +1,4 @@
-"""Checks of documents against their types; every fault is found, not only one."""
+"""Validation of documents against their types; reports all faults."""
 
 import typing
 from collections.abc import Iterator, Mapping
@@ -9,62 +9,68 @@
 from damaskdeck.errors import Fault
 
 
-def find_faults(value: object, kind: Any, path: str = "") -> tuple[Fault, ...]:
-    """Check plain data against a ``TypedDict`` and whatever it nests.
+def find_faults(value: object, expected: Any, path: str = "") -> tuple[Fault, ...]:
+    """Check plain data against a ``TypedDict`` and its nested types.
 
-    :param value: data as YAML or JSON gives it.
-    :param kind: the type it must have.
-    :param path: where ``value`` stands in the document.
-    :returns: all faults; empty when the data may be used.
+    :param value: data as decoded from YAML or JSON.
+    :param expected: the type that it must have.
+    :param path: path of ``value`` in the document.
+    :returns: all faults; empty when the data is valid.
     """
-    return tuple(_walk(value, _strip(kind), path))
+    return tuple(_find_value_faults(value, _unwrap_requirement(expected), path))
 
 
-def _walk(value: object, kind: Any, path: str) -> Iterator[Fault]:
-    if typing.is_typeddict(kind):
-        yield from _walk_fields(value, kind, path)
-    elif typing.get_origin(kind) is list and isinstance(value, list):
-        item_kind = _strip(typing.get_args(kind)[0])
+def _find_value_faults(value: object, expected: Any, path: str) -> Iterator[Fault]:
+    if typing.is_typeddict(expected):
+        yield from _find_field_faults(value, expected, path)
+    elif typing.get_origin(expected) is list and isinstance(value, list):
+        item_type = _unwrap_requirement(typing.get_args(expected)[0])
         for index, item in enumerate(value):
-            yield from _walk(item, item_kind, f"{path}[{index}]")
-    elif typing.get_origin(kind) is dict and isinstance(value, dict):
+            yield from _find_value_faults(item, item_type, f"{path}[{index}]")
+    elif typing.get_origin(expected) is dict and isinstance(value, dict):
         for key, item in value.items():
-            yield from _walk(item, _strip(typing.get_args(kind)[1]), _join(path, key))
+            yield from _find_value_faults(
+                item,
+                _unwrap_requirement(typing.get_args(expected)[1]),
+                _join_path(path, key),
+            )
     else:
-        yield from _convert(value, kind, path)
+        yield from _find_conversion_faults(value, expected, path)
 
 
-def _walk_fields(value: object, kind: Any, path: str) -> Iterator[Fault]:
+def _find_field_faults(value: object, expected: Any, path: str) -> Iterator[Fault]:
     if not isinstance(value, Mapping):
         yield Fault(path or "$", "wrong_type", "must be a mapping")
         return
-    hints = typing.get_type_hints(kind, include_extras=True)
+    hints = typing.get_type_hints(expected, include_extras=True)
     for name in value:
         if name not in hints:
             allowed = ", ".join(sorted(hints))
-            yield Fault(_join(path, name), "unknown_field", f"allowed: {allowed}")
+            yield Fault(_join_path(path, name), "unknown_field", f"allowed: {allowed}")
     for name, hint in hints.items():
         if name in value:
-            yield from _walk(value[name], _strip(hint), _join(path, name))
-        elif name in kind.__required_keys__:
-            yield Fault(_join(path, name), "missing_field", "must be given")
+            yield from _find_value_faults(
+                value[name], _unwrap_requirement(hint), _join_path(path, name)
+            )
+        elif name in expected.__required_keys__:
+            yield Fault(_join_path(path, name), "missing_field", "must be given")
 
 
-def _convert(value: object, kind: Any, path: str) -> Iterator[Fault]:
+def _find_conversion_faults(value: object, expected: Any, path: str) -> Iterator[Fault]:
     try:
-        msgspec.convert(value, kind)
+        msgspec.convert(value, expected)
     except msgspec.ValidationError as error:
         text = str(error)
         is_type = " got " in text
         yield Fault(path or "$", "wrong_type" if is_type else "bad_value", text)
 
 
-def _strip(kind: Any) -> Any:
-    origin = typing.get_origin(kind)
+def _unwrap_requirement(expected: Any) -> Any:
+    origin = typing.get_origin(expected)
     if origin in (typing.Required, typing.NotRequired):
-        return _strip(typing.get_args(kind)[0])
-    return kind
+        return _unwrap_requirement(typing.get_args(expected)[0])
+    return expected
 
 
-def _join(path: str, name: object) -> str:
+def _join_path(path: str, name: object) -> str:
     return f"{path}.{name}" if path else str(name)
--- a/src/damaskdeck/protocol/clientaccounts.py
+++ b/src/damaskdeck/protocol/clientaccounts.py
@@ -1,7 +1,7 @@
-"""Client accounts: whose keys callers show, and what each account may use.
+"""Client accounts: their API keys, and what each account may use.
 
-Keys are secrets: only their digests are kept, here and in messages between daemons,
-and lines and metrics name the account.
+Keys are secrets. Only their digests are stored, here and in messages between
+daemons; log lines and metrics name the account.
 """
 
 import hashlib
@@ -11,7 +11,7 @@
 from damaskdeck.logs import get_logger
 from damaskdeck.protocol.sizes import Size
 
-# A quota that nothing reaches; sums of it with what is used stay whole numbers.
+# A quota that is never reached. It is an integer, so that sums with usage are exact.
 UNLIMITED = 2**50
 UNLIMITED_SIZE = Size(UNLIMITED, UNLIMITED, UNLIMITED)
 
@@ -19,12 +19,12 @@
 
 
 class ClientAccount(NamedTuple):
-    """Who calls, and what the operators let it use.
+    """A client account with its limits.
 
-    :param digests: of its keys; see :func:`digest_key`.
-    :param weight: its share when all is full, and the jobs a second that it may
-        count on.
-    :param rank: 0 comes first.
+    :param digests: digests of its keys; see :func:`digest_key`.
+    :param weight: its share when all capacity is used, and the number of jobs per
+        second that it is guaranteed to submit.
+    :param rank: rank of its jobs; 0 comes first.
     :param quota: what it may have running in all pools together; a dimension
         without a limit is :data:`UNLIMITED`.
     """
@@ -37,56 +37,56 @@
 
 
 class ClientAccounts:
-    """The accounts of one document, found by a key's digest in constant time.
+    """The accounts of one document, found by the digest of a key in constant time.
 
-    A key of several accounts is nobody's: it can't be told whose work it hands in.
+    A key of several accounts is rejected, as it is ambiguous whose work it submits.
     """
 
     def __init__(self, accounts: Iterable[ClientAccount] = ()) -> None:
-        self._names: dict[str, ClientAccount] = {}
-        self._digests: dict[bytes, ClientAccount | None] = {}
+        self._accounts_by_name: dict[str, ClientAccount] = {}
+        self._accounts_by_digest: dict[bytes, ClientAccount | None] = {}
         for account in accounts:
             self._add(account)
 
     def _add(self, account: ClientAccount) -> None:
-        self._names[account.name] = account
+        self._accounts_by_name[account.name] = account
         for digest in account.digests:
-            if digest in self._digests:
+            if digest in self._accounts_by_digest:
                 _log.error(
-                    "A key is declared twice: nobody may use it.",
+                    "A key of several accounts is rejected.",
                     code="ambiguous_key",
                     account=account.name,
                 )
-                self._digests[digest] = None
+                self._accounts_by_digest[digest] = None
             else:
-                self._digests[digest] = account
+                self._accounts_by_digest[digest] = account
 
     def __len__(self) -> int:
-        return len(self._names)
+        return len(self._accounts_by_name)
 
     def __iter__(self):
-        return iter(self._names.values())
+        return iter(self._accounts_by_name.values())
 
     def find(self, digest: bytes) -> ClientAccount | None:
-        """Return whose key has this digest, ``None`` when it is nobody's."""
-        return self._digests.get(digest)
+        """Return the account with this key digest, ``None`` when there is none."""
+        return self._accounts_by_digest.get(digest)
 
     def get(self, name: str) -> ClientAccount | None:
         """Return the account of that name."""
-        return self._names.get(name)
+        return self._accounts_by_name.get(name)
 
 
 NO_ACCOUNTS = ClientAccounts()
 
 
 def digest_key(key: bytes) -> bytes:
-    """Return what of a key is kept: 32 bytes that don't tell the key.
+    """Return the 32-byte digest of a key, from which the key can't be derived.
 
-    :param key: as a caller shows it.
+    :param key: the key as the caller sends it.
     """
     return hashlib.sha256(key).digest()
 
 
 def build_quota(declared: Size) -> Size:
-    """Return a quota from declared limits, of which 0 sets none."""
+    """Return a quota from declared limits, of which 0 means no limit."""
     return Size(*(limit or UNLIMITED for limit in declared))
--- a/src/damaskdeck/protocol/configurationmessages.py
+++ b/src/damaskdeck/protocol/configurationmessages.py
@@ -1,4 +1,4 @@
-"""Messages by which daemons hand changes of the configuration to each other."""
+"""Messages by which daemons exchange changes of the configuration."""
 
 from typing import NotRequired, TypedDict
 
@@ -6,7 +6,7 @@
 
 
 class ConfigurationEntry(TypedDict):
-    """A key of the store as of ``revision``; no ``value``: it was deleted."""
+    """A key of the store as of ``revision``; without ``value`` it was deleted."""
 
     key: str
     revision: int
@@ -31,9 +31,9 @@
 
 @message("configuration/pull", reply="configuration/reply")
 class PullConfiguration(TypedDict):
-    """Asks for what came after ``revision``.
+    """Request the changes after ``revision``.
 
-    ``after`` is the last key of the part of a snapshot that has come.
+    ``after`` is the last received key of a snapshot that comes in parts.
     """
 
     revision: int
@@ -42,10 +42,10 @@
 
 @message("configuration/reply")
 class PullConfigurationReply(TypedDict):
-    """Answers a pull: the changes asked for, or a part of a whole snapshot.
+    """The requested changes, or a part of a complete snapshot.
 
-    ``more`` tells that further parts follow; ask with the last key. ``ahead``
-    are writes above ``revision`` that the replying daemon knows of.
+    ``more`` says that more parts follow; request them with the last key. ``ahead``
+    are writes above ``revision`` that the replying daemon knows.
     """
 
     revision: int
@@ -57,16 +57,16 @@
 
 @message("configuration/ask", reply="configuration/report")
 class ReadConfigurationReport(TypedDict):
-    """Asks for the receiver's report."""
+    """Request the receiver's report."""
 
 
 @message("configuration/report")
 class ConfigurationReport(TypedDict):
-    """What each daemon's heartbeats and answers tell of its configuration.
+    """State of a daemon's configuration, in its heartbeats and replies.
 
-    ``is_loaded``: whether it has any; ``reaches_store``: whether its last call
-    to the store was answered; ``ahead``: revisions above ``revision`` that are
-    in force already.
+    ``is_loaded``: whether it has any; ``reaches_store``: whether its last call to
+    the store was answered; ``ahead``: revisions above ``revision`` that are already
+    in force.
     """
 
     revision: int
--- a/src/damaskdeck/protocol/conversions.py
+++ b/src/damaskdeck/protocol/conversions.py
@@ -1,4 +1,4 @@
-"""Outcomes and jobs as data of messages, and back."""
+"""Conversion of outcomes and jobs to and from the data in messages."""
 
 from datetime import timedelta
 
@@ -21,7 +21,7 @@
 
 
 def build_outcome_data(outcome: Outcome) -> OutcomeData:
-    """Turn an outcome into data."""
+    """Convert an outcome to data."""
     data = OutcomeData(kind=type(outcome).__name__.lower())
     if isinstance(outcome, Completed):
         data["body"] = outcome.body
@@ -35,7 +35,7 @@
 
 
 def parse_outcome(data: OutcomeData) -> Outcome:
-    """Turn data into an outcome; a kind not known here counts as unknown."""
+    """Convert data to an outcome; an unknown kind becomes ``Unknown``."""
     kind = _KINDS.get(data["kind"])
     if kind is Completed:
         return Completed(data.get("body", b""), data.get("content_type", ""))
@@ -50,7 +50,7 @@
 
 
 def build_job_data(view: JobView) -> JobData:
-    """Turn a view of a job into data."""
+    """Convert a job view to data."""
     return JobData(
         name=view.name,
         workload=view.workload,
@@ -66,7 +66,7 @@
 
 
 def parse_job(data: JobData) -> JobView:
-    """Turn data into a view of a job."""
+    """Convert data to a job view."""
     return JobView(
         name=data["name"],
         workload=data["workload"],
@@ -82,22 +82,22 @@
 
 
 def build_job_reply(answer: JobView | Refused | Unknown) -> JobReply:
-    """Turn an answer about a job into a message."""
+    """Convert an answer about a job to a message."""
     if isinstance(answer, JobView):
         return JobReply(job=build_job_data(answer))
     return JobReply(outcome=build_outcome_data(answer))
 
 
 def parse_job_reply(reply: JobReply) -> JobView | Refused | Unknown:
-    """Turn a message into an answer about a job."""
+    """Convert a message to an answer about a job."""
     if "job" in reply:
         return parse_job(reply["job"])
     return parse_refusal(reply)
 
 
 def parse_refusal(reply: JobReply | JobsReply | KeyReply) -> Refused | Unknown:
-    """Return why a keeper's reply has no result."""
+    """Return why the reply of a ledger owner has no result."""
     outcome = parse_outcome(reply["outcome"]) if "outcome" in reply else None
     if isinstance(outcome, Refused | Unknown):
         return outcome
-    return Unknown("answer_lost", "a keeper's answer made no sense")
+    return Unknown("answer_lost", "invalid reply of the ledger owner")
--- a/src/damaskdeck/protocol/forwarding.py
+++ b/src/damaskdeck/protocol/forwarding.py
@@ -1,4 +1,4 @@
-"""Messages by which daemons pass requests to the owners of targets."""
+"""Messages by which daemons forward requests to the owners of targets."""
 
 from typing import NotRequired, TypedDict
 
@@ -8,10 +8,10 @@
 
 
 class ServiceLoad(TypedDict):
-    """How busy a daemon's own targets of one service are.
+    """Load of a daemon's own targets of one service.
 
-    ``service_time`` is the mean time in a slot, in seconds; ``targets`` and
-    ``ejected`` count targets.
+    ``service_time`` is the mean time that a request uses a slot, in seconds;
+    ``targets`` and ``ejected`` count targets.
     """
 
     slots: Count
@@ -24,10 +24,11 @@
 
 @message("forward_request", reply="forward_outcome")
 class ForwardRequest(TypedDict):
-    """A request handed to an owner.
+    """A request forwarded to an owner.
 
-    ``timeout`` is what is left and ``patience`` how long it may wait for a slot
-    there, in seconds; ``waiting`` counts the requests that wait at the sender.
+    ``timeout`` is the remaining time and ``patience`` the time that it may wait for
+    a slot there, both in seconds; ``waiting`` counts the requests that wait at the
+    sender.
     """
 
     identifier: str
@@ -45,7 +46,7 @@
 
 @message("forward_outcome")
 class ForwardRequestReply(TypedDict):
-    """What became of a forwarded request; ``load`` is the owner's at the reply."""
+    """Outcome of a forwarded request; ``load`` is that of the owner at the reply."""
 
     identifier: str
     attempt: Count
@@ -55,7 +56,7 @@
 
 @message("cancel_forward")
 class CancelForwardedRequest(TypedDict):
-    """The caller of a forwarded request has gone; its queue place is free."""
+    """The caller of a forwarded request is gone; its place in the queue is free."""
 
     identifier: str
     attempt: Count
@@ -71,7 +72,7 @@
 
 @message("slots_offered")
 class OfferSlots(TypedDict):
-    """The sender can take ``count`` requests of a service; nothing is reserved."""
+    """The sender can serve ``count`` requests of a service; nothing is reserved."""
 
     service: str
     count: Count
@@ -79,7 +80,7 @@
 
 @message("read_slots", reply="slots_read")
 class ReadSlots(TypedDict):
-    """The owner of ``target`` from ``epoch`` on asks what is still in progress."""
+    """The owner of ``target`` from ``epoch`` on asks for requests in progress."""
 
     target: str
     epoch: Count
@@ -87,11 +88,11 @@
 
 @message("slots_read")
 class ReadSlotsReply(TypedDict):
-    """Slots that an earlier owner's requests may still fill.
+    """Slots that requests of earlier owners may still occupy.
 
-    ``epoch`` is the last one at which the sender was the owner, 0 if never;
+    ``epoch`` is the last epoch in which the sender was the owner, 0 if never;
     ``remaining`` has an upper bound in seconds for each slot that the sender
-    filled, ``inherited`` for those of still earlier owners, by their names.
+    filled, ``inherited`` the same for even earlier owners, by their names.
     """
 
     target: str
--- a/src/damaskdeck/protocol/handlers.py
+++ b/src/damaskdeck/protocol/handlers.py
@@ -1,4 +1,4 @@
-"""What callers' and operators' calls are answered by, behind the HTTP API."""
+"""Interfaces that answer callers' and operators' calls, behind the HTTP API."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -13,7 +13,7 @@
 class ServiceRequest(NamedTuple):
     """A caller's request to a service.
 
-    :param identifier: unique for each request, made by the entry.
+    :param identifier: unique for each request; the receiving daemon creates it.
     :param key: the caller's ``Idempotency-Key``, or an empty string.
     :param timeout: time left until the caller's deadline.
     """
@@ -33,8 +33,8 @@
     """A caller's job.
 
     :param key: the caller's ``Idempotency-Key``, or an empty string.
-    :param workload: name of a declared workload, a batch or a gang.
-    :param payload: handed to each task as it is.
+    :param workload: name of a declared workload of type batch or gang.
+    :param payload: passed to each task unchanged.
     """
 
     workload: str
@@ -62,10 +62,11 @@
 class JobView(NamedTuple):
     """A job as callers see it.
 
-    :param code: why, for a job that failed, was refused or is unknown.
-    :param reasons: plain words: why it waits, where it ran, why it was moved.
-    :param results: of its tasks in their order, once it has completed; not in lists.
-    :param workers: where each of ``tasks`` was last placed, or an empty string.
+    :param code: why the job failed, was refused or is unknown.
+    :param reasons: text for people: why it waits, where it ran, why it was moved.
+    :param results: results of its tasks in order, once it has completed; not in
+        lists of jobs.
+    :param workers: the last worker of each of ``tasks``, or an empty string.
     :param revision: rises with each change of the job.
     """
 
@@ -85,68 +86,70 @@
     """Answers callers' requests to services."""
 
     async def handle_request(self, request: ServiceRequest) -> Outcome:
-        """Serve a request; cancelling the task cancels the request."""
+        """Serve a request; cancelling the asyncio task cancels the request."""
 
 
 class JobHandler(Protocol):
-    """Takes jobs and tells of them, from any daemon."""
+    """Accepts jobs and returns their states, on any daemon."""
 
     async def submit_job(self, submission: Submission) -> JobView | Refused | Unknown:
-        """Take a job; it is durable once a view is returned."""
+        """Accept a job; it is durable once a view is returned."""
 
     async def read_job(self, name: str) -> JobView | Refused | Unknown:
-        """Tell the state of a job; ``Refused("no_such_job")`` if there is none."""
+        """Return a job; ``Refused("no_such_job")`` if there is none."""
 
     async def cancel_job(self, name: str) -> JobView | Refused | Unknown:
-        """Cancel a job; a job that has ended stays as it ended."""
+        """Cancel a job; a job that has ended keeps its state."""
 
     async def list_jobs(
         self, team: str, after: str, limit: int
     ) -> tuple[JobView, ...] | Refused | Unknown:
-        """List jobs in order of their names, a page at a time.
+        """List jobs in order of their names, one page per call.
 
-        :param team: only this team's, or an empty string for all.
+        :param team: list the jobs of this team only; an empty string for all.
+        :param after: list only names after this one.
+        :param limit: maximum number of jobs.
         """
 
 
 class ResourceReader(Protocol):
-    """Tells of observed resources: workers, targets and tasks."""
+    """Lists observed resources: workers, targets and tasks."""
 
     async def list_resources(self, kind: str) -> tuple[Resource, ...] | Refused:
-        """List what this daemon and its peers know of ``kind``."""
+        """List the resources of ``kind`` that this daemon and its peers know."""
 
 
 @distinct
 class ClaimedKey(NamedTuple):
-    """A key was used for the first time and is durable; run the request now."""
+    """The key was used for the first time and is durable; run the request now."""
 
 
 @distinct
 class KnownKey(NamedTuple):
-    """A key was used before; this is what became of its request."""
+    """The key was used before; ``outcome`` is that of its request."""
 
     outcome: Outcome
 
 
 class IdempotencyKeys(Protocol):
-    """Remembers idempotency keys of requests durably, in the team's ledger."""
+    """Stores the idempotency keys of requests durably, in the team's ledger."""
 
     async def claim_key(
         self, team: str, service: str, key: str, digest: bytes, timeout: timedelta
     ) -> ClaimedKey | KnownKey | Refused | Unknown:
-        """Claim a key before its request is sent anywhere.
+        """Claim a key before its request is sent to a target.
 
-        :param digest: of the request; another one under the same key is
+        :param digest: digest of the request; another request with the same key is
             ``Refused("key_reused")``.
-        :param timeout: once it has passed without :meth:`settle_key`, the key
-            is known as ``Unknown("answer_lost")``; before,
+        :param timeout: once it has passed without :meth:`settle_key`, the key is
+            known as ``Unknown("answer_lost")``; before that, the result is
             ``Refused("in_progress")``.
         """
 
     async def settle_key(
         self, team: str, service: str, key: str, outcome: Outcome
     ) -> bool:
-        """Remember the outcome; returns whether it is durable."""
+        """Store the outcome; returns whether it is durable."""
 
 
 ConfigurationHandler = Callable[[Kind, str, Resource | None], None]
@@ -157,7 +160,7 @@
 
     @property
     def revision(self) -> int:
-        """The highest revision applied."""
+        """The highest revision up to which all changes are in force."""
 
     def get(self, kind: Kind, name: str) -> Resource | None:
         """Return a declared resource."""
@@ -166,4 +169,7 @@
         """List the declared resources of a kind in order of name."""
 
     def subscribe(self, handler: ConfigurationHandler) -> None:
-        """Call ``handler(kind, name, resource)`` on each change; ``None``: deleted."""
+        """Call ``handler(kind, name, resource)`` on each change.
+
+        ``resource`` is ``None`` for a deletion.
+        """
--- a/src/damaskdeck/protocol/heartbeats.py
+++ b/src/damaskdeck/protocol/heartbeats.py
@@ -1,4 +1,4 @@
-"""Messages of membership and ownership between daemons."""
+"""Messages about membership and ownership between daemons."""
 
 from typing import NotRequired, TypedDict
 
@@ -7,7 +7,7 @@
 
 
 class MemberFields(TypedDict):
-    """A :class:`damaskdeck.protocol.members.Member` on the wire."""
+    """Encoded form of :class:`damaskdeck.protocol.members.Member`."""
 
     name: str
     zone: str
@@ -18,14 +18,14 @@
 
 
 class Echo(TypedDict):
-    """The last heartbeat heard from the receiver.
-
-    :ivar number: its number.
-    :ivar session: the session that it named.
-    :ivar promise: for how many milliseconds from now on the sender takes over
-        nothing from the receiver.
-    :ivar promised: for how many milliseconds more the promises of others let
-        the sender decide; the receiver may not be among those who gave them.
+    """The last heartbeat that the sender received from the receiver.
+
+    :ivar number: number of that heartbeat.
+    :ivar session: the session in it.
+    :ivar promise: lease grant, in milliseconds from now on: the sender takes over
+        nothing from the receiver for this time.
+    :ivar promised: for how many milliseconds the grants of other daemons still let
+        the sender decide; the receiver may not be among the granting daemons.
     """
 
     number: Count
@@ -38,7 +38,7 @@
     """A report of the sender.
 
     :ivar version: rises with each new value of the topic.
-    :ivar value: absent when the receiver should have this version.
+    :ivar value: absent when the receiver should already have this version.
     """
 
     version: Count
@@ -46,9 +46,9 @@
 
 
 class Digest(TypedDict):
-    """A member of another zone that the sender heard, and its latest reports.
+    """A member of another zone that the sender knows, with its latest reports.
 
-    :ivar age: milliseconds since that member was heard.
+    :ivar age: milliseconds since the last heartbeat of that member.
     """
 
     member: MemberFields
@@ -58,11 +58,11 @@
 
 @message("heartbeat")
 class Heartbeat(TypedDict):
-    """A sign of life, sent in an interval to some peers.
+    """A heartbeat, sent periodically to some peers.
 
     :ivar session: names the lease under which the sender is registered.
-    :ivar ages: milliseconds since members of another zone were heard.
-    :ivar digests: some of them in turn, within a limit of bytes.
+    :ivar ages: milliseconds since the last heartbeats of members of another zone.
+    :ivar digests: some of these members in turn, limited in bytes.
     """
 
     member: MemberFields
@@ -77,17 +77,17 @@
 
 @message("goodbye")
 class Goodbye(TypedDict):
-    """The sender has given up its lease and will take over nothing any more."""
+    """The sender has given up its lease and takes over nothing any more."""
 
     session: str
 
 
 @message("table_change")
 class TableChange(TypedDict):
-    """The sender wrote a table of owners; saves the receiver a call to the store.
+    """The sender wrote an ownership table; saves the receiver a call to the store.
 
     :ivar revision: the store's revision of the write.
-    :ivar value: the whole table as it stands in the store.
+    :ivar value: the whole table as stored.
     """
 
     key: str
--- a/src/damaskdeck/protocol/jobs.py
+++ b/src/damaskdeck/protocol/jobs.py
@@ -5,12 +5,12 @@
 from damaskdeck.protocol.messages import message
 from damaskdeck.protocol.quantities import Amount, Count, Seconds, UrgencyName
 
-# Entry to keeper ----------------------------------------------------------------
+# From any daemon to the ledger owner ---------------------------------------------
 
 
 @message("submit_job", reply="job_reply")
 class SubmitJob(TypedDict):
-    """Take a job; answered by :class:`JobReply`."""
+    """Accept a job; answered by :class:`JobReply`."""
 
     workload: str
     team: str
@@ -20,7 +20,7 @@
 
 @message("read_job", reply="job_reply")
 class ReadJob(TypedDict):
-    """Tell the state of a job; answered by :class:`JobReply`."""
+    """Return a job; answered by :class:`JobReply`."""
 
     job: str
 
@@ -44,7 +44,7 @@
 
 @message("claim_key", reply="key_reply")
 class ClaimKey(TypedDict):
-    """Claim the key of a request; ``timeout`` in seconds."""
+    """Claim the key of a request; ``timeout`` is in seconds."""
 
     team: str
     service: str
@@ -56,7 +56,7 @@
 class OutcomeData(TypedDict):
     """An outcome; ``kind`` is the name of its class in lower case.
 
-    ``retry_after`` in seconds.
+    ``retry_after`` is in seconds.
     """
 
     kind: str
@@ -69,7 +69,7 @@
 
 @message("settle_key", reply="key_reply")
 class SettleKey(TypedDict):
-    """Remember the outcome of a request with a key."""
+    """Store the outcome of a request with a key."""
 
     team: str
     service: str
@@ -78,7 +78,7 @@
 
 
 class JobData(TypedDict):
-    """A job as in :class:`damaskdeck.protocol.handlers.JobView`."""
+    """Encoded form of :class:`damaskdeck.protocol.handlers.JobView`."""
 
     name: str
     workload: str
@@ -94,7 +94,7 @@
 
 @message("job_reply")
 class JobReply(TypedDict):
-    """A job, or why there is none."""
+    """A job, or the outcome that explains why there is none."""
 
     job: NotRequired[JobData]
     outcome: NotRequired[OutcomeData]
@@ -102,7 +102,7 @@
 
 @message("jobs_reply")
 class JobsReply(TypedDict):
-    """Jobs in order of their names, or why there are none."""
+    """Jobs in order of their names, or the outcome that explains why there are none."""
 
     jobs: NotRequired[list[JobData]]
     outcome: NotRequired[OutcomeData]
@@ -110,20 +110,20 @@
 
 @message("key_reply")
 class KeyReply(TypedDict):
-    """What became of a claim or of a settled key."""
+    """Result of a claim, or of settling a key."""
 
     state: Literal["claimed", "known", "settled", "failed"]
     outcome: NotRequired[OutcomeData]
 
 
-# Keeper to owner of workers -----------------------------------------------------
+# From the ledger owner to the owner of workers -----------------------------------
 
 
 class TaskAttempt(TypedDict):
     """An attempt of a task on a worker, under the epoch of the worker's owner.
 
-    ``started`` tells whether it is known to have started; what follows tells an
-    owner of a task that it adopted.
+    ``started`` says whether it is known to have started. The fields after it
+    describe a task that the owner adopts.
     """
 
     task: str
@@ -146,10 +146,10 @@
 
 
 class GangRequest(TypedDict):
-    """Which of a long waiting gang's tasks, to have room kept for all of them.
+    """Identifies a task of a starving gang, for which capacity is to be reserved.
 
-    ``submitted`` in milliseconds since 1970 orders gangs alike at all owners;
-    ``index`` counts from 0 among the ``count`` tasks of one message.
+    ``submitted`` in milliseconds since 1970 orders gangs in the same way at all
+    owners; ``index`` counts from 0 among the ``count`` tasks of one message.
     """
 
     submitted: Count
@@ -158,11 +158,12 @@
 
 
 class ReservationRequest(TypedDict):
-    """Room asked for an attempt, wherever its owner finds it best.
+    """Capacity requested for an attempt, on the worker that its owner chooses.
 
-    ``avoid`` names workers that it failed on; with ``is_pressed`` the owner may
-    choose one of them if there is no other. ``run_time`` is declared, in seconds.
-    With ``gang``, an owner that lacks the room keeps it, and answers ``room_kept``.
+    ``avoid`` names workers on which it failed; with ``is_pressed`` the owner may
+    choose one of them if there is no other. ``run_time`` is the declared one, in
+    seconds. With ``gang``, an owner without sufficient capacity reserves what
+    becomes free, and answers ``room_kept``.
     """
 
     task: str
@@ -182,7 +183,7 @@
 
 @message("reserve_tasks", reply="tasks_reserved")
 class ReserveTasks(TypedDict):
-    """Hold room for tasks; ``epoch`` is that of the ledger."""
+    """Hold capacity for tasks; ``epoch`` is that of the ledger."""
 
     ledger: str
     epoch: Count
@@ -198,7 +199,7 @@
 
 
 class ReservationGrant(TypedDict):
-    """Room that is held for an attempt; ``epoch`` is that of the worker's owner."""
+    """Capacity held for an attempt; ``epoch`` is that of the worker's owner."""
 
     task: str
     attempt: Count
@@ -208,14 +209,14 @@
 
 @message("tasks_reserved")
 class ReserveTasksReply(TypedDict):
-    """What was granted and what not."""
+    """The granted and the refused requests."""
 
     granted: list[ReservationGrant]
     refused: list[Refusal]
 
 
 class TaskToStart(TaskAttempt):
-    """A task to start in the room reserved for it; sent once for each attempt."""
+    """A task to start in its reservation; sent once for each attempt."""
 
     payload: bytes
     resume: NotRequired[str]
@@ -232,14 +233,14 @@
 
 @message("tasks_taken")
 class TaskOrdersReply(TypedDict):
-    """The rest was taken and will be reported; refused ones never started."""
+    """The refused attempts, which never started; the others will be reported."""
 
     refused: list[Refusal]
 
 
 @message("release_tasks")
 class ReleaseTasks(TypedDict):
-    """Let go of reservations."""
+    """Release reservations."""
 
     ledger: str
     epoch: Count
@@ -250,7 +251,8 @@
 class StopTasks(TypedDict):
     """Stop tasks; their ends are reported.
 
-    Unless it is their last end, those that can be checkpointed are.
+    Tasks that support it are checkpointed, unless ``is_last`` says that they won't
+    run again.
     """
 
     ledger: str
@@ -261,23 +263,23 @@
 
 @message("check_tasks", reply="task_reports")
 class CheckTasks(TypedDict):
-    """Tell what became of attempts; answered by :class:`TaskUpdates`."""
+    """Return the state of attempts; answered by :class:`TaskUpdates`."""
 
     ledger: str
     epoch: Count
     tasks: list[TaskAttempt]
 
 
-# Owner of workers to keeper -----------------------------------------------------
+# From the owner of workers to the ledger owner -----------------------------------
 
 
 class TaskUpdate(TypedDict):
     """What is known of an attempt.
 
     ``state`` is ``running``, ``succeeded``, ``failed``, ``stopped`` or
-    ``checkpointed``, as the worker says; ``lapsed`` when its lease must have
-    lapsed; ``unstarted`` when it is proved never to have started; ``starting``
-    and ``unsure`` when it isn't known yet.
+    ``checkpointed``, as the worker reports it; ``lapsed`` when its lease must have
+    expired; ``unstarted`` when it is known to have never started; ``starting`` and
+    ``unsure`` when its state is not known yet.
     """
 
     task: str
@@ -291,7 +293,7 @@
 
 @message("task_reports", reply="tasks_noted")
 class TaskUpdates(TypedDict):
-    """News of tasks of one ledger; answered by :class:`TaskUpdatesReply`."""
+    """Updates of tasks of one ledger; answered by :class:`TaskUpdatesReply`."""
 
     ledger: str
     tasks: list[TaskUpdate]
@@ -299,7 +301,7 @@
 
 @message("tasks_noted")
 class TaskUpdatesReply(TypedDict):
-    """News that are durable now, and attempts that must not run."""
+    """The updates that are durable now, and attempts that must not run."""
 
     noted: list[TaskAttempt]
     stop: list[TaskAttempt]
--- a/src/damaskdeck/protocol/members.py
+++ b/src/damaskdeck/protocol/members.py
@@ -1,4 +1,4 @@
-"""Who is in the deployment and who decides what, as the other parts see it."""
+"""Interfaces to membership and ownership."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from datetime import timedelta
@@ -6,10 +6,10 @@
 
 
 class Member(NamedTuple):
-    """A daemon that takes part.
+    """A daemon of the deployment.
 
-    :param peer_address: IP and port of its streams for peers.
-    :param api_address: IP and port of its HTTP API.
+    :param peer_address: IP address and port for peers.
+    :param api_address: IP address and port of its HTTP API.
     :param incarnation: new with each start of the daemon.
     """
 
@@ -24,7 +24,7 @@
 class Report(NamedTuple):
     """A short report that a member attached to its heartbeat.
 
-    :param received: the local monotonic time when it came.
+    :param received: local monotonic time of its arrival.
     """
 
     instance: str
@@ -40,22 +40,22 @@
         """This daemon."""
 
     def list_live(self, zone: str = "") -> tuple[Member, ...]:
-        """List live members in order of name, this daemon among them."""
+        """List live members, including this daemon, in order of name."""
 
     def is_live(self, name: str) -> bool:
-        """Tell whether heartbeats of ``name`` still come."""
+        """Whether ``name`` still sends heartbeats."""
 
     def publish(self, topic: str, value: bytes) -> None:
-        """Attach a report to this daemon's next heartbeats, at most 4 KiB."""
+        """Attach a report of at most 4 KiB to the next heartbeats of this daemon."""
 
     def read_reports(self, topic: str) -> Mapping[str, Report]:
         """Return the latest report of each live member, by name."""
 
 
 class Owner(NamedTuple):
-    """Who decides about a thing.
+    """The owner of a shard.
 
-    :param epoch: rises with each change of owner (a fencing token).
+    :param epoch: rises with each change of owner; serves as a fencing token.
     """
 
     instance: str
@@ -66,36 +66,35 @@
 
 
 class Ownership(Protocol):
-    """Who decides about what; a thing is named ``scope/name``.
+    """Assignment of shards to owners; a shard is named ``scope/name``.
 
-    Scopes are ``ledger`` for the whole deployment (``ledger/03``) and
-    ``target`` and ``worker`` inside an availability zone
-    (``worker/rack-1-w7``).
+    The scope ``ledger`` covers the whole deployment (``ledger/03``). The scopes
+    ``target`` and ``worker`` belong to an availability zone (``worker/rack-1-w7``).
     """
 
     def get_epoch(self, shard: str) -> int | None:
-        """Return the epoch when this daemon may decide about ``shard`` now.
+        """Return the epoch if this daemon owns ``shard`` now, else ``None``.
 
-        Checks the lease by the monotonic clock at each call.
+        Each call checks the lease by the monotonic clock.
         """
 
     def find_owner(self, shard: str) -> Owner | None:
-        """Return the last known owner of ``shard``, in whatever zone."""
+        """Return the last known owner of ``shard``, in any zone."""
 
     def list_owned(self, scope: str) -> tuple[str, ...]:
-        """List the things of ``scope`` that this daemon may decide about."""
+        """List the shards of ``scope`` that this daemon owns."""
 
     def set_shards(self, scope: str, names: tuple[str, ...]) -> None:
-        """Say which things of ``scope`` exist and need an owner."""
+        """Set the shards of ``scope`` that exist and need an owner."""
 
     def on_gain(self, scope: str, handler: OwnershipHandler) -> None:
-        """Call ``handler(shard, epoch)`` once a shard of ``scope`` was gained.
+        """Call ``handler(shard, epoch)`` when this daemon gains a shard of ``scope``.
 
-        Until it returns, :meth:`get_epoch` still says ``None``.
+        :meth:`get_epoch` returns ``None`` until the handler has returned.
         """
 
     def on_loss(self, scope: str, handler: OwnershipHandler) -> None:
-        """Call ``handler(shard, epoch)`` when a thing is lost or handed over.
+        """Call ``handler(shard, epoch)`` when a shard is lost or handed over.
 
-        At a handover it runs before the successor may decide.
+        In a handover it runs before the successor may decide.
         """
--- a/src/damaskdeck/protocol/messages.py
+++ b/src/damaskdeck/protocol/messages.py
@@ -1,8 +1,8 @@
 """Messages between daemons and the registry of their types.
 
-Every message is a ``TypedDict``: a peer ignores fields that it doesn't know
-and refuses a message that lacks one that must be there, so that two versions
-can run side by side and nothing is half applied.
+Every message is a ``TypedDict``. A peer ignores unknown fields and refuses a
+message without a required field, so that two versions can run side by side and
+no message is applied in part.
 """
 
 from collections.abc import Awaitable, Callable
@@ -22,16 +22,16 @@
 _decoders: dict[str, msgspec.msgpack.Decoder[Any]] = {}
 _encoder = msgspec.msgpack.Encoder()
 
-# What a handler that returns nothing replies.
+# The reply of a handler that returns nothing.
 NO_REPLY = msgspec.msgpack.encode(None)
 
 
 class Envelope(msgspec.Struct, array_like=True):
-    """A message on its way, one of a batch.
+    """A message in transit, one of a batch.
 
-    :param kind: name under which its type is registered.
-    :param number: rises with each call of a sender; 0 asks for no reply.
-    :param reply_to: the ``number`` that this message replies to, or 0.
+    :param kind: registered name of its type.
+    :param number: rises with each call of a sender; 0 when no reply is expected.
+    :param reply_to: the ``number`` of the message that this one answers, or 0.
     :param body: the encoded message.
     """
 
@@ -43,7 +43,7 @@
 
 @distinct
 class Answered(NamedTuple):
-    """A peer replied with ``message``."""
+    """The peer replied with ``message``."""
 
     message: Any
 
@@ -57,7 +57,7 @@
 
 @distinct
 class Unanswered(NamedTuple):
-    """The message left and no reply came; the peer may have acted on it."""
+    """The message was sent without a reply; the peer may have acted on it."""
 
     code: str
 
@@ -66,16 +66,16 @@
 
 
 class Peers(Protocol):
-    """Streams to the other daemons."""
+    """Connections to the other daemons."""
 
     def register(self, kind: type, handler: Handler) -> None:
-        """Let ``handler(instance, message)`` take all messages of ``kind``.
+        """Pass all messages of ``kind`` to ``handler(instance, message)``.
 
-        What it returns is the reply; ``None`` when there is none.
+        Its result is the reply; ``None`` when there is none.
         """
 
     def send(self, instance: str, message: Any, kind: type) -> Unsent | None:
-        """Put a message on the stream to ``instance`` without waiting."""
+        """Queue a message to ``instance`` without waiting."""
 
     async def call(
         self, instance: str, message: Any, kind: type, timeout: timedelta
@@ -83,22 +83,23 @@
         """Send a message and wait for its reply."""
 
     def is_refused(self, instance: str) -> bool:
-        """Whether nobody listened at a daemon's address when it was last called.
+        """Whether the last connection to a daemon's address was refused.
 
-        Its process is gone then, or the way to it refuses on its behalf.
+        Its process has ended then, or something on the way refuses for it.
         """
 
 
 def message(name: str, reply: str = "") -> Callable[[type[T]], type[T]]:
     """Register a ``TypedDict`` as a message.
 
-    :param name: its name on the wire; never reused for another meaning.
-    :param reply: the name of the message that answers it, if one does.
+    :param name: its name on the wire; must never be reused for another meaning.
+    :param reply: name of the message type that answers it, if one does.
+    :raises ValueError: when the name is taken.
     """
 
     def register(kind: type[T]) -> type[T]:
         if name in _types:
-            raise ValueError(f"message {name!r} is registered twice")
+            raise ValueError(f"message {name!r} is already registered")
         if reply:
             _replies[name] = reply
         _types[name] = kind
@@ -114,19 +115,19 @@
 
 
 def get_message_type(name: str) -> type | None:
-    """Return the type registered under ``name``; newer peers may send others."""
+    """Return the type registered as ``name``; newer peers may send unknown names."""
     return _types.get(name)
 
 
 def encode_message(value: Any) -> bytes:
-    """Encode a message's body."""
+    """Encode the body of a message."""
     return _encoder.encode(value)
 
 
 def decode_message(name: str, body: bytes) -> Any:
-    """Decode a message's body.
+    """Decode the body of a message.
 
-    :raises MessageError: when it doesn't have the registered type.
+    :raises MessageError: when it does not have the registered type.
     """
     decoder = _decoders.get(name)
     if decoder is None:
@@ -138,14 +139,14 @@
 
 
 def has_reply(name: str) -> bool:
-    """Tell whether a message of another type answers messages of ``name``."""
+    """Whether messages of type ``name`` are answered by a message with a type."""
     return name in _replies
 
 
 def decode_reply(name: str, body: bytes) -> Any:
-    """Decode the reply to a message of ``name``; plain data if it has no type.
+    """Decode the reply to a message of type ``name``; plain data if it has no type.
 
-    :raises MessageError: when it doesn't have the type that answers ``name``.
+    :raises MessageError: when it does not have the type that answers ``name``.
     """
     reply = _replies.get(name)
     if reply is not None:
--- a/src/damaskdeck/protocol/observations.py
+++ b/src/damaskdeck/protocol/observations.py
@@ -1,4 +1,4 @@
-"""Messages by which daemons tell each other what they observe."""
+"""Messages by which daemons exchange observed resources."""
 
 from typing import Any, NotRequired, TypedDict
 
@@ -7,13 +7,13 @@
 
 @message("list_observed", reply="observed")
 class ListObservedResources(TypedDict):
-    """Asks for the resources of ``kind`` that the receiver decides about."""
+    """List the resources of ``kind`` that the receiver owns."""
 
     kind: str
 
 
 class ObservedMetadata(TypedDict):
-    """Who an observed resource is."""
+    """Metadata of an observed resource."""
 
     name: str
     revision: NotRequired[int]
@@ -21,7 +21,7 @@
 
 
 class ObservedItem(TypedDict):
-    """A resource as the API shows it."""
+    """A resource as in the API."""
 
     kind: str
     metadata: ObservedMetadata
@@ -31,6 +31,6 @@
 
 @message("observed")
 class ListObservedReply(TypedDict):
-    """The resources asked for, as the API shows them."""
+    """The requested resources."""
 
     items: list[ObservedItem]
--- a/src/damaskdeck/protocol/outcomes.py
+++ b/src/damaskdeck/protocol/outcomes.py
@@ -1,4 +1,4 @@
-"""The four outcomes of a request or job; there is never a fifth."""
+"""The four possible outcomes of a request or job."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 @distinct
 class Completed(NamedTuple):
-    """It ran and ended well.
+    """It ran and succeeded.
 
     Promise: "Every caller gets the whole answer to its own request".
 
@@ -22,10 +22,10 @@
 
 @distinct
 class Failed(NamedTuple):
-    """It ran and ended badly.
+    """It ran and failed.
 
     :param code: stable code, as in ``exit_nonzero`` or ``cancelled``.
-    :param detail: plain words for people.
+    :param detail: text for people.
     """
 
     code: str
@@ -34,13 +34,13 @@
 
 @distinct
 class Refused(NamedTuple):
-    """It did not run, nor will it.
+    """It did not run and never will.
 
     Promise: "When the system says a request was not run, it truly did not run."
 
     :param code: stable code, as in ``queue_full``.
-    :param detail: plain words for people.
-    :param retry_after: when to come back; ``None`` when coming back won't help.
+    :param detail: text for people.
+    :param retry_after: when to retry; ``None`` when a retry won't help.
     """
 
     code: str
@@ -50,10 +50,10 @@
 
 @distinct
 class Unknown(NamedTuple):
-    """It may have run; its end can't be learned.
+    """It may have run; its result can't be determined.
 
     :param code: stable code, as in ``answer_lost``.
-    :param detail: plain words for people.
+    :param detail: text for people.
     """
 
     code: str
--- a/src/damaskdeck/protocol/poolmessages.py
+++ b/src/damaskdeck/protocol/poolmessages.py
@@ -1,4 +1,4 @@
-"""Messages between a daemon that takes callers' requests and the pools' owner."""
+"""Messages between daemons that accept callers' jobs and the pools' owner."""
 
 from typing import Literal, NotRequired, TypedDict
 
@@ -8,17 +8,17 @@
 
 @message("pool.submitted")
 class AnnounceJob(TypedDict):
-    """A job has been stored; ``record`` is as stored."""
+    """A job has been stored; ``record`` is its stored record."""
 
     record: bytes
 
 
 @message("pool.state")
 class JobStateReply(TypedDict):
-    """What the owner knows of a job; an empty state is not to be believed.
+    """What the owner knows of a job; an empty state means that it is not known.
 
-    :ivar epoch: of the owner, 0 from a daemon that owns nothing.
-    :ivar is_hidden: the job is another account's.
+    :ivar epoch: epoch of the owner, 0 from a daemon that is not the owner.
+    :ivar is_hidden: whether the job belongs to another account.
     """
 
     epoch: Count
@@ -27,7 +27,7 @@
 
 
 class _JobRequest(TypedDict):
-    """A job, and for whom it is asked: account and queue of the caller."""
+    """A job with the account and the queue of the caller."""
 
     job: str
     account: NotRequired[str]
@@ -36,17 +36,20 @@
 
 @message("pool.ask_state", reply="pool.state")
 class ReadJobState(_JobRequest):
-    """Ask for the state of a job."""
+    """Return the state of a job."""
 
 
 @message("pool.cancel", reply="pool.state")
 class CancelPoolJob(_JobRequest):
-    """Cancel a job; the reply comes once that is durable."""
+    """Cancel a job; the reply is sent once that is durable."""
 
 
 @message("pool.waiting")
 class CountWaitingJobsReply(TypedDict):
-    """How many jobs of a queue have started nothing; ``epoch`` as above."""
+    """The number of jobs of a queue that have started nothing.
+
+    :ivar epoch: epoch of the owner, 0 from a daemon that is not the owner.
+    """
 
     epoch: Count
     count: Count
@@ -54,7 +57,7 @@
 
 @message("pool.ask_waiting", reply="pool.waiting")
 class CountWaitingJobs(TypedDict):
-    """Ask how many jobs of a queue have started nothing."""
+    """Count the jobs of a queue that have started nothing."""
 
     queue: str
 
@@ -84,7 +87,7 @@
 
 @message("pool.taken")
 class StoreJobReply(TypedDict):
-    """What became of a job that was passed on.
+    """Result of a delegated submission.
 
     :ivar outcome: ``taken``, ``not_taken`` or ``unsettled``.
     :ivar code: why, unless it was taken.
@@ -96,11 +99,11 @@
 
 @message("pool.take", reply="pool.taken")
 class StoreJob(TypedDict):
-    """Store a job for a daemon that the store doesn't answer.
+    """Store a job for a daemon that can't use the store itself.
 
-    :ivar record: the record; its epoch and time are the receiver's to fill in.
-    :ivar digest: of the key that the caller showed, for the receiver to judge by
-        its own document.
+    :ivar record: the record; the receiver fills in its epoch and time.
+    :ivar digest: digest of the caller's key, which the receiver checks against its
+        own document.
     """
 
     record: bytes
@@ -109,10 +112,10 @@
 
 @message("pool.told")
 class DelegateJobOperationReply(TypedDict):
-    """What a daemon tells of a job on behalf of another.
+    """Result of a delegated operation on a job.
 
     :ivar answer: ``state``, ``no_job`` or ``untold``.
-    :ivar state: of the job, or why nothing can be told.
+    :ivar state: state of the job, or why it is unavailable.
     """
 
     answer: Literal["state", "no_job", "untold"]
@@ -121,16 +124,19 @@
 
 @message("pool.ask_for", reply="pool.told")
 class DelegateJobOperation(_JobRequest):
-    """Tell the state of a job, or cancel it, for a daemon without the store."""
+    """Return or cancel a job for a daemon that can't use the store itself.
+
+    :ivar wish: the operation.
+    """
 
     wish: Literal["state", "cancel"]
 
 
 @message("pool.heard")
 class CheckOwnerReply(TypedDict):
-    """Whether a daemon hears the owner of an epoch.
+    """Whether the owner of an epoch is alive for the sender.
 
-    :ivar hears: it answered lately, or another owner has been seen since.
+    :ivar hears: whether it answered recently, or a later owner was seen.
     """
 
     hears: bool
@@ -138,14 +144,14 @@
 
 @message("pool.ask_heard", reply="pool.heard")
 class CheckOwner(TypedDict):
-    """Ask whether the owner of an epoch is heard."""
+    """Check whether the owner of an epoch is alive."""
 
     epoch: Count
 
 
 @message("pool.beat")
 class HeartbeatReply(TypedDict):
-    """The epoch that a daemon owns the pools under, 0 if it doesn't."""
+    """The epoch under which a daemon owns the pools, 0 if it is not the owner."""
 
     epoch: Count
     is_cut_off: bool
@@ -153,16 +159,16 @@
 
 @message("pool.ask_beat", reply="pool.beat")
 class RequestHeartbeat(TypedDict):
-    """Ask the owner for a sign of life."""
+    """Request a heartbeat of the owner."""
 
     epoch: Count
 
 
 @message("pool.room")
 class ReportCapacity(TypedDict):
-    """Free room of the workers that get orders, as the owner knows it.
+    """Free capacity of the workers that get orders, as the owner knows it.
 
-    :ivar epoch: of the owner.
+    :ivar epoch: epoch of the owner.
     :ivar zones: pool, availability zone, millicores and MiB of each.
     """
 
@@ -172,9 +178,9 @@
 
 @message("pool.stand")
 class RequestTakeover(TypedDict):
-    """Nobody hears the owner of that epoch; the receiver should succeed it.
+    """No daemon reaches the owner of that epoch; the receiver should succeed it.
 
-    :ivar absent: daemons that did not answer when they were asked.
+    :ivar absent: daemons that did not answer either.
     """
 
     epoch: Count
@@ -183,11 +189,12 @@
 
 @message("pool.relayed")
 class DelegateCommitReply(TypedDict):
-    """What became of a commit that was passed on.
+    """Result of a delegated commit.
 
-    :ivar code: why, where it was rejected or its answer was lost.
-    :ivar revision: where it was written.
-    :ivar entries: where it was refused: key, value, revision and lease of each.
+    :ivar code: why it was rejected, or its reply was lost.
+    :ivar revision: the revision, if it was written.
+    :ivar entries: key, value, revision and lease of each entry, if an expected
+        revision was wrong.
     """
 
     outcome: Literal["written", "mismatch", "lapsed", "rejected", "lost"]
@@ -198,9 +205,10 @@
 
 @message("pool.relay", reply="pool.relayed")
 class DelegateCommit(TypedDict):
-    """Make a commit for an owner that the store turns away.
+    """Commit a transaction for an owner that the store rejects.
 
-    :ivar transaction: a :class:`~damaskdeck.protocol.transactions.Transaction`.
+    :ivar transaction: an encoded
+        :class:`~damaskdeck.protocol.transactions.Transaction`.
     """
 
     transaction: bytes
--- a/src/damaskdeck/protocol/pools.py
+++ b/src/damaskdeck/protocol/pools.py
@@ -1,7 +1,7 @@
 """The ports to pools of workers that run queues' tasks, and to the advisor.
 
-A worker holds one lease for everything that it runs; it refuses an epoch lower
-than the highest it has seen. Its identifier names one life of a machine.
+A worker has one lease for everything that it runs, and refuses an epoch below
+the highest that it has seen. Its identifier names one incarnation of a machine.
 """
 
 from datetime import timedelta
@@ -18,10 +18,10 @@
 class PoolWorker(NamedTuple):
     """A worker as it registered itself; the registry lags.
 
-    :param identifier: of this life of the machine; a new life has a new one.
-    :param address: IP and port.
-    :param labels: what it is, its rack among them.
-    :param remaining: least time left for a worker that is leaving.
+    :param identifier: identifier of this incarnation of the machine.
+    :param address: IP address and port.
+    :param labels: labels that steps may require.
+    :param remaining: minimum time left for a worker that is leaving.
     """
 
     identifier: str
@@ -38,8 +38,8 @@
 class TaskStart(NamedTuple):
     """An order to start a task.
 
-    :param attempt: rises with each start of the task; a gang shares one.
-    :param deadline: on the worker's clock; too late, the order is refused.
+    :param attempt: rises with each start of the task; all tasks of a gang share it.
+    :param deadline: time on the worker's clock after which it refuses the order.
     :param ticket: the advisor's consent, or an empty string.
     """
 
@@ -65,21 +65,21 @@
 class RunningTask(NamedTuple):
     """A task that a worker runs.
 
-    :param percent: of its work that is done.
-    :param measure: rough figure of the last half second; its meaning differs.
+    :param percent: completed part of its work.
+    :param activity: rough figure for the last half second; its meaning varies.
     """
 
     task: TaskName
     attempt: int
     checkpoint: str
     percent: int
-    measure: int = 0
+    activity: int = 0
 
 
 class EndedTask(NamedTuple):
-    """A run that ended; listed until it is observed.
+    """A run that ended; listed until its end is observed.
 
-    :param number: rises with each end in one life of a worker.
+    :param number: rises with each end in one incarnation of a worker.
     """
 
     number: int
@@ -91,14 +91,20 @@
 
 @distinct
 class Done(NamedTuple):
-    """The worker did what it was told; ``clock`` is its own steady clock."""
+    """The worker did what was requested.
+
+    :param clock: the worker's own monotonic clock.
+    """
 
     clock: timedelta
 
 
 @distinct
 class WorkerTasks(NamedTuple):
-    """All that a worker runs, and the ends that were not observed."""
+    """All tasks that a worker runs, and the ends that were not observed yet.
+
+    :param clock: the worker's own monotonic clock.
+    """
 
     clock: timedelta
     running: tuple[RunningTask, ...]
@@ -106,7 +112,7 @@
 
 
 class RefusalCode(StrEnum):
-    """Why a worker did nothing."""
+    """Why a worker refused a call."""
 
     STALE_EPOCH = "stale_epoch"
     STALE_ATTEMPT = "stale_attempt"
@@ -119,7 +125,10 @@
 
 @distinct
 class Declined(NamedTuple):
-    """The worker did nothing; :class:`RefusalCode` says why."""
+    """The worker did nothing; :class:`RefusalCode` says why.
+
+    :param clock: the worker's own monotonic clock, if it is known.
+    """
 
     code: RefusalCode
     clock: timedelta | None = None
@@ -127,27 +136,27 @@
 
 @distinct
 class Replaced(NamedTuple):
-    """The life that was asked for is over: it runs nothing any more."""
+    """The addressed incarnation has ended: none of its tasks run any more."""
 
 
 StartResult = Done | Declined | Replaced | Rejected | Lost
 
 
 class PoolWorkers(Protocol):
-    """Orders to workers; each names the life that it means and an epoch."""
+    """Calls to workers; each names the worker's incarnation and an epoch."""
 
     async def start(
         self, worker: PoolWorker, epoch: int, order: TaskStart
     ) -> StartResult:
         """Start a task; repeating an order changes nothing.
 
-        A ``Lost`` order may be carried out until its deadline has passed.
+        A ``Lost`` order may be carried out until its deadline.
         """
 
     async def stop(
         self, worker: PoolWorker, epoch: int, task: TaskName, attempt: int
     ) -> StartResult:
-        """Stop a run; one that is not there yet never starts there."""
+        """Stop a run; a run that has not arrived yet will never start there."""
 
     async def poll(
         self,
@@ -157,15 +166,16 @@
         deadline: timedelta | None,
         wait: timedelta,
     ) -> WorkerTasks | Declined | Replaced | Rejected | Lost:
-        """Extend the lease to ``deadline`` on the worker's clock; list its tasks.
+        """Renew the lease until ``deadline`` on the worker's clock and list its tasks.
 
-        :param observed: ends up to this number are forgotten.
+        :param observed: ends up to this number are removed.
+        :param deadline: ``None`` leaves the lease unchanged.
         :param wait: how long to wait for an end.
         """
 
 
 class Consent(NamedTuple):
-    """A worker that may run a step, with the proof that it asks for."""
+    """A worker that may run a step, with the ticket that it requires."""
 
     worker: str
     ticket: str
@@ -173,25 +183,25 @@
 
 @distinct
 class Advice(NamedTuple):
-    """The workers that may run a step, of those that were named."""
+    """Those of the requested workers that may run a step."""
 
     consents: tuple[Consent, ...]
 
 
 class Advisor(Protocol):
-    """Knows which workers may run a step; handles one call of ours at a time."""
+    """Says which workers may run a step; handles one of our calls at a time."""
 
     async def ask(
         self, step: str, workers: tuple[str, ...], timeout: timedelta
     ) -> Advice | Rejected | Lost:
-        """Ask for up to 100 workers; the verdict on one doesn't change."""
+        """Ask about up to 100 workers; the answer for a worker doesn't change."""
 
 
 @distinct
 class RegisteredWorkers(NamedTuple):
-    """All workers as registered, and the revision to follow from.
+    """All registered workers, and the revision to follow from.
 
-    :param revisions: of each worker's registration, in the same order.
+    :param revisions: revision of each worker's registration, in the same order.
     """
 
     workers: tuple[PoolWorker, ...]
@@ -200,9 +210,9 @@
 
 
 class RegistryChange(NamedTuple):
-    """A worker registered, changed, or left (``worker`` is ``None``).
+    """A worker was registered, changed, or removed (``worker`` is ``None``).
 
-    :param revision: of the registration.
+    :param revision: revision of the registration.
     """
 
     identifier: str
@@ -212,14 +222,14 @@
 
 @distinct
 class RegistryChanges(NamedTuple):
-    """What changed in the registry up to ``revision``."""
+    """The changes of the registry up to ``revision``."""
 
     changes: tuple[RegistryChange, ...]
     revision: int
 
 
 class WorkerRegistry(Protocol):
-    """Where workers register themselves; it lags, and forgets silent ones."""
+    """Where workers register themselves; it lags, and removes silent workers."""
 
     async def list_workers(self) -> RegisteredWorkers | Rejected | Lost:
         """Read all workers."""
@@ -232,10 +242,11 @@
 
 @distinct
 class DeclaredQueues(NamedTuple):
-    """The declared queues as of the store's ``revision``; ``None`` before any.
+    """The declared queues as of the store's ``revision``.
 
-    :param document: revision of the document itself, 0 where it isn't told.
-    :param size: of the document in bytes.
+    :param table: ``None`` before any document was declared.
+    :param document: revision of the document itself, 0 where it is not known.
+    :param size: size of the document in bytes.
     """
 
     table: QueueTable | None
@@ -247,15 +258,15 @@
 class QueueSource(Protocol):
     """Where operators declare the queues.
 
-    :ivar key: of the document in the store, which commits may expect.
+    :ivar key: key of the document in the store, which commits may expect.
     """
 
     key: str
 
     async def read_queues(self, known: int = 0) -> DeclaredQueues | Rejected | Lost:
-        """Read the newest document; the answer is linearizable.
+        """Read the newest document; the read is linearizable.
 
-        :param known: revision of a document whose table isn't asked for again.
+        :param known: revision of a document whose table need not be returned again.
         """
 
     async def follow_queues(
@@ -263,9 +274,9 @@
     ) -> DeclaredQueues | RevisionTooOld | ReplyTooLarge | Rejected | Lost:
         """Return the newest document after ``revision``, waiting for one.
 
-        The table is ``None`` when nothing has changed; a wide document is left to
-        be read.
+        The table is ``None`` when nothing has changed. A large document is not
+        returned; it must be read.
         """
 
     def decode(self, entry: Entry) -> DeclaredQueues:
-        """Return what the document's entry says, as a refused commit shows it."""
+        """Return the queues in the document's entry, as in a refused commit."""
--- a/src/damaskdeck/protocol/ports.py
+++ b/src/damaskdeck/protocol/ports.py
@@ -1,8 +1,8 @@
 """The ports to the platform: store, instance list, workers and targets.
 
 Each port has one adapter in :mod:`damaskdeck.transport` and one stand-in in
-:mod:`standins`. Only the adapter knows the wire. Calls never raise for what
-the platform does; they return one of the values below.
+:mod:`standins`. Only the adapter knows the wire format. Calls never raise for
+errors of the platform; they return one of the values below.
 """
 
 from datetime import timedelta
@@ -15,9 +15,10 @@
 
 @distinct
 class Rejected(NamedTuple):
-    """The call is proved to have had no effect.
+    """The call is known to have had no effect.
 
     :param code: stable code, as in ``store_full`` or ``unreachable``.
+    :param detail: text for people.
     """
 
     code: str
@@ -26,9 +27,10 @@
 
 @distinct
 class Lost(NamedTuple):
-    """The answer was lost; the call may have taken effect.
+    """The reply was lost; the call may have taken effect.
 
     :param code: stable code, as in ``timeout``.
+    :param detail: text for people.
     """
 
     code: str
@@ -53,7 +55,7 @@
 
 @distinct
 class Found(NamedTuple):
-    """A read key."""
+    """The key exists."""
 
     entry: Entry
 
@@ -97,7 +99,7 @@
 
 @distinct
 class Lapsed(NamedTuple):
-    """There is no such lease any more; its keys are gone."""
+    """The lease does not exist any more; its keys are gone."""
 
     lease: str
 
@@ -112,9 +114,9 @@
 
 @distinct
 class Events(NamedTuple):
-    """Changes after the asked revision, in order; may be empty.
+    """Changes after the requested revision, in order; may be empty.
 
-    :param revision: the revision to ask from next time.
+    :param revision: the revision for the next request.
     """
 
     events: tuple[Event, ...]
@@ -123,7 +125,7 @@
 
 @distinct
 class RevisionTooOld(NamedTuple):
-    """The asked revision is no longer kept; list again."""
+    """The requested revision is no longer kept; list again."""
 
     oldest: int
 
@@ -131,8 +133,8 @@
 class Store(Protocol):
     """The platform's key-value service with compare-and-swap.
 
-    Revisions are one rising number for the whole store. Keys bound to a lease
-    vanish when it lapses.
+    The store has one revision number that rises with each write. Keys bound to a
+    lease are deleted when it expires.
     """
 
     async def get(self, key: str) -> Found | Missing | Rejected | Lost:
@@ -146,8 +148,8 @@
     ) -> Written | Conflict | Rejected | Lost:
         """Write ``key`` by compare-and-swap.
 
-        :param expected: the entry's revision, 0 when it must not exist, or
-            ``None`` to write without comparing.
+        :param expected: the entry's revision, 0 when it must not exist, or ``None`` to
+            write without comparing.
         """
 
     async def delete(
@@ -156,10 +158,10 @@
         """Delete ``key`` by compare-and-swap; ``expected`` as for :meth:`put`."""
 
     async def grant_lease(self, ttl: timedelta) -> Granted | Rejected | Lost:
-        """Open a lease."""
+        """Create a lease."""
 
     async def renew_lease(self, lease: str) -> Granted | Lapsed | Rejected | Lost:
-        """Renew a lease for its whole time."""
+        """Renew a lease for its full time."""
 
     async def revoke_lease(self, lease: str) -> Written | Lapsed | Rejected | Lost:
         """End a lease at once and delete its keys."""
@@ -174,7 +176,7 @@
 
 
 class InstanceRole(StrEnum):
-    """What an instance of the platform is for."""
+    """The purpose of an instance of the platform."""
 
     ENTRY = "entry"
     TARGET = "target"
@@ -182,7 +184,7 @@
 
 
 class InstanceState(StrEnum):
-    """Whether an instance stays."""
+    """Whether an instance is live or leaving."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -191,11 +193,11 @@
 class Instance(NamedTuple):
     """An instance as the platform lists it; the list lags.
 
-    :param address: IP and port, as in ``127.0.0.1:4000``.
+    :param address: IP address and port, as in ``127.0.0.1:4000``.
     :param service: for a target, the service that it serves.
-    :param slots: for a target, how many requests it bears at a time.
-    :param connections: for a target, how many connections it bears.
-    :param size: for a worker, what it holds.
+    :param slots: for a target, its maximum number of concurrent requests.
+    :param connections: for a target, its maximum number of connections.
+    :param size: for a worker, its capacity.
     """
 
     name: str
@@ -244,7 +246,8 @@
 
     :param task: the task's identifier, the same for each attempt.
     :param attempt: rises with each start of the task.
-    :param lease: the worker stops the task when it isn't renewed for so long.
+    :param lease: the worker stops the task when the lease isn't renewed for this
+        time.
     :param checkpoint: reference to resume from, or an empty string.
     """
 
@@ -257,7 +260,7 @@
 
 
 class TaskReport(NamedTuple):
-    """What a worker says of one task.
+    """A worker's report of one task.
 
     :param result: the task's result once it has ended.
     :param checkpoint: reference of its last checkpoint, or an empty string.
@@ -273,7 +276,7 @@
 
 
 class Usage(NamedTuple):
-    """Observed use of a task on a worker, ``lag`` old."""
+    """Observed usage of a task on a worker, ``lag`` ago."""
 
     task: str
     size: Size
@@ -282,16 +285,16 @@
 
 @distinct
 class Accepted(NamedTuple):
-    """The worker did what it was told; ``report`` is the task after it."""
+    """The worker did what was requested; ``report`` is the task afterwards."""
 
     report: TaskReport
 
 
 @distinct
 class Inventory(NamedTuple):
-    """All tasks that a worker knows, ended ones until acknowledged.
+    """All tasks that a worker knows; ended ones are listed until acknowledged.
 
-    :param sequence: rises with each change; ask for changes after it.
+    :param sequence: rises with each change; :meth:`WorkerPort.follow` takes it.
     """
 
     tasks: tuple[TaskReport, ...]
@@ -302,8 +305,8 @@
 class WorkerPort(Protocol):
     """Workers run tasks under leases.
 
-    Every call names the caller's epoch; a worker that checks epochs answers
-    ``Rejected("stale_epoch")`` to one older than the highest it has seen.
+    Every call names the caller's epoch. A worker that checks epochs answers
+    ``Rejected("stale_epoch")`` to an epoch below the highest that it has seen.
     """
 
     async def start(
@@ -319,22 +322,22 @@
     async def checkpoint(
         self, worker: Instance, epoch: int, task: str
     ) -> Accepted | Rejected | Lost:
-        """Save a task's progress and stop it."""
+        """Save the progress of a task and stop it."""
 
     async def throttle(
         self, worker: Instance, epoch: int, task: str, millicores: int
     ) -> Accepted | Rejected | Lost:
-        """Bound a task's processors."""
+        """Limit the processors of a task."""
 
     async def renew(
         self, worker: Instance, epoch: int, tasks: tuple[str, ...], lease: timedelta
     ) -> Inventory | Rejected | Lost:
-        """Renew the leases of all ``tasks`` at once; answer with the inventory."""
+        """Renew the leases of all ``tasks`` at once; return the inventory."""
 
     async def read_inventory(
         self, worker: Instance, epoch: int
     ) -> Inventory | Rejected | Lost:
-        """List all tasks and, by the epoch, fence off earlier owners."""
+        """List all tasks and, by the epoch, fence earlier owners."""
 
     async def follow(
         self, worker: Instance, epoch: int, after: int, wait: timedelta
@@ -344,7 +347,7 @@
     async def acknowledge(
         self, worker: Instance, epoch: int, tasks: tuple[str, ...]
     ) -> Inventory | Rejected | Lost:
-        """Let the worker forget ended tasks."""
+        """Let the worker remove ended tasks."""
 
 
 # Targets -----------------------------------------------------------------------
@@ -354,7 +357,7 @@
     """A request as sent to a target.
 
     :param request: identifier of the caller's request.
-    :param attempt: which attempt of it; an answer must name both.
+    :param attempt: number of the attempt; an answer must name both.
     """
 
     request: str
@@ -365,7 +368,7 @@
 
 @distinct
 class TargetAnswer(NamedTuple):
-    """A target's whole answer.
+    """The complete answer of a target.
 
     :param status: HTTP status; from 500 on, the request ran and failed.
     """
@@ -383,13 +386,13 @@
     async def send(
         self, target: Instance, call: TargetCall, timeout: timedelta
     ) -> TargetAnswer | Rejected | Lost:
-        """Send a request and wait for the whole answer.
+        """Send a request and wait for the complete answer.
 
-        ``Rejected`` proves that the request did not run: nothing was sent, or
-        the target refused it (``target_full``, ``target_leaving``).
+        ``Rejected`` means that the request is known not to have run: nothing was sent,
+        or the target refused it (``target_full``, ``target_leaving``).
         """
 
     async def probe(
         self, target: Instance, timeout: timedelta
     ) -> Written | Rejected | Lost:
-        """Ask whether the target is alive, without taking a slot."""
+        """Check whether the target is alive, without using a slot."""
--- a/src/damaskdeck/protocol/queues.py
+++ b/src/damaskdeck/protocol/queues.py
@@ -9,10 +9,10 @@
 
 
 class AdvisorTiming(NamedTuple):
-    """What a call to the advisor costs on a queue that needs its consent.
+    """Durations of calls to the advisor, for a queue that needs its consent.
 
-    :param base: time of a call that names no worker.
-    :param per_worker: more for each worker named.
+    :param base: duration of a call without workers.
+    :param per_worker: additional time for each worker in the call.
     :param ticket_validity: how long a ticket is accepted.
     """
 
@@ -24,15 +24,15 @@
 class Queue(NamedTuple):
     """A queue of jobs with its policy.
 
-    :param host: of the requests that it takes, without a port.
-    :param prefix: of their paths, with its last slash.
-    :param pool: whose workers run its tasks.
+    :param host: host of its requests, without a port.
+    :param prefix: prefix of their paths, with its last slash.
+    :param pool: the pool whose workers run its tasks.
     :param rank: 0 comes first and may displace others.
-    :param attempts: a task that has failed so often fails its job.
-    :param slack: the objective is this times the longest chain of work.
+    :param attempts: number of failed attempts of a task after which its job fails.
+    :param slack: the objective is this factor times the longest chain of work.
     :param allowance: added to the objective.
     :param advice: ``None`` where every worker of the pool may run every step.
-    :param is_public: callers need no key.
+    :param is_public: whether callers need no key.
     """
 
     name: str
@@ -48,14 +48,14 @@
 
 
 class QueueTable:
-    """The declared queues, one document under one version.
+    """The declared queues of one version of the document.
 
-    Calls and steps find their queue in steps that don't grow with the queues.
+    The cost of a lookup doesn't depend on the number of queues.
 
-    :ivar queues: all of them, as declared.
-    :ivar pools: names of the pools of workers that exist.
-    :ivar body_limit: bytes of a request's body.
-    :ivar accounts: whose keys open the queues that aren't public.
+    :ivar queues: all queues, as declared.
+    :ivar pools: names of the declared pools of workers.
+    :ivar body_limit: maximum size of a request's body in bytes.
+    :ivar accounts: the accounts whose keys give access to queues that aren't public.
     """
 
     def __init__(
@@ -71,35 +71,38 @@
         self.pools = pools
         self.body_limit = body_limit
         self.accounts = accounts
-        # Of queues declared twice the first counts.
-        self._names = {queue.name: queue for queue in reversed(queues)}
-        self._places = {(queue.host, queue.prefix): queue for queue in reversed(queues)}
+        # Of queues with the same name or prefix the first is used.
+        self._queues_by_name = {queue.name: queue for queue in reversed(queues)}
+        self._queues_by_prefix = {
+            (queue.host, queue.prefix): queue for queue in reversed(queues)
+        }
         lengths = {len(queue.prefix) for queue in queues}
-        self._lengths = sorted(lengths, reverse=True)
+        self._prefix_lengths = sorted(lengths, reverse=True)
 
     def find(self, host: str, path: str) -> Queue | None:
-        """Return the queue whose prefix is the longest that ``path`` starts with."""
-        starts = (path[:length] for length in self._lengths)
-        found = (self._places.get((host, start)) for start in starts)
+        """Return the queue with the longest prefix of ``path``."""
+        prefixes = (path[:length] for length in self._prefix_lengths)
+        found = (self._queues_by_prefix.get((host, prefix)) for prefix in prefixes)
         return next((queue for queue in found if queue is not None), None)
 
     def get(self, name: str) -> Queue | None:
         """Return the queue of that name."""
-        return self._names.get(name)
+        return self._queues_by_name.get(name)
 
 
 class StepSpec(NamedTuple):
-    """One step of a job: tasks that are alike.
+    """One step of a job, with equal tasks.
 
-    :param after: numbers of the steps that must have completed first.
-    :param estimate: rough duration of a task as its submitter sees it.
+    :param after: numbers of the steps that must have completed before.
+    :param estimate: rough duration of a task, as estimated by the submitter.
     :param is_gang: all tasks run together under one attempt number.
-    :param label: a worker must carry it, or an empty string.
-    :param near: the rack where the data lies, or an empty string.
-    :param spread: at most so many tasks on one worker; 0 sets no limit.
+    :param label: label that a worker must have, or an empty string.
+    :param near: rack of the data, or an empty string.
+    :param spread: maximum number of tasks on one worker; 0 for no limit.
     :param is_long_running: tasks run until the job is cancelled.
-    :param image: tasks of one image behave alike.
-    :param max_missing: so many tasks of a lasting step may be away by our doing.
+    :param image: tasks of the same image behave alike.
+    :param max_missing: how many tasks of a long-running step the scheduler may have
+        stopped at a time.
     """
 
     tasks: int
@@ -119,12 +122,12 @@
 
 
 class JobSpec(NamedTuple):
-    """What a caller hands in.
+    """A job as submitted by a caller.
 
-    :param payload: given to each task as it is.
-    :param repeats: how many occurrences run; 0 for a job that runs once.
+    :param payload: passed to each task unchanged.
+    :param repeats: number of occurrences; 0 for a job that runs once.
     :param start_at: when the first occurrence is due, since 1970.
-    :param interval: between two occurrences.
+    :param interval: time between two occurrences.
     """
 
     payload: str
@@ -150,7 +153,7 @@
 
 
 class TaskName(NamedTuple):
-    """Names a task.
+    """Identifies a task.
 
     :param occurrence: 0 for a job that runs once.
     """
--- a/src/damaskdeck/protocol/resources.py
+++ b/src/damaskdeck/protocol/resources.py
@@ -5,14 +5,14 @@
 
 from msgspec import Meta
 
-from damaskdeck.protocol.quantities import LONGEST_SECONDS
+from damaskdeck.protocol.quantities import MAX_SECONDS
 from damaskdeck.protocol.sizes import Size
 
 Name = Annotated[
     str, Meta(pattern=r"^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$", max_length=63)
 ]
 Labels = dict[str, str]
-Seconds = Annotated[float, Meta(gt=0, le=LONGEST_SECONDS)]
+Seconds = Annotated[float, Meta(gt=0, le=MAX_SECONDS)]
 
 
 class Kind(StrEnum):
@@ -45,7 +45,7 @@
 
 
 class WorkloadType(StrEnum):
-    """What a workload is made of."""
+    """Types of workload."""
 
     SERVICE = "service"
     BATCH = "batch"
@@ -53,10 +53,10 @@
 
 
 class Metadata(TypedDict):
-    """Who a resource is.
+    """Metadata of a resource.
 
-    ``revision`` is the store's revision of its last write; operators give it
-    back in ``If-Match``.
+    ``revision`` is the store's revision of its last write; operators send it in
+    ``If-Match``.
     """
 
     name: Name
@@ -67,7 +67,7 @@
 class SizeSpec(TypedDict):
     """A size as operators write it.
 
-    ``processors`` in cores, ``memory`` in MiB, ``accelerators`` whole.
+    ``processors`` in cores, ``memory`` in MiB, ``accelerators`` as a whole number.
     """
 
     processors: NotRequired[Annotated[float, Meta(ge=0, le=1_000_000)]]
@@ -76,7 +76,7 @@
 
 
 class TeamSpec(TypedDict):
-    """A team with its quota; ``weight`` shares what is idle."""
+    """A team with its quota; ``weight`` is its share of idle capacity."""
 
     quota: SizeSpec
     weight: NotRequired[Annotated[float, Meta(gt=0, le=1000)]]
@@ -85,8 +85,8 @@
 class WorkloadSpec(TypedDict):
     """A workload as declared; sizes and run times may be wrong.
 
-    ``size`` is of one task; ``tasks`` counts the tasks of each job (batch and
-    gang) or the replicas kept running (service). ``run_time`` in seconds.
+    ``size`` is that of one task; ``tasks`` is the number of tasks of each job (batch
+    and gang) or of replicas (service). ``run_time`` is in seconds.
     """
 
     team: Name
@@ -102,9 +102,9 @@
 
 
 class PolicySpec(TypedDict):
-    """What holds for the whole deployment; the policy in force is ``default``.
+    """Policy of the whole deployment; the policy named ``default`` is in force.
 
-    ``weights`` of placement by score's name; ``drained`` instances get no new
+    ``weights`` of placement by the score's name; ``drained`` instances get no new
     work, as if the platform listed them as leaving.
     """
 
@@ -113,7 +113,7 @@
 
 
 class Resource(TypedDict):
-    """Any resource as it crosses the API."""
+    """Any resource in the API."""
 
     kind: Literal["team", "workload", "policy", "job", "task", "worker", "target"]
     metadata: Metadata
@@ -122,7 +122,7 @@
 
 
 def parse_size(spec: SizeSpec) -> Size:
-    """Turn an operator's size into exact units.
+    """Convert an operator's size to exact units.
 
     :param spec: missing dimensions are zero.
     """
@@ -134,7 +134,7 @@
 
 
 def format_size(size: Size) -> SizeSpec:
-    """Turn exact units into an operator's size."""
+    """Convert exact units to an operator's size."""
     return SizeSpec(
         processors=size.millicores / 1000,
         memory=size.memory,
--- a/src/damaskdeck/protocol/sizes.py
+++ b/src/damaskdeck/protocol/sizes.py
@@ -1,4 +1,4 @@
-"""Sizes of work and of instances, in whole units so that sums are exact."""
+"""Sizes of tasks and instances, in integer units so that sums are exact."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 class Size(NamedTuple):
     """An amount of each resource dimension.
 
-    :param millicores: processors, in thousandths.
+    :param millicores: processors, in thousandths of a core.
     :param memory: memory, in MiB.
     :param accelerators: whole accelerators.
     """
@@ -30,18 +30,21 @@
 
 
 def compute_max_size(a: Size, b: Size) -> Size:
-    """Return the larger of both in every dimension."""
+    """Return the larger value in every dimension."""
     return Size(max(a[0], b[0]), max(a[1], b[1]), max(a[2], b[2]))
 
 
-def fits(need: Size, room: Size) -> bool:
-    """Tell whether ``need`` is at most ``room`` in every dimension."""
-    return need[0] <= room[0] and need[1] <= room[1] and need[2] <= room[2]
+def fits(need: Size, capacity: Size) -> bool:
+    """Whether ``need`` is at most ``capacity`` in every dimension."""
+    return need[0] <= capacity[0] and need[1] <= capacity[1] and need[2] <= capacity[2]
 
 
-def find_exceeded_dimension(need: Size, room: Size) -> str | None:
-    """Return the name of the first dimension in which ``need`` exceeds ``room``."""
-    for name, wanted, free in zip(Size._fields, need, room, strict=True):
-        if wanted > free:
+def find_exceeded_dimension(need: Size, capacity: Size) -> str | None:
+    """Return the first dimension in which ``need`` exceeds ``capacity``.
+
+    :returns: its name, or ``None`` when ``need`` fits.
+    """
+    for name, needed, free in zip(Size._fields, need, capacity, strict=True):
+        if needed > free:
             return name
     return None
--- a/src/damaskdeck/protocol/summaries.py
+++ b/src/damaskdeck/protocol/summaries.py
@@ -1,4 +1,4 @@
-"""What an owner of workers reports of them, in bounded size."""
+"""Bounded reports of an owner of workers about its workers."""
 
 from typing import Annotated, TypedDict
 
@@ -13,12 +13,12 @@
 class ClassSummary(TypedDict):
     """Workers of one class: those with accelerators, or those without.
 
-    Sizes are lists as in :class:`damaskdeck.protocol.sizes.Size`.
+    Sizes are lists in the order of :class:`damaskdeck.protocol.sizes.Size`.
 
-    :param workers: how many are open.
-    :param free: free on all of them together.
-    :param slices: what is free on those with most free, in each dimension.
-    :param largest: the largest size of a worker, in each dimension.
+    :param workers: number of open workers.
+    :param free: total free capacity.
+    :param slices: free capacity of the workers with most of it, by dimension.
+    :param largest: the largest worker size in each dimension.
     """
 
     workers: int
@@ -32,8 +32,8 @@
     """A short report of an owner's workers.
 
     :param classes: without accelerators, then with.
-    :param preemptible: what each class of urgency, the most urgent first, could
-        clear by preemption.
+    :param preemptible: what each urgency class, the most urgent first, could free
+        by preemption.
     """
 
     zone: str
--- a/src/damaskdeck/protocol/transactions.py
+++ b/src/damaskdeck/protocol/transactions.py
@@ -1,6 +1,6 @@
-"""The port to a store with transactions over several keys and paged lists.
+"""The port to a store with multi-key transactions and paged lists.
 
-It answers with the values of :mod:`damaskdeck.protocol.ports`; what it adds are
+It returns the values of :mod:`damaskdeck.protocol.ports` and, in addition,
 :class:`Mismatch`, :class:`Page`, :class:`Unchanged` and :class:`ReplyTooLarge`.
 """
 
@@ -34,9 +34,10 @@
 
 
 class Transaction(NamedTuple):
-    """Changes that take effect together or not at all.
+    """Changes that take effect atomically.
 
-    :param expected: the revision of each key named, 0 when it must not exist.
+    :param expected: the revision of each named key, 0 when it must not exist.
+    :param removals: keys to delete.
     """
 
     expected: tuple[tuple[str, int], ...] = ()
@@ -46,7 +47,10 @@
 
 @distinct
 class Mismatch(NamedTuple):
-    """Nothing was changed; the expected keys that exist, as they are now."""
+    """An expected revision was wrong and nothing was changed.
+
+    :param entries: the expected keys that exist, as they are now.
+    """
 
     entries: tuple[Entry, ...]
 
@@ -57,16 +61,17 @@
 
 @distinct
 class Unchanged(NamedTuple):
-    """The key is as it was, as of the store's ``revision``."""
+    """The key is unchanged as of the store's ``revision``."""
 
     revision: int
 
 
 @distinct
 class ReplyTooLarge(NamedTuple):
-    """There is an answer of that many bytes, which was not read.
+    """A reply of ``size`` bytes was not read.
 
-    To a watch it says that there are changes, to a commit that nothing was changed.
+    For a watch it means that there are changes, for a commit that nothing was
+    changed.
     """
 
     size: int
@@ -74,10 +79,10 @@
 
 @distinct
 class Page(NamedTuple):
-    """A page of the keys below a prefix, in order; pages are no snapshot.
+    """A page of the keys below a prefix, in order; pages are not a snapshot.
 
-    :param has_more: ask again after the last key.
-    :param revision: of the store when the page was read.
+    :param has_more: whether there are more keys after the last one.
+    :param revision: revision of the store when the page was read.
     """
 
     entries: tuple[Entry, ...]
@@ -91,20 +96,20 @@
 class TransactionalStore(Protocol):
     """The platform's key-value service as the pools use it.
 
-    Revisions are one rising number for the whole store; a key that is bound to
-    a lease may vanish at any time.
+    The store has one revision number that rises with each write. A key that is
+    bound to a lease may be deleted at any time.
     """
 
     async def read(self, key: str) -> Found | Missing | Rejected | Lost:
-        """Read one key; the answer is linearizable."""
+        """Read one key; the read is linearizable."""
 
     async def read_changed(
         self, key: str, revision: int, within: timedelta | None = None
     ) -> Found | Missing | Unchanged | Rejected | Lost:
-        """Read one key unless ``revision`` still is its last; linearizable.
+        """Read one key unless ``revision`` is still its last; linearizable.
 
-        :param revision: of the key as it is known, 0 when it didn't exist.
-        :param within: given up when no answer has begun by then.
+        :param revision: the known revision of the key, 0 when it didn't exist.
+        :param within: abandon the read when no reply has begun within this time.
         """
 
     async def read_page(self, prefix: str, after: str) -> Page | Rejected | Lost:
@@ -118,8 +123,8 @@
     ) -> CommitResult | ReplyTooLarge:
         """Change up to :attr:`entry_limit` keys; ``Lost`` may still take effect.
 
-        :param timeout: how long to wait for the answer, if less than usual.
-        :param max_reply_bytes: bytes of an answer beyond which it isn't read.
+        :param timeout: how long to wait for the reply, if shorter than usual.
+        :param max_reply_bytes: a larger reply is not read.
         """
 
     async def watch(
@@ -131,18 +136,18 @@
     ) -> Events | RevisionTooOld | ReplyTooLarge | Rejected | Lost:
         """Return the changes after ``revision``, waiting up to ``wait`` for one.
 
-        :param max_reply_bytes: bytes of an answer beyond which it isn't read.
+        :param max_reply_bytes: a larger reply is not read.
         """
 
     async def grant_lease(self, ttl: timedelta) -> Granted | Rejected | Lost:
-        """Open a lease."""
+        """Create a lease."""
 
     async def renew_lease(self, lease: str) -> Granted | Lapsed | Rejected | Lost:
-        """Renew a lease for its whole time, counted from the call's arrival."""
+        """Renew a lease for its full time, counted from the arrival of the call."""
 
     @property
     def entry_limit(self) -> int:
-        """How many keys a transaction may name in all."""
+        """Maximum number of keys that a transaction may name."""
 
 
 async def read_all(
@@ -150,8 +155,8 @@
 ) -> tuple[tuple[Entry, ...], int] | Rejected | Lost:
     """Read all keys below ``prefix``.
 
-    :returns: the entries and the revision of the first page, from which a watch
-        misses nothing.
+    :returns: the entries and the revision of the first page; a watch from it misses
+        no change.
     """
     entries: list[Entry] = []
     revision = 0
--- a/src/damaskdeck/protocol/values.py
+++ b/src/damaskdeck/protocol/values.py
@@ -1,4 +1,4 @@
-"""Values that stand for what happened and so must not be mixed up."""
+"""Value types for results that must not be confused with each other."""
 
 from typing import Any, TypeVar
 
@@ -8,8 +8,8 @@
 def distinct(kind: T) -> T:
     """Make values of a ``NamedTuple`` equal only to values of the same type.
 
-    Plain tuples with equal fields are equal, so that ``Failed("x")`` would equal
-    ``Unknown("x")``, and a test or a condition would take one for the other.
+    Plain tuples with equal fields are equal. ``Failed("x")`` would equal
+    ``Unknown("x")``, and a test or a condition would confuse the two.
     """
 
     def is_equal(self: tuple[Any, ...], other: object) -> bool:
--- a/tests/test_client_accounts.py
+++ b/tests/test_client_accounts.py
@@ -115,7 +115,7 @@
             make_account(f"a{n}", *(f"a{n}-{k}" for k in range(10))) for n in range(120)
         )
         # One step of a table by digest, whoever calls: no account is searched.
-        self.assertEqual(len(accounts._digests), 1200)
+        self.assertEqual(len(accounts._accounts_by_digest), 1200)
         self.assertEqual(accounts.find(digest_key(b"a119-9")).name, "a119")
 
     def test_the_settings_tell_whether_keys_are_shown(self):
--- a/tests/test_queue_tables.py
+++ b/tests/test_queue_tables.py
@@ -1,4 +1,4 @@
-"""The declared queues: which of them a call or a step means."""
+"""The declared queues: lookup by host and path, and by name."""
 
 import random
 import unittest
@@ -12,29 +12,29 @@
     return QueueTable(1, queues, frozenset({"hub"}), 1000)
 
 
-def find_naively(queues: tuple[Queue, ...], host: str, path: str) -> Queue | None:
-    """Return what a look through all queues finds."""
+def find_by_scan(queues: tuple[Queue, ...], host: str, path: str) -> Queue | None:
+    """Return the queue found by a scan of all queues."""
     fitting = [q for q in queues if q.host == host and path.startswith(q.prefix)]
     return max(fitting, key=lambda queue: len(queue.prefix), default=None)
 
 
-class _Watched:
-    """A queue that counts how often it is looked at."""
+class CountingQueue:
+    """A queue that counts how often its fields are read."""
 
-    looks = 0
+    reads = 0
 
     def __init__(self, queue: Queue) -> None:
         self._queue = queue
 
     def __getattr__(self, name: str):
-        type(self).looks += 1
+        type(self).reads += 1
         return getattr(self._queue, name)
 
 
 class TestLookUp(unittest.TestCase):
     """Queues found by host and path, and by name."""
 
-    def test_the_longest_prefix_counts(self):
+    def test_longest_prefix_is_used(self):
         short = make_queue("a", prefix="/a/")
         long = make_queue("b", prefix="/a/b/")
         other = make_queue("c", prefix="/a/b/c/", host="c.example")
@@ -45,13 +45,13 @@
         self.assertIsNone(table.find("a.example", "/a"))
         self.assertIsNone(table.find("b.example", "/a/1"))
 
-    def test_of_queues_declared_twice_the_first_counts(self):
+    def test_first_of_duplicate_queues_is_used(self):
         first, second = make_queue("a", rank=1), make_queue("a", rank=2)
         table = build_table(first, second)
         self.assertIs(table.get("a"), first)
         self.assertIs(table.find(first.host, first.prefix), first)
 
-    def test_random_tables_are_searched_as_by_a_look_through_all(self):
+    def test_lookup_in_random_tables_equals_a_scan(self):
         drawn = random.Random(7)
 
         def draw_path() -> str:
@@ -66,13 +66,14 @@
             )
             host, path = drawn.choice(hosts), draw_path() + drawn.choice(("", "x"))
             found = build_table(*queues).find(host, path)
-            self.assertIs(found, find_naively(queues, host, path))
+            self.assertIs(found, find_by_scan(queues, host, path))
 
-    # Each call and each waiting step went through all queues of a wide document.
-    def test_a_look_up_does_not_go_through_all_queues(self):
+    # Guards against a scan of all queues of a large document for each call and each
+    # waiting step.
+    def test_lookup_does_not_scan_all_queues(self):
         queues = [make_queue(f"q{n}", prefix=f"/q{n}/") for n in range(3000)]
-        table = build_table(*map(_Watched, queues))
-        _Watched.looks = 0
+        table = build_table(*map(CountingQueue, queues))
+        CountingQueue.reads = 0
         self.assertIsNotNone(table.find("a.example", "/q2999/1"))
         self.assertIsNotNone(table.get("q1500"))
-        self.assertEqual(_Watched.looks, 0)
+        self.assertEqual(CountingQueue.reads, 0)
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -1,4 +1,4 @@
-"""Declared resources at the size that the system is built for."""
+"""Declared resources at the target size of the system."""
 
 import unittest
 
@@ -9,12 +9,12 @@
 
 
 class TestQuotas(unittest.TestCase):
-    """A team may be given the whole cell."""
+    """A team's quota may cover the whole cluster."""
 
-    def test_quota_of_the_whole_target_size_has_no_fault(self):
+    def test_quota_of_the_target_size_is_valid(self):
         quota = {"processors": WORKERS * CORES_EACH, "accelerators": ACCELERATORS}
         self.assertEqual(find_faults({"quota": quota}, TeamSpec), ())
 
-    def test_negative_quota_is_named(self):
+    def test_path_of_a_negative_quota_is_reported(self):
         faults = find_faults({"quota": {"processors": -1}}, TeamSpec)
         self.assertEqual([fault.path for fault in faults], ["quota.processors"])
--- a/tests/test_values.py
+++ b/tests/test_values.py
@@ -1,4 +1,4 @@
-"""Values that stand for what happened."""
+"""Value types for results."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class TestDistinctValues(unittest.TestCase):
-    """Equal fields don't make two outcomes the same."""
+    """Values of different types with equal fields are not equal."""
 
     def test_values_of_two_types_differ(self):
         for one, other in (
