--- a/src/damaskdeck/state/compaction.py
+++ b/src/damaskdeck/state/compaction.py
@@ -14,6 +14,7 @@
 from damaskdeck.state.writes import Backoff, ConditionalWrite, WriteConflict, write_once
 
 COMPACTION_INTERVAL = timedelta(milliseconds=100)
+# Covered slots above this size are emptied.
 LARGE_SLOT_BYTES = 64_000
 
 _log = get_logger("ledger")
--- a/src/damaskdeck/state/names.py
+++ b/src/damaskdeck/state/names.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-_PREFIX_LIMIT = 36
+_MAX_PREFIX_CHARS = 36
 _SUFFIX_BYTES = 6
 
 
@@ -32,7 +32,7 @@
         suffix = xxhash.xxh3_128_hexdigest(seed)[: 4 * _SUFFIX_BYTES - 8]
     else:
         suffix = secrets.token_hex(_SUFFIX_BYTES)
-    prefix = workload[:_PREFIX_LIMIT].rstrip("-")
+    prefix = workload[:_MAX_PREFIX_CHARS].rstrip("-")
     return f"{prefix}-{ledger}-{suffix}"
 
 
--- a/src/damaskdeck/state/opening.py
+++ b/src/damaskdeck/state/opening.py
@@ -16,7 +16,9 @@
 )
 from damaskdeck.state.writes import Backoff, ConditionalWrite, WriteConflict, write_once
 
+# Lost races against active owners after which a takeover is abandoned.
 MAX_RACES = 20
+# The log is moved to the snapshot when it uses this share of the slots.
 MAX_LOG_SHARE = 0.75
 
 
--- a/src/damaskdeck/state/segments.py
+++ b/src/damaskdeck/state/segments.py
@@ -7,6 +7,7 @@
 
 from damaskdeck.errors import DECODE_ERRORS, LedgerError
 
+# Upper bounds of the MessagePack header of a record and of a segment's other fields.
 RECORD_OVERHEAD_BYTES = 5
 SEGMENT_OVERHEAD_BYTES = 200
 
--- a/src/damaskdeck/state/workeraccounts.py
+++ b/src/damaskdeck/state/workeraccounts.py
@@ -282,9 +282,9 @@
         if held is None:
             return NoReservation(task)
         account = self._account_by_task[task]
-        room = add_sizes(account.free, held.need.size)
-        if not fits(size, room):
-            return InsufficientCapacity(find_exceeded_dimension(size, room) or "")
+        limit = add_sizes(account.free, held.need.size)
+        if not fits(size, limit):
+            return InsufficientCapacity(find_exceeded_dimension(size, limit) or "")
         self._change_free(account, subtract_sizes(held.need.size, size))
         need = held.need._replace(size=size)
         account.reservations[task] = held._replace(need=need)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -230,7 +230,7 @@
     async def test_a_log_that_cannot_be_compacted_refuses_before_it_is_full(self):
         harness = self.make_harness()
         ledger = await harness.open(1)
-        kept = []
+        committed = []
         for number in range(2 * SLOTS):
             # Enough space for a segment, but not for a snapshot.
             harness.store.capacity = harness.store._size + 60
@@ -238,13 +238,13 @@
             outcome = await harness.finish(ledger.commit((record,)))
             if not isinstance(outcome, Committed):
                 break
-            kept.append(record)
+            committed.append(record)
         self.assertEqual(outcome, Rejected("ledger_full"))
-        self.assertEqual(await harness.replay(), kept)
+        self.assertEqual(await harness.replay(), committed)
         harness.store.capacity = 1 << 30
         later = await harness.open(harness.epoch + 1)
         self.assertIsInstance(await harness.commit(later, b"on"), Committed)
-        self.assertEqual(await harness.replay(), [*kept, b"on"])
+        self.assertEqual(await harness.replay(), [*committed, b"on"])
 
     async def test_the_queue_is_bounded(self):
         harness = self.make_harness()
@@ -278,13 +278,13 @@
 
     async def test_a_lost_call_that_arrives_late_takes_effect_once(self):
         harness = self.make_harness()
-        late = DelayingStore(harness.store.connect("late"))
-        ledger = await harness.open(1, late)
-        late.hold_next = True
-        late.stays_connected = True
+        delaying = DelayingStore(harness.store.connect("delaying"))
+        ledger = await harness.open(1, delaying)
+        delaying.hold_next = True
+        delaying.stays_connected = True
         self.assertEqual(await harness.commit(ledger, b"a"), Committed(2))
         await harness.commit(ledger, b"b")
-        await late.release()
+        await delaying.release()
         await harness.commit(ledger, b"c")
         self.assertEqual(await harness.replay(), [b"a", b"b", b"c"])
 
@@ -399,23 +399,23 @@
         self.assertEqual(await harness.replay(), [b"a", b"d"])
 
     async def test_delayed_write_of_an_old_owner_fails_after_compaction(self):
-        for late_by in (1, SLOTS // 2, SLOTS, 3 * SLOTS):
+        for newer_commits in (1, SLOTS // 2, SLOTS, 3 * SLOTS):
             harness = self.make_harness()
-            late = DelayingStore(harness.store.connect("late"))
-            old = await harness.open(1, late)
+            delaying = DelayingStore(harness.store.connect("delaying"))
+            old = await harness.open(1, delaying)
             await harness.commit(old, b"a")
             await harness.clock.advance(SECOND)
-            late.hold_next = True
+            delaying.hold_next = True
             call = asyncio.ensure_future(old.commit((b"old",)))
             await settle()
             new = await harness.open(2)
-            for number in range(late_by):
+            for number in range(newer_commits):
                 await harness.commit(new, b"%d" % number)
-            await late.release()
+            await delaying.release()
             outcome = await harness.finish(call)
-            self.assertIn(type(outcome), (Deposed, Lost), late_by)
+            self.assertIn(type(outcome), (Deposed, Lost), newer_commits)
             self.assertEqual(await harness.commit(old, b"x"), Deposed(2))
-            expected = [b"a", *(b"%d" % number for number in range(late_by))]
+            expected = [b"a", *(b"%d" % number for number in range(newer_commits))]
             self.assertEqual(harness.states[new], expected)
             self.assertEqual(await harness.replay(), expected)
 
@@ -431,18 +431,18 @@
 
     async def test_unconfirmed_record_is_lost_if_its_slot_was_overwritten(self):
         harness = self.make_harness()
-        late = DelayingStore(harness.store.connect("late"))
-        old = await harness.open(1, late)
+        delaying = DelayingStore(harness.store.connect("delaying"))
+        old = await harness.open(1, delaying)
         await harness.clock.advance(SECOND)
         harness.store.faults.plan("put", FaultKind.LOSE_ANSWER)
         call = asyncio.ensure_future(old.commit((b"old",)))
-        late.is_cut_off = "read"
+        delaying.is_cut_off = "read"
         await settle()
         new = await harness.open(2)
         expected = [b"old", *(b"%d" % number for number in range(SLOTS))]
         for record in expected[1:]:
             await harness.commit(new, record)
-        late.is_cut_off = False
+        delaying.is_cut_off = False
         self.assertIsInstance(await harness.finish(call), Lost)
         self.assertEqual(await harness.commit(old, b"x"), Deposed(2))
         self.assertEqual(await harness.replay(), expected)
@@ -606,16 +606,16 @@
         outcomes = [c.result() for c in calls if c.done()]
         acknowledged = sum(isinstance(outcome, Committed) for outcome in outcomes)
         new = await harness.open(2, value_limit=600)
-        kept = list(harness.states[new])
-        self.assertEqual(kept, [b"%02d" % n * 20 for n in range(len(kept))])
-        self.assertIn(len(kept), (acknowledged, acknowledged + 1))
+        replayed = list(harness.states[new])
+        self.assertEqual(replayed, [b"%02d" % n * 20 for n in range(len(replayed))])
+        self.assertIn(len(replayed), (acknowledged, acknowledged + 1))
         await harness.commit(new, b"new")
         await harness.clock.advance(5 * SECOND)
         self.assertEqual(harness.list_parts(), harness.list_named_parts())
         for place in range(SLOTS):
             await harness.commit(new, b"more %d" % place)
         more = [b"new", *(b"more %d" % place for place in range(SLOTS))]
-        self.assertEqual(await harness.replay(), kept + more)
+        self.assertEqual(await harness.replay(), replayed + more)
         return crashing.count
 
     async def test_snapshot_during_a_large_commit_does_not_split_it(self):
@@ -656,18 +656,18 @@
 
     async def test_a_paused_compaction_cannot_replace_a_newer_snapshot(self):
         harness = self.make_harness()
-        late = DelayingStore(harness.store.connect("late"))
-        old = await harness.open(1, late)
-        late.held_key = Keys("03").head
+        delaying = DelayingStore(harness.store.connect("delaying"))
+        old = await harness.open(1, delaying)
+        delaying.held_key = Keys("03").head
         records = [b"%d" % number for number in range(SLOTS // 2 + 1)]
         for record in records:
             await harness.commit(old, record)
         await harness.clock.advance(SECOND)
-        self.assertFalse(late.held_key)
+        self.assertFalse(delaying.held_key)
         new = await harness.open(2)
         await harness.commit(new, b"new")
         await harness.clock.advance(5 * SECOND)
-        await late.release()
+        await delaying.release()
         await harness.clock.advance(30 * SECOND)
         self.assertEqual(await harness.commit(old, b"old"), Deposed(2))
         self.assertEqual(harness.list_parts(), harness.list_named_parts())
--- a/tests/test_ledger_model.py
+++ b/tests/test_ledger_model.py
@@ -115,12 +115,14 @@
     def __init__(self, scripts: tuple[Script, ...], slots: int) -> None:
         self.store = MemoryStore(ManualClock())
         self.owners = [ScriptedOwner(n, s, slots) for n, s in enumerate(scripts)]
-        self.late: list[Call] = []
+        self.delayed_calls: list[Call] = []
         self.checker = LedgerChecker(self.store, "00")
 
     def list_actions(self) -> list[tuple[str, int, int]]:
         """List all actions that are possible next."""
-        actions = [("arrive_late", 0, index) for index in range(len(self.late))]
+        actions = [
+            ("arrive_late", 0, index) for index in range(len(self.delayed_calls))
+        ]
         for number, owner in enumerate(self.owners):
             for index, call in enumerate(owner.store.calls):
                 actions.append(("answer", number, index))
@@ -133,13 +135,13 @@
         """Perform one action and let every owner run until it waits again."""
         kind, number, index = action
         if kind == "arrive_late":
-            self._perform(self.late.pop(index))
+            self._perform(self.delayed_calls.pop(index))
         else:
             owner = self.owners[number]
             call = owner.store.calls.pop(index)
             answer = Lost("timeout")
             if kind == "hold_up":
-                self.late.append(call)
+                self.delayed_calls.append(call)
             elif kind == "lose_answer":
                 self._perform(call)
             else:
@@ -161,7 +163,7 @@
             (
                 self.store.list("").entries,
                 tuple(tuple(k.store.history) for k in self.owners),
-                tuple((c.operation, c.arguments) for c in self.late),
+                tuple((c.operation, c.arguments) for c in self.delayed_calls),
                 tuple(k.losses for k in self.owners),
             )
         )
@@ -178,8 +180,8 @@
         for old, new in itertools.permutations(self.owners, 2):
             if new.opened and old.script.epoch < new.script.epoch:
                 added = replay[len(new.opened.snapshot) :]
-                late = set(added).intersection(old.script.records)
-                assert not late, f"{late} came after {new.opened}"
+                stale = set(added).intersection(old.script.records)
+                assert not stale, f"{stale} came after {new.opened}"
 
     async def close(self) -> None:
         """End all tasks of this run."""
