--- a/src/damaskdeck/coordination/pools/accountlimits.py
+++ b/src/damaskdeck/coordination/pools/accountlimits.py
@@ -1,9 +1,10 @@
-"""What client accounts may still start: quotas against all that may run of theirs.
+"""Enforcement of the quotas of client accounts.
 
-Counted as running is what runs, what was ordered without an answer, what is being
-stopped, copies, and on a worker that doesn't answer all until its lease is over. After
-a takeover that is more than is known: a worker that has not answered yet may run what
-the owner before has ordered there.
+What counts against a quota is everything that may be running: confirmed runs, orders
+without an answer, runs that are being stopped, speculative copies, and the runs of a
+worker that doesn't answer until its lease has expired. After a takeover that is more
+than the owner knows about, because a worker that has not answered yet may run what the
+previous owner ordered there.
 """
 
 from collections.abc import Iterable
@@ -24,107 +25,110 @@
 from damaskdeck.state.pooljobs import Job, Run, Step
 from damaskdeck.state.quotas import Quotas, scale_size, sum_sizes
 
-# What is unknown of workers that have not answered is counted anew after so long; in
-# between it is taken for what it was, and it only ever gets less.
-UNKNOWN_SECONDS = 0.1
-# How long an account must have been held back to be told of again.
-TELL_SECONDS = 5.0
+# How long the estimate of unconfirmed usage is cached. A cached value is safe because
+# the usage that it bounds only ever shrinks.
+UNCONFIRMED_USAGE_MAX_AGE_SECONDS = 0.1
+# The interval at which an account that stays held back is logged again.
+LOG_INTERVAL_SECONDS = 5.0
 
 _log = get_logger("allowances")
 
 
-class AllowanceOwner(Protocol):
-    """What allowances ask of the owner."""
+class AccountLimitsOwner(Protocol):
+    """What account limits need from the owner."""
 
     def now(self) -> float:
-        """Return monotonic seconds."""
+        """Return the monotonic time in seconds."""
 
     def get_table(self) -> QueueTable | None:
         """Return the declared queues and accounts in force."""
 
     def are_quotas_fresh(self) -> bool:
-        """Whether the document in force is fresh enough to start work by it."""
+        """Whether the document in force is fresh enough to start tasks by."""
 
     def list_unreconciled(self) -> list[Size]:
-        """List the sizes of the workers that may run what isn't known."""
+        """List the sizes of the workers that may have unknown runs."""
 
     def list_unconfirmed_jobs(self) -> Iterable[Job]:
-        """List the jobs that may run on such workers without our knowing."""
+        """List the jobs that may have unknown runs on such workers."""
 
 
 class AccountLimits:
-    """Counts what accounts use, by change, and judges what they may start.
+    """Tracks the usage of accounts incrementally and limits what they start.
 
-    :param owner: of the jobs.
-    :ivar ceilings: what accounts may have running under any owner.
+    :param owner: The owner of the jobs.
+    :ivar ceilings: What accounts may have running under any owner.
     """
 
-    def __init__(self, owner: AllowanceOwner, ceilings: Ceilings) -> None:
+    def __init__(self, owner: AccountLimitsOwner, ceilings: Ceilings) -> None:
         self.ceilings = ceilings
         self._owner = owner
-        # What the owner before had running where that is known, by account.
-        self._found: dict[str, Size] = {}
+        # The known usage that was inherited from the previous owner, by account.
+        self._inherited: dict[str, Size] = {}
         self._quotas = Quotas()
-        self._unknown: dict[str, Size] = {}
-        self._unknown_at = float("-inf")
-        # The accounts that are held back, with when that was last told.
-        self._held: dict[str, float] = {}
-        self._steps: dict[str, set[str]] = {}
+        self._unconfirmed: dict[str, Size] = {}
+        self._unconfirmed_at = float("-inf")
+        # When each account that is held back was last logged.
+        self._logged_at: dict[str, float] = {}
+        self._held_steps: dict[str, set[str]] = {}
         self._version = 0
         self._declared: set[str] = set()
 
     def charge(self, run: Run) -> None:
-        """Count a run from when it is ordered."""
+        """Count a run from the moment it is ordered."""
         step = run.task.step
         self._quotas.charge(step.job.record.account, step.spec.size)
 
     def release(self, run: Run) -> None:
-        """Count a run no longer, as nothing of it can run any more."""
+        """Stop counting a run, as nothing of it can be running any more."""
         step = run.task.step
         self._quotas.release(step.job.record.account, step.spec.size)
 
     def record_inherited_run(self, run: Run) -> None:
-        """Take note of a run that the owner before had ordered and counted."""
+        """Record a run that the previous owner ordered and counted."""
         step = run.task.step
         account = step.job.record.account
-        found = self._found.get(account, ZERO_SIZE)
-        self._found[account] = add_sizes(found, step.spec.size)
+        inherited = self._inherited.get(account, ZERO_SIZE)
+        self._inherited[account] = add_sizes(inherited, step.spec.size)
 
     def get_usage(self, account: str) -> Size:
-        """Return what is counted as running of an account, the unknown aside."""
+        """Return the known usage of an account, without unconfirmed runs."""
         return self._quotas.read(account).use
 
     def count_startable(self, step: Step, wanted: int) -> int:
-        """Return how many tasks of a step may start now; of a gang all or none."""
+        """Return how many tasks of a step may start now.
+
+        The result for a gang is either ``wanted`` or 0.
+        """
         account = step.job.record.account
         if not account:
             return wanted
-        self._take_quotas()
+        self._update_quotas()
         if account not in self._declared:
-            # Nothing limits what no document that is known here ever named.
+            # An account that no known document has ever declared has no limit.
             return wanted
         state = self._quotas.read(account)
         if state.quota == UNLIMITED_SIZE:
             return wanted
         if not self._owner.are_quotas_fresh():
-            self._hold(step, "quotas_not_sure")
+            self._hold_back(step, "quotas_not_sure")
             return 0
-        used = add_sizes(state.use, self._measure_unknown(account))
-        left = subtract_sizes(state.quota, used)
-        startable = _count_fitting(step, wanted, left)
+        used = add_sizes(state.use, self._get_unconfirmed(account))
+        free = subtract_sizes(state.quota, used)
+        startable = _count_fitting(step, wanted, free)
         if startable < wanted:
-            self._hold(step, "quota")
+            self._hold_back(step, "quota")
         needed = add_sizes(used, scale_size(step.spec.size, startable))
         now = self._owner.now()
         limit = self.ceilings.limit(account, state.quota, needed, now)
         startable = _count_fitting(step, startable, subtract_sizes(limit, used))
         return 0 if step.spec.is_gang and startable < wanted else startable
 
-    def _take_quotas(self) -> None:
-        """Take the quotas of the document in force.
+    def _update_quotas(self) -> None:
+        """Apply the quotas of the document in force.
 
-        An account that is no longer declared keeps its last quota: what was accepted
-        of it goes on as before.
+        An account that is no longer declared keeps its last quota, so that its
+        accepted jobs go on as before.
         """
         table = self._owner.get_table()
         if table is None or table.version == self._version:
@@ -135,8 +139,8 @@
             self._quotas.set_quota(account.name, account.quota, account.weight)
 
     def sweep(self) -> None:
-        """Lower the ceilings of accounts that are seen to use less."""
-        self._take_quotas()
+        """Lower the ceilings of the accounts that use less."""
+        self._update_quotas()
         if not self._declared or self._owner.list_unreconciled():
             return
         now = self._owner.now()
@@ -145,55 +149,61 @@
             if state.quota != UNLIMITED_SIZE:
                 self.ceilings.lower_to(account, state.quota, state.use, now)
 
-    # What isn't known --------------------------------------------------------
+    # Unconfirmed usage -------------------------------------------------------
 
-    def _measure_unknown(self, account: str) -> Size:
-        """Return at most what may run of an account without our knowing."""
+    def _get_unconfirmed(self, account: str) -> Size:
+        """Return an upper bound of the usage of an account by unknown runs."""
         now = self._owner.now()
-        if now - self._unknown_at >= UNKNOWN_SECONDS:
-            self._unknown_at = now
-            self._unknown = self._count_unknown()
-        return self._unknown.get(account, ZERO_SIZE)
+        if now - self._unconfirmed_at >= UNCONFIRMED_USAGE_MAX_AGE_SECONDS:
+            self._unconfirmed_at = now
+            self._unconfirmed = self._measure_unconfirmed()
+        return self._unconfirmed.get(account, ZERO_SIZE)
 
-    def _count_unknown(self) -> dict[str, Size]:
+    def _measure_unconfirmed(self) -> dict[str, Size]:
         sizes = self._owner.list_unreconciled()
         if not sizes:
             return {}
-        room = sum_sizes(sizes)
-        unknown: dict[str, Size] = {}
+        capacity = sum_sizes(sizes)
+        unconfirmed: dict[str, Size] = {}
         for job in self._owner.list_unconfirmed_jobs():
             account = job.record.account
-            more = add_sizes(unknown.get(account, ZERO_SIZE), _measure_unseen(job))
-            unknown[account] = more
+            total = add_sizes(
+                unconfirmed.get(account, ZERO_SIZE), _measure_unknown_runs(job)
+            )
+            unconfirmed[account] = total
         return {
-            account: Size(*map(min, size, room, self._measure_rest(account)))
-            for account, size in unknown.items()
+            account: Size(*map(min, size, capacity, self._measure_missing(account)))
+            for account, size in unconfirmed.items()
         }
 
-    def _measure_rest(self, account: str) -> Size:
-        """Return at most what the owner before had running where that isn't known.
+    def _measure_missing(self, account: str) -> Size:
+        """Return an upper bound of the previous owner's runs that are not known here.
 
-        Of its runs that were found it can't have learnt an end since: it counts them,
-        below its ceiling, for as long as it orders anything.
+        The previous owner can't have learned of the end of a run that was found here.
+        So while it orders anything it still counts these runs, and all of its runs
+        stay below its ceiling.
         """
         ceiling = self.ceilings.find_inherited(account)
         if ceiling is None:
             return UNLIMITED_SIZE
-        found = self._found.get(account, ZERO_SIZE)
+        inherited = self._inherited.get(account, ZERO_SIZE)
         return Size(
-            *(max(0, most - seen) for most, seen in zip(ceiling, found, strict=True))
+            *(
+                max(0, most - seen)
+                for most, seen in zip(ceiling, inherited, strict=True)
+            )
         )
 
-    # Telling -----------------------------------------------------------------
+    # Logging -----------------------------------------------------------------
 
-    def _hold(self, step: Step, code: str) -> None:
+    def _hold_back(self, step: Step, code: str) -> None:
         account, now = step.job.record.account, self._owner.now()
-        steps = self._steps.setdefault(account, set())
+        steps = self._held_steps.setdefault(account, set())
         steps.add(step.name)
-        told_at = self._held.get(account)
-        if told_at is not None and now - told_at < TELL_SECONDS:
+        logged_at = self._logged_at.get(account)
+        if logged_at is not None and now - logged_at < LOG_INTERVAL_SECONDS:
             return
-        self._held[account] = now
+        self._logged_at[account] = now
         _log.info(
             "An account is held back.",
             id=step.job.identifier,
@@ -202,7 +212,7 @@
             step=step.number,
             steps=len(steps),
             use=list(self.get_usage(account)),
-            unknown=list(self._unknown.get(account, ZERO_SIZE)),
+            unknown=list(self._unconfirmed.get(account, ZERO_SIZE)),
             quota=list(self._quotas.read(account).quota),
             version=self._version,
         )
@@ -210,25 +220,30 @@
         steps.clear()
 
 
-def _count_fitting(step: Step, wanted: int, left: Size) -> int:
-    """Return how many of so many tasks fit into what is left of a quota."""
+def _count_fitting(step: Step, wanted: int, free: Size) -> int:
+    """Return how many of the wanted tasks fit into the free part of a quota."""
     spec = step.spec
     if spec.spread:
-        # That limit counts for one worker alone.
+        # The spread limits the tasks on one worker, not those of an account.
         spec = spec._replace(spread=0)
-    return max(0, min(wanted, count_fitting(spec, left)))
+    return max(0, min(wanted, count_fitting(spec, free)))
 
 
-def _measure_unseen(job: Job) -> Size:
-    """Return the size of all runs that a job may have beside those that are known."""
+def _measure_unknown_runs(job: Job) -> Size:
+    """Return the size of all runs that a job may have besides the known ones."""
     return sum_sizes(
-        # A copy of a task that has completed may still run.
-        _measure_unseen_runs(step, 2 if step.spec.is_speculative else 1)
+        # The copy of a task that has completed may still be running.
+        _measure_unknown_runs_of_step(step, 2 if step.spec.is_speculative else 1)
         for step in job.list_steps()
     )
 
 
-def _measure_unseen_runs(step: Step, most: int) -> Size:
-    """Return the size of the runs of a step that aren't known, if tasks have most."""
-    runs = sum(max(0, most - task.is_completed - len(task.runs)) for task in step.tasks)
+def _measure_unknown_runs_of_step(step: Step, max_runs: int) -> Size:
+    """Return the size of the unknown runs of a step.
+
+    :param max_runs: The most runs that one task may have.
+    """
+    runs = sum(
+        max(0, max_runs - task.is_completed - len(task.runs)) for task in step.tasks
+    )
     return scale_size(step.spec.size, runs)
--- a/src/damaskdeck/coordination/pools/authorization.py
+++ b/src/damaskdeck/coordination/pools/authorization.py
@@ -1,4 +1,4 @@
-"""Which calls go further: the queue that they mean, and whose key they show."""
+"""Authorization of callers: which queue a call names and which account it uses."""
 
 from typing import NamedTuple
 
@@ -13,9 +13,9 @@
 
 
 class AuthorizedCall(NamedTuple):
-    """A call that goes on.
+    """A call that may proceed.
 
-    :param table: the document that it was judged by.
+    :param table: The document that the decision is based on.
     """
 
     queue: Queue
@@ -24,12 +24,12 @@
 
 
 class CallAuthorizer:
-    """Judges calls by the document in force here.
+    """Authorizes calls by the operators' document in force on this daemon.
 
-    While the store answers, a call is judged by no document that may have been
-    replaced for longer than the bound. Keys have a bound that holds for daemons that
-    are cut off from the store, too: what was sent later than that after a key was
-    taken away is served by nobody.
+    While the store answers, no call is authorized by a document that may have been
+    replaced for longer than the bound. The bound for keys also applies to daemons that
+    are cut off from the store: no daemon serves a call that was sent later than that
+    after its key was revoked.
     """
 
     def __init__(self, declarations: Declarations) -> None:
@@ -38,54 +38,57 @@
     def authorize(
         self, host: str, path: str, key: bytes | None
     ) -> AuthorizedCall | CallRejected:
-        """Return the queue that a call means and who calls.
+        """Return the queue that a call names and its caller.
 
-        :param key: as shown, ``None`` where none is.
+        :param key: The key sent with the call, ``None`` if there is none.
         """
-        return self._judge(host, path, digest_key(key) if key else b"")
+        return self._authorize_digest(host, path, digest_key(key) if key else b"")
 
     def reauthorize(
         self, queue: Queue, identifier: str, caller: Caller
     ) -> Queue | CallRejected:
-        """Return the queue as declared now, if the caller may still use it."""
+        """Return the queue as it is declared now, if the caller may still use it."""
         path = queue.prefix + identifier
-        judged = self._judge(queue.host, path, caller.digest)
-        if isinstance(judged, CallRejected):
-            return judged
-        is_same = judged.caller.account == caller.account
-        if not (judged.queue.is_public or is_same):
-            return self._bar(CallRejectionCode.UNKNOWN_KEY, path)
-        return judged.queue
-
-    def _judge(
+        result = self._authorize_digest(queue.host, path, caller.digest)
+        if isinstance(result, CallRejected):
+            return result
+        is_same = result.caller.account == caller.account
+        if not (result.queue.is_public or is_same):
+            return self._reject(CallRejectionCode.UNKNOWN_KEY, path)
+        return result.queue
+
+    def _authorize_digest(
         self, host: str, path: str, digest: bytes
     ) -> AuthorizedCall | CallRejected:
-        """Judge a call by the digest of its key, empty where none is shown."""
+        """Authorize a call by the digest of its key, which is empty without a key."""
         table = self._declarations.table
         if table is None:
-            return self._bar(CallRejectionCode.NO_DOCUMENT, path)
+            return self._reject(CallRejectionCode.NO_DOCUMENT, path)
         queue = table.find(host, path)
         needs_key = queue is not None and not queue.is_public
         declarations = self._declarations
         if not (declarations.can_verify_keys if needs_key else declarations.is_current):
-            return self._bar(CallRejectionCode.STALE_DOCUMENT, path)
+            return self._reject(CallRejectionCode.STALE_DOCUMENT, path)
         if queue is None:
             return CallRejected(CallRejectionCode.NO_QUEUE)
         if queue.is_public:
             return AuthorizedCall(queue, Caller(queue=queue.name), table)
         if not digest:
-            return self._bar(CallRejectionCode.MISSING_KEY, path)
+            return self._reject(CallRejectionCode.MISSING_KEY, path)
         account = table.accounts.find(digest)
         if account is None:
-            return self._bar(CallRejectionCode.UNKNOWN_KEY, path)
+            return self._reject(CallRejectionCode.UNKNOWN_KEY, path)
         return AuthorizedCall(queue, Caller(account.name, queue.name, digest), table)
 
-    def _bar(self, code: CallRejectionCode, what: str) -> CallRejected:
-        """Refuse; the line names what was called, never what was shown."""
+    def _reject(self, code: CallRejectionCode, path: str) -> CallRejected:
+        """Reject a call.
+
+        The log line names the job that was called, never the key that was sent.
+        """
         table = self._declarations.table
         _log.info(
-            "Turned away.",
-            id=what.rpartition("/")[2],
+            "A call was rejected.",
+            id=path.rpartition("/")[2],
             code=code,
             version=table.version if table is not None else 0,
             age=round(min(self._declarations.measure_age(), 1e6), 3),
--- a/src/damaskdeck/coordination/pools/ceilings.py
+++ b/src/damaskdeck/coordination/pools/ceilings.py
@@ -1,8 +1,9 @@
-"""The most that each account may have running under any owner, as written down.
+"""Ceilings: the most that each account may have running under any owner.
 
-An owner starts nothing that brings an account above what was durable before. So a
-successor that finds some of an account's runs on the workers that answer knows how much
-may at most run on those that don't: the ceiling less these.
+Ceilings are stored. An owner starts nothing that would raise an account's usage above
+its durable ceiling. A successor that finds some of the account's runs on the workers
+that answer therefore knows the most that can be running on the others: the ceiling
+minus these runs.
 """
 
 from collections.abc import Callable
@@ -21,11 +22,13 @@
     encode_record,
 )
 
-# A ceiling is raised to what is needed and this share of the quota: lower, and more
-# starts wait for a commit, some 10 ms; higher, and a successor has to reckon with more.
+# A ceiling is raised to what is needed plus this share of the quota. With a lower
+# share more starts wait for a commit of about 10 ms; with a higher one a successor has
+# to assume more unknown usage.
 HEADROOM_SHARE = 0.125
-# It is lowered when it is above what runs by more than this share of the quota, and
-# nothing has needed as much for so long: a gang that waits asks four times a second.
+# A ceiling is lowered once it exceeds the usage by more than this share of the quota
+# and nothing has needed as much for NEEDED_SECONDS. A gang that waits requests its
+# capacity four times a second.
 SLACK_SHARE = 0.25
 NEEDED_SECONDS = 2.0
 
@@ -35,21 +38,21 @@
 class Ceilings:
     """The ceilings of one owner.
 
-    :param note_change: called when they have to be written.
+    :param on_change: Called when the ceilings have to be written.
     """
 
-    def __init__(self, note_change: Callable[[], None]) -> None:
-        self._note_change = note_change
+    def __init__(self, on_change: Callable[[], None]) -> None:
+        self._on_change = on_change
         self._inherited: dict[str, Size] = {}
         self._durable: dict[str, Size] = {}
-        # On its way: the store may hold it already, or never.
-        self._sent: dict[str, Size] = {}
+        # Sent to the store but unconfirmed, so these may be in force or not.
+        self._in_flight: dict[str, Size] = {}
         self._wanted: dict[str, Size] = {}
-        # When about as much as the ceiling was last needed, monotonic seconds.
+        # The monotonic time in seconds when about as much as the ceiling was needed.
         self._needed_at: dict[str, float] = {}
 
     async def read(self, store: TransactionalStore, clock: Clock) -> None:
-        """Read and take over what the owner before has written."""
+        """Read the ceilings of the previous owner and adopt them."""
         found = await store.read(CEILINGS_KEY)
         while not isinstance(found, Found | Missing):
             await clock.sleep(RETRY_DELAY)
@@ -59,71 +62,79 @@
         try:
             record = decode_record(CeilingsRecord, found.entry.value)
         except MessageError as error:
-            # Without one the most is assumed of the owner before.
-            _log.error("Ceilings can't be read.", code=error.code, error=str(error))
+            # Without a ceiling the previous owner is assumed to have run as much as
+            # the workers can hold.
+            _log.error(
+                "Failed to decode the ceilings.", code=error.code, error=str(error)
+            )
             return
         self.load(record)
 
     def load(self, record: CeilingsRecord) -> None:
-        """Take over those that the owner before has written."""
+        """Adopt the ceilings of the previous owner."""
         self._inherited = dict(record.accounts)
         self._durable = dict(record.accounts)
         self._wanted = dict(record.accounts)
 
     def find_inherited(self, account: str) -> Size | None:
-        """Return the ceiling of the owner before; ``None`` where it knew none."""
+        """Return the previous owner's ceiling of an account, ``None`` without one."""
         return self._inherited.get(account)
 
     def limit(self, account: str, quota: Size, needed: Size, now: float) -> Size:
-        """Return what of a quota holds: no more than is durable, or will be.
+        """Return the part of a quota that may be used now.
 
-        :param needed: what would run of the account: where that is more, the ceiling
-            is raised, and holds once that is durable.
+        It is never more than the ceiling that is durable or in flight.
+
+        :param needed: The usage that is wanted. If it exceeds the ceiling, the ceiling
+            is raised and applies once it is durable.
         """
-        known = self._wanted.get(account, ZERO_SIZE)
-        if not fits(needed, known):
+        ceiling = self._wanted.get(account, ZERO_SIZE)
+        if not fits(needed, ceiling):
             wanted = _add_share(needed, quota, HEADROOM_SHARE)
-            known = Size(*map(max, known, map(min, quota, wanted)))
-            self._want(account, known)
-        if not fits(_add_share(needed, quota, SLACK_SHARE), known):
+            ceiling = Size(*map(max, ceiling, map(min, quota, wanted)))
+            self._set_wanted(account, ceiling)
+        if not fits(_add_share(needed, quota, SLACK_SHARE), ceiling):
             self._needed_at[account] = now
         durable = self._durable.get(account, ZERO_SIZE)
-        return Size(*map(min, quota, durable, known, self._sent.get(account, durable)))
+        return Size(
+            *map(min, quota, durable, ceiling, self._in_flight.get(account, durable))
+        )
 
     def lower_to(self, account: str, quota: Size, used: Size, now: float) -> None:
-        """Take note that no more runs of an account, for certain.
+        """Lower the ceiling of an account whose usage is known for certain.
 
-        As long as the ceiling is near that it stays: what runs goes up and down.
+        A ceiling that is near the usage stays, because usage goes up and down.
         """
-        known = self._wanted.get(account, ZERO_SIZE)
+        ceiling = self._wanted.get(account, ZERO_SIZE)
         if now - self._needed_at.get(account, 0.0) < NEEDED_SECONDS:
             return
-        if not fits(known, _add_share(used, quota, SLACK_SHARE)):
-            self._want(account, _add_share(used, quota, HEADROOM_SHARE))
+        if not fits(ceiling, _add_share(used, quota, SLACK_SHARE)):
+            self._set_wanted(account, _add_share(used, quota, HEADROOM_SHARE))
 
-    def _want(self, account: str, size: Size) -> None:
+    def _set_wanted(self, account: str, size: Size) -> None:
         if self._wanted.get(account) != size:
             self._wanted[account] = size
-            self._note_change()
+            self._on_change()
 
     def build_write(self) -> tuple[Write, Callable[[], bool]]:
-        """Return what to write, and what to call once that is durable.
+        """Return the write and a function to call once it is durable.
 
-        The call tells that tasks may start that had to wait for it.
+        The function returns whether tasks that waited for the write may start.
         """
-        written = self._sent = dict(self._wanted)
+        written = self._in_flight = dict(self._wanted)
 
-        def note_durable() -> bool:
-            self._durable, self._sent = written, {}
+        def mark_durable() -> bool:
+            self._durable, self._in_flight = written, {}
             return True
 
-        return Write(CEILINGS_KEY, encode_record(CeilingsRecord(written))), note_durable
+        return Write(CEILINGS_KEY, encode_record(CeilingsRecord(written))), mark_durable
 
 
 def _add_share(used: Size, quota: Size, share: float) -> Size:
-    """Return what is used and a share of the quota.
+    """Return the usage plus a share of the quota.
 
-    More than the quota, too: after it was lowered more runs for a while.
+    The result may exceed the quota: after a quota was lowered, more than it allows
+    goes on running for a while.
     """
     return Size(
         *(use + int(share * most) for use, most in zip(used, quota, strict=True))
--- a/src/damaskdeck/coordination/pools/declarations.py
+++ b/src/damaskdeck/coordination/pools/declarations.py
@@ -1,4 +1,4 @@
-"""The declared queues and accounts in force on this daemon, and how sure that is."""
+"""The declared queues and accounts in force on this daemon, and their freshness."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,42 +13,43 @@
 from damaskdeck.protocol.transactions import Mismatch, ReplyTooLarge
 
 RETRY_DELAY = timedelta(milliseconds=100)
-# With what a silent channel takes to be noticed it stays below the bound in which
+# Together with the time to detect a silent channel, this stays below the bound in which
 # a document must be in force.
 WATCH_WAIT = timedelta(seconds=2)
-# The store is asked for the document's revision once so much of the time that a
-# confirmation is good for is over: it may then be slow or silent for the rest.
+# The document's revision is read after this share of the time for which a confirmation
+# is valid. The store may be slow or silent for the rest of that time.
 REFRESH_SHARE = 0.4
-# Once the store has answered nothing for so much of the time in which a document must
-# be in force, this daemon is taken for cut off.
+# This daemon counts as cut off after the store has been silent for this share of the
+# time in which a document must be in force.
 SILENCE_SHARE = 0.5
-# A limit on the age of a confirmation is looked at so often.
+# The interval at which the age of the last confirmation is checked.
 REFRESH_INTERVAL = timedelta(milliseconds=200)
-# A refused commit shows all that it expected, whatever it was refused for: a document
-# beyond this is left out of what commits expect.
+# The reply to a refused commit contains every entry that the commit expected, whatever
+# the reason for the refusal. Commits don't expect a document above this size.
 WIDE_DOCUMENT_BYTES = 32_768
-# Longest answer to a commit that expects the document, of which it takes up 4/3.
+# The largest reply to a commit that expects the document. The document takes 4/3 of its
+# size there.
 MAX_COMMIT_REPLY_BYTES = 65_536
 
 _log = get_logger("declarations")
 
 
 class Declarations:
-    """Follows the operators' document, and confirms that it is the newest.
+    """Follows the operators' document and confirms that it is the newest one.
 
-    A document is sure to have been the newest when a question to the store was sent
-    whose answer shows its revision. What a watch doesn't tell proves nothing: it may
-    hear nothing while changes are made.
+    The document is known to have been the newest one at the time when a request was
+    sent to the store whose reply shows the document's revision. The silence of a watch
+    proves nothing: it may miss changes.
 
-    The document is read by one call at a time, and only when it has changed: copies
-    of a wide one would share a narrow link, and come too late together.
+    The document is read by one request at a time, and only if it has changed. Several
+    copies of a wide document would share a narrow link and all arrive too late.
 
-    :param keys_max_age: how old a confirmation may be for keys to be judged; ``None``
-        where nothing depends on it.
-    :param in_force: how old it may be for any call to be judged while the store
-        answers; ``None`` where nothing depends on it.
-    :param get_silence: returns the time since the store last answered this daemon.
-    :ivar table: in force here; ``None`` until one has been read.
+    :param keys_max_age: The maximum age of a confirmation for keys to be verified,
+        ``None`` if there is no limit.
+    :param in_force: The maximum age of a confirmation for any call to be authorized
+        while the store answers, ``None`` if there is no limit.
+    :param get_silence: Returns the time since the store last answered this daemon.
+    :ivar table: The document in force here, ``None`` until one has been read.
     """
 
     def __init__(
@@ -62,48 +63,49 @@
         self.table: QueueTable | None = None
         self._source = source
         self._clock = clock
-        self._keys_sure = keys_max_age
+        self._keys_max_age = keys_max_age
         self._in_force = in_force
         self._get_silence = get_silence
         limits = [limit for limit in (keys_max_age, in_force) if limit is not None]
         self._shortest_limit = min(limits, default=None)
-        # Revision of the newest document that was seen, and whether it is in force.
+        # The revision of the newest document seen, and whether it is in force.
         self._document = 0
         self._is_usable = False
         self._is_wide = False
-        # Whether a newer one is known of that hasn't come yet.
+        # Whether a newer document exists that has not been received yet.
         self._is_behind = False
         self._reading = asyncio.Lock()
         self._confirmed_at = float("-inf")
-        self._was_sure = False
+        self._was_fresh = False
 
     def is_pool_declared(self, pool: str) -> bool:
-        """Tell whether a pool is declared; before any document all may be."""
+        """Whether a pool is declared; before any document every pool may be."""
         return self.table is None or pool in self.table.pools
 
-    # How sure it is ----------------------------------------------------------
+    # Freshness ---------------------------------------------------------------
 
     def _now(self) -> float:
         return self._clock.monotonic().total_seconds()
 
     def measure_age(self) -> float:
-        """Return the seconds since the document was the newest for certain."""
+        """Return the seconds since the document was last known to be the newest."""
         return self._now() - self._confirmed_at
 
     def is_fresh(self, limit: timedelta | None) -> bool:
-        """Whether the document was the newest within ``limit``; ``None`` is no limit.
+        """Whether the document was known to be the newest within ``limit``.
 
-        The clock counts suspends. Whatever was sent before this is asked was sent
-        less than the limit after the document was the newest.
+        There is no limit if it is ``None``. The clock also counts the time while the
+        machine is suspended. Anything that was sent before this call was sent less than
+        the limit after the document was the newest.
         """
         return limit is None or self.measure_age() < limit.total_seconds()
 
     @property
     def is_current(self) -> bool:
-        """Whether calls may be judged by it at all.
+        """Whether any calls may be authorized by the document.
 
-        A daemon that the store doesn't answer can't learn of a newer one: it goes on
-        by what it has.
+        A daemon that the store doesn't answer can't learn of a newer document, so it
+        goes on with the one that it has.
         """
         if self._in_force is None or self.is_fresh(self._in_force):
             return True
@@ -111,14 +113,14 @@
 
     @property
     def can_verify_keys(self) -> bool:
-        """Whether callers' keys may be judged by the document in force."""
-        is_fresh = self.is_fresh(self._keys_sure) and self.is_current
-        if is_fresh is not self._was_sure:
-            self._was_sure = is_fresh
+        """Whether callers' keys may be verified by the document in force."""
+        is_fresh = self.is_fresh(self._keys_max_age) and self.is_current
+        if is_fresh is not self._was_fresh:
+            self._was_fresh = is_fresh
             _log.info(
-                "The document in force is sure."
+                "The document in force is fresh."
                 if is_fresh
-                else "The document in force may not be the newest.",
+                else "The document in force may be outdated.",
                 version=self.table.version if self.table else 0,
                 age=round(min(self.measure_age(), 1e6), 3),
             )
@@ -126,26 +128,29 @@
 
     @property
     def expected(self) -> tuple[tuple[str, int], ...]:
-        """What a commit expects that must not go by an older document.
+        """What a commit expects in order not to act by an older document.
 
-        Empty where the age of the document alone has to do.
+        Empty if the check of the document's age has to suffice.
         """
-        is_asked = self._shortest_limit is not None and self._is_usable
-        if not is_asked or self._is_wide or self._is_behind:
+        is_required = self._shortest_limit is not None and self._is_usable
+        if not is_required or self._is_wide or self._is_behind:
             return ()
         return ((self._source.key, self._document),)
 
     def confirm(self, expected: tuple[tuple[str, int], ...], sent: float) -> None:
-        """Take note that the store found what a commit expected.
+        """Record that the store found what a commit expected.
 
-        :param expected: as :attr:`expected` was for that commit.
-        :param sent: when the commit was sent, monotonic seconds.
+        :param expected: The value of :attr:`expected` for that commit.
+        :param sent: The monotonic time in seconds when the commit was sent.
         """
         if expected and expected == self.expected:
             self._confirmed_at = max(self._confirmed_at, sent)
 
     def handle_mismatch(self, done: Mismatch, sent: float) -> bool:
-        """Take the document that a refused commit shows; whether it is another one."""
+        """Apply the document that the reply to a refused commit contains.
+
+        :returns: Whether it differs from the known one.
+        """
         entry = done.find(self._source.key)
         if entry is None or entry.revision == self._document:
             return False
@@ -153,17 +158,17 @@
         return True
 
     def handle_unread_document(self) -> None:
-        """Take note that what refused a commit was too long to be read."""
+        """Handle a refused commit whose reply was too large to be read."""
         self._is_behind = True
 
     # Following ---------------------------------------------------------------
 
     async def run(self) -> None:
-        """Follow the document, and ask for its revision before that gets old."""
+        """Follow the document, and read its revision before a confirmation expires."""
         if self._shortest_limit is None:
             await self._follow()
         else:
-            await asyncio.gather(self._follow(), self._keep_sure(self._shortest_limit))
+            await asyncio.gather(self._follow(), self._keep_fresh(self._shortest_limit))
 
     async def _follow(self) -> None:
         revision = 0
@@ -175,7 +180,7 @@
                 if isinstance(answer, DeclaredQueues):
                     self._apply(answer, None)
             if isinstance(answer, DeclaredQueues):
-                # Before any document there is nothing to follow from.
+                # Without a document there is no revision to follow from.
                 revision = answer.revision if self.table is not None else 0
             elif isinstance(answer, RevisionTooOld | ReplyTooLarge):
                 revision = 0
@@ -183,7 +188,7 @@
             if not is_followed and not isinstance(answer, ReplyTooLarge):
                 await self._clock.sleep(RETRY_DELAY)
 
-    async def _keep_sure(self, limit: timedelta) -> None:
+    async def _keep_fresh(self, limit: timedelta) -> None:
         while True:
             await self._clock.sleep(REFRESH_INTERVAL)
             is_due = self._is_behind or not self.is_fresh(limit * REFRESH_SHARE)
@@ -202,8 +207,9 @@
     def _apply(self, declared: DeclaredQueues, sent: float | None) -> None:
         """Put a newer document in force.
 
-        :param sent: when the question was sent that this answers, monotonic
-            seconds; ``None`` for what proves nothing of what came after it.
+        :param sent: The monotonic time in seconds when the request was sent that this
+            answers, ``None`` if the answer doesn't prove that the document is the
+            newest.
         """
         if declared.document < self._document:
             return
@@ -214,7 +220,7 @@
             self.table = table
             set_revision(table.version)
             _log.info(
-                "In force.",
+                "A document is in force.",
                 version=table.version,
                 queues=len(table.queues),
                 accounts=len(table.accounts),
--- a/tests/test_account_metrics.py
+++ b/tests/test_account_metrics.py
@@ -1,12 +1,12 @@
-"""Numbers of client accounts."""
+"""Tests the metrics of client accounts."""
 
 import unittest
 from unittest import mock
 
 from damaskdeck.coordination.pools import accountmetrics
 from damaskdeck.coordination.pools.accountmetrics import (
-    NAMES_LIMIT,
-    OTHERS,
+    MAX_ACCOUNT_LABELS,
+    OTHERS_LABEL,
     AccountMetrics,
 )
 from damaskdeck.protocol.queues import QueueJobState
@@ -16,18 +16,18 @@
 
 
 class TestAccountMetrics(unittest.TestCase):
-    """What is told, and under how many names."""
+    """What is published, and under how many labels."""
 
     def setUp(self) -> None:
         self.job_index = JobIndex()
         self.metrics = AccountMetrics(self.job_index, lambda name: 700)
         self.states: dict[str, tuple[int, int]] = {}
         self.ended: list[tuple[str, str]] = []
-        for name, stand_in in (
+        for name, replacement in (
             ("set_account", lambda name, *state: self.states.update({name: state})),
             ("count_account_job", lambda *row: self.ended.append(row)),
         ):
-            patch = mock.patch.object(accountmetrics, name, stand_in)
+            patch = mock.patch.object(accountmetrics, name, replacement)
             patch.start()
             self.addCleanup(patch.stop)
 
@@ -38,14 +38,14 @@
         self.job_index.add(job)
         return job
 
-    def test_waiting_jobs_and_what_runs_are_told(self):
+    def test_waiting_jobs_and_usage_are_published(self):
         self.add("j1", "kiosk")
         self.add("j2", "kiosk").record_start()
         self.add("j3", "")
         self.metrics.publish(10.0)
         self.assertEqual(self.states, {"kiosk": (1, 700)})
 
-    def test_an_account_without_jobs_goes_back_to_nothing(self):
+    def test_an_account_without_jobs_returns_to_zero(self):
         self.job_index.remove(self.add("j1", "kiosk"))
         job = self.add("j2", "kiosk")
         self.metrics.publish(10.0)
@@ -53,7 +53,7 @@
         self.metrics.publish(12.0)
         self.assertEqual(self.states["kiosk"], (0, 0))
 
-    def test_late_jobs_are_told_apart(self):
+    def test_late_jobs_have_their_own_outcome(self):
         for took, outcome in ((1.0, "completed"), (100.0, "late")):
             job = self.add(outcome, "kiosk")
             job.close(QueueJobState.COMPLETED, took)
@@ -64,9 +64,9 @@
         outcomes = [outcome for _, outcome in self.ended]
         self.assertEqual(outcomes, ["completed", "late", "failed"])
 
-    def test_names_are_bounded(self):
-        for number in range(NAMES_LIMIT + 5):
+    def test_the_number_of_labels_is_bounded(self):
+        for number in range(MAX_ACCOUNT_LABELS + 5):
             self.add(f"j{number}", f"a{number}")
         self.metrics.publish(10.0)
-        self.assertEqual(len(self.states), NAMES_LIMIT + 1)
-        self.assertEqual(self.states[OTHERS], (5, 5 * 700))
+        self.assertEqual(len(self.states), MAX_ACCOUNT_LABELS + 1)
+        self.assertEqual(self.states[OTHERS_LABEL], (5, 5 * 700))
--- a/tests/test_ceilings.py
+++ b/tests/test_ceilings.py
@@ -1,7 +1,7 @@
-"""Ceilings: what a successor need not fear of workers that don't answer.
+"""Tests the ceilings, which bound the usage on workers that don't answer a successor.
 
-The load is that of an availability zone that is cut off with the owner in it, a third
-of the workers: an account at its quota, with more to do, must go on with what is left.
+An availability zone with the owner and a third of the workers is cut off. An account
+that was at its quota and has more jobs must continue with the rest of its quota.
 """
 
 import asyncio
@@ -25,83 +25,83 @@
 
 
 class TestCeilings(unittest.TestCase):
-    """What holds of a quota, and from when on."""
+    """Which part of a quota may be used, and since when."""
 
     def setUp(self) -> None:
         self.changes = 0
-        self.ceilings = Ceilings(self.note_change)
+        self.ceilings = Ceilings(self.record_change)
 
-    def note_change(self) -> None:
-        """Count."""
+    def record_change(self) -> None:
+        """Count the changes."""
         self.changes += 1
 
     def limit(self, quota: Size, needed: Size, now: float = 10.0) -> Size:
-        """Return what holds of an account's quota."""
+        """Return the part of an account's quota that may be used."""
         return self.ceilings.limit("kiosk", quota, needed, now)
 
     def lower(self, quota: Size, used: Size, now: float = 20.0) -> None:
-        """Take note of what runs, long after more was needed."""
+        """Lower the ceiling to a usage, long after more was needed."""
         self.ceilings.lower_to("kiosk", quota, used, now)
 
     def make_durable(self) -> CeilingsRecord:
-        """Write, and take note that it is durable."""
-        write, note_durable = self.ceilings.build_write()
-        note_durable()
+        """Build the write, make it durable and return its record."""
+        write, mark_durable = self.ceilings.build_write()
+        mark_durable()
         return decode_record(CeilingsRecord, write.value)
 
     def test_nothing_starts_before_its_ceiling_is_durable(self):
         limit = self.limit(HIGH, LOW)
         self.assertEqual(limit, ZERO_SIZE)
-        # With room for a little more, so that not each start waits.
+        # The ceiling has headroom, so that not every start waits for a commit.
         self.assertEqual(self.make_durable().accounts, {"kiosk": Size(1750, 2125, 0)})
         limit = self.limit(HIGH, LOW)
         self.assertEqual(limit, Size(1750, 2125, 0))
         self.assertEqual(self.changes, 1)
 
-    def test_it_never_passes_the_quota(self):
+    def test_a_ceiling_never_exceeds_the_quota(self):
         self.limit(LOW, HIGH)
         self.assertEqual(self.make_durable().accounts, {"kiosk": LOW})
         self.limit(LOW, HIGH)
         self.assertEqual(self.changes, 1)
 
-    def test_a_lower_one_holds_from_when_it_is_wanted(self):
+    def test_a_lower_ceiling_applies_at_once(self):
         self.limit(HIGH, HIGH)
         self.make_durable()
         self.lower(HIGH, LOW)
         self.assertEqual(self.limit(HIGH, LOW), Size(1750, 2125, 0))
 
-    def test_one_that_is_on_its_way_may_hold_already(self):
+    def test_a_ceiling_in_flight_may_apply_already(self):
         self.limit(HIGH, HIGH)
         self.make_durable()
         self.lower(HIGH, LOW)
-        _, note_durable = self.ceilings.build_write()
-        # Wanted high again, but a successor may find the low one.
+        _, mark_durable = self.ceilings.build_write()
+        # The higher ceiling is wanted again, but a successor may find the lower one.
         low = Size(1750, 2125, 0)
         self.assertEqual(self.limit(HIGH, HIGH), low)
-        note_durable()
+        mark_durable()
         self.assertEqual(self.limit(HIGH, HIGH), low)
         self.make_durable()
         self.assertEqual(self.limit(HIGH, HIGH), HIGH)
 
-    def test_what_was_only_wanted_lower_is_had_at_once(self):
+    def test_a_lower_ceiling_that_was_not_sent_can_be_raised_at_once(self):
         self.limit(HIGH, HIGH)
         self.make_durable()
         self.lower(HIGH, LOW)
         self.assertEqual(self.limit(HIGH, HIGH), HIGH)
 
-    def test_it_stays_while_it_is_near_what_runs(self):
+    def test_a_ceiling_near_the_usage_stays(self):
         self.limit(HIGH, HIGH)
         self.lower(HIGH, Size(5000, 7000, 0))
         self.assertEqual(self.changes, 1)
 
-    def test_it_stays_while_something_waits_for_as_much(self):
+    def test_a_ceiling_that_is_still_needed_stays(self):
         self.limit(HIGH, HIGH)
         for now in range(11, 30):
             self.lower(HIGH, LOW, now)
             self.limit(HIGH, HIGH, now)
         self.assertEqual(self.changes, 1)
 
-    def test_it_never_falls_below_what_runs(self):
+    def test_a_ceiling_never_falls_below_the_usage(self):
         self.limit(HIGH, HIGH)
         self.lower(LOW, Size(3000, 3000, 0))
         written = self.make_durable().accounts["kiosk"]
@@ -112,9 +112,9 @@
     """An owner is cut off with a third of the workers."""
 
     async def cut_owner_off(self, shrinks: bool = False):
-        """Cut a zone off with the owner while an account is at its quota.
+        """Cut off the owner's zone while an account is at its quota.
 
-        :param shrinks: the workers there have shrunk below what they run.
+        :param shrinks: Whether the workers there shrink below their usage before.
         """
         cluster = await self.begin_accounts(
             HIGH, workers=6, zones=3, behave=lambda task, attempt: Work(3 * SECOND)
@@ -124,7 +124,7 @@
             await self.submit(f"j{number}", spec)
         await asyncio.sleep(1)
         owner = cluster.find_owner()
-        # The zone of the first of its runs, so that some run on either side.
+        # The zone of the first run is cut off, so that both sides have runs.
         (*_, used), *_ = cluster.list_starts()
         zone = cluster.workers[used].info.zone
         if shrinks:
@@ -143,16 +143,16 @@
             await self.submit(f"n{number}", spec, successor.name)
         return cluster
 
-    def count_new(self, cluster) -> int:
-        """Count the starts of the jobs that came after the takeover."""
+    def count_new_starts(self, cluster) -> int:
+        """Count the starts of the jobs submitted after the takeover."""
         return sum(task.job.startswith("n") for _, task, *_ in cluster.list_starts())
 
     @virtual
-    async def test_an_account_goes_on_with_what_is_left(self):
+    async def test_an_account_continues_with_the_rest_of_its_quota(self):
         cluster = await self.cut_owner_off()
         await asyncio.sleep(4)
-        # Four of six ran where they were found; so many may run in their place.
-        self.assertGreaterEqual(self.count_new(cluster), 3)
+        # Four of six runs were found after the takeover, and as many may follow them.
+        self.assertGreaterEqual(self.count_new_starts(cluster), 3)
         self.assert_within_quota()
         await asyncio.sleep(20)
         cluster.heal()
@@ -161,25 +161,25 @@
         self.end()
 
     @virtual
-    async def test_workers_that_have_shrunk_may_run_what_they_held(self):
+    async def test_shrunk_workers_may_still_run_what_they_held(self):
         cluster = await self.cut_owner_off(shrinks=True)
         await asyncio.sleep(4)
         self.assert_within_quota()
         cluster.close()
 
     @virtual
-    async def test_the_checker_sees_a_successor_that_fears_too_little(self):
-        careless = mock.patch.object(
-            AccountLimits, "_measure_rest", lambda self, account: ZERO_SIZE
+    async def test_the_checker_detects_a_successor_that_assumes_too_little(self):
+        without_bound = mock.patch.object(
+            AccountLimits, "_measure_missing", lambda self, account: ZERO_SIZE
         )
-        with careless:
+        with without_bound:
             cluster = await self.cut_owner_off()
             await asyncio.sleep(1)
         self.assertNotEqual(self.find_overuse(), [])
         cluster.close()
 
     @virtual
-    async def test_what_is_written_is_near_what_runs(self):
+    async def test_the_stored_ceiling_is_near_the_usage(self):
         cluster = await self.begin_accounts(HIGH)
 
         def read() -> Size:
@@ -194,7 +194,7 @@
         self.end()
 
     @virtual
-    async def test_ceilings_that_cannot_be_read_hold_nobody_up_for_good(self):
+    async def test_unreadable_ceilings_do_not_block_accounts_for_good(self):
         cluster = await self.begin_accounts(HIGH)
         cluster.store.set(CEILINGS_KEY, b"\xc1")
         cluster.find_owner().kill()
--- a/tests/test_client_accounts.py
+++ b/tests/test_client_accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts: how they are declared, whose a key is, how sure a document is."""
+"""Tests declared client accounts, the authorization of keys and their freshness."""
 
 import asyncio
 import json
@@ -48,7 +48,7 @@
 
 
 async def read_accounts(*tenants, needs_keys: bool = True, **fields) -> QueueTable:
-    """Return the table of a document with these accounts."""
+    """Return the table of a document that declares the accounts."""
     store = PoolStoreClient(PoolStore(LoopClock()), LoopClock())
     document = {"version": 7, "routes": [ROUTE], "tenants": tenants, **fields}
     store._store.set("op/config", json.dumps(document).encode())
@@ -56,7 +56,7 @@
 
 
 class TestDeclaredAccounts(unittest.TestCase):
-    """Accounts as operators write them."""
+    """Accounts as operators declare them."""
 
     @virtual
     async def test_an_account_is_decoded_without_its_keys(self):
@@ -70,21 +70,21 @@
         self.assertFalse(table.queues[0].is_public)
 
     @virtual
-    async def test_where_no_keys_are_shown_every_queue_is_open(self):
+    async def test_without_keys_every_queue_is_public(self):
         table = await read_accounts(TENANT, needs_keys=False)
         self.assertTrue(table.queues[0].is_public)
         self.assertEqual(len(table.accounts), 0)
 
     @virtual
-    async def test_accounts_that_make_no_sense_leave_the_others(self):
-        odd = ({"name": ""}, 7, {"name": "x", "api_keys": [1]}, {"cap": {}})
+    async def test_invalid_accounts_are_skipped(self):
+        invalid = ({"name": ""}, 7, {"name": "x", "api_keys": [1]}, {"cap": {}})
         with TestHandler() as handler:
-            table = await read_accounts(*odd, TENANT)
+            table = await read_accounts(*invalid, TENANT)
         self.assertEqual([a.name for a in table.accounts], ["kiosk"])
-        self.assertEqual(len(handler.records), len(odd))
+        self.assertEqual(len(handler.records), len(invalid))
 
     @virtual
-    async def test_a_key_of_two_accounts_is_nobodys(self):
+    async def test_a_key_of_two_accounts_belongs_to_none(self):
         other = {**TENANT, "name": "other", "api_keys": ["key-2", "key-4"]}
         with TestHandler() as handler:
             table = await read_accounts(TENANT, other)
@@ -93,7 +93,7 @@
         self.assertEqual(handler.records[0].extra["code"], "ambiguous_key")
 
     @virtual
-    async def test_keys_that_nobody_can_show_are_left_out(self):
+    async def test_unusable_keys_are_skipped(self):
         with TestHandler() as handler:
             table = await read_accounts(
                 {**TENANT, "api_keys": ["", "k" * 1_000_000, "key-1"]}
@@ -104,21 +104,21 @@
         self.assertNotIn("kkkk", handler.records[0].message)
 
     @virtual
-    async def test_a_document_without_accounts_is_told_of(self):
+    async def test_a_document_without_accounts_is_logged(self):
         with TestHandler() as handler:
             table = await read_accounts(tenants=None)
         self.assertEqual(len(table.accounts), 0)
         self.assertEqual(handler.records[0].extra["code"], "no_accounts")
 
-    def test_a_look_up_costs_the_same_at_any_number(self):
+    def test_the_cost_of_a_lookup_does_not_depend_on_the_number_of_accounts(self):
         accounts = ClientAccounts(
             make_account(f"a{n}", *(f"a{n}-{k}" for k in range(10))) for n in range(120)
         )
-        # One step of a table by digest, whoever calls: no account is searched.
+        # Accounts are looked up by digest, without a search.
         self.assertEqual(len(accounts._digests), 1200)
         self.assertEqual(accounts.find(digest_key(b"a119-9")).name, "a119")
 
-    def test_the_settings_tell_whether_keys_are_shown(self):
+    def test_settings_define_whether_keys_are_required(self):
         with open("tests/node.conf") as file:
             text = file.read()
         self.assertFalse(read_node(text).needs_keys)
@@ -130,12 +130,12 @@
         self.assertTrue(settings.needs_keys)
         self.assertEqual(settings.bounds.revocation, 4 * SECOND)
         self.assertEqual(settings.bounds.in_force, 2 * SECOND)
-        lax = read_node(text + more.replace("=true", "=false"))
-        self.assertIsNone(lax.bounds.revocation)
+        lenient = read_node(text + more.replace("=true", "=false"))
+        self.assertIsNone(lenient.bounds.revocation)
 
 
-class _Site:
-    """One daemon's declarations on a store of its own."""
+class _Fixture:
+    """The declarations of one daemon with its own store."""
 
     def __init__(self) -> None:
         self.clock = LoopClock()
@@ -147,7 +147,7 @@
         self.authorizer = CallAuthorizer(self.declarations)
 
     def declare(self, *accounts: ClientAccount, is_public: bool = False) -> None:
-        """Put a document in the store."""
+        """Store a document."""
         version = len(self.tables) + 1
         queue = make_queue(is_public=is_public)
         self.tables[version] = QueueTable(
@@ -156,21 +156,21 @@
         self.store.set(StandinQueues.key, str(version).encode())
 
     def authorize(self, key: bytes | None = b"key-1") -> AuthorizedCall | CallRejected:
-        """Judge a call."""
+        """Authorize a call."""
         return self.authorizer.authorize("a.example", "/plans/00000000000000aa", key)
 
 
 class DeclarationsCase(unittest.TestCase):
-    """Runs a site's declarations beside the test."""
+    """Runs the declarations in the background of a test."""
 
-    async def begin(self) -> _Site:
+    async def begin(self) -> _Fixture:
         """Start with one account in force."""
-        site = _Site()
-        self.site = site
-        site.declare(make_account("kiosk", "key-1"))
-        self.running = asyncio.ensure_future(site.declarations.run())
+        fixture = _Fixture()
+        self.fixture = fixture
+        fixture.declare(make_account("kiosk", "key-1"))
+        self.running = asyncio.ensure_future(fixture.declarations.run())
         await asyncio.sleep(0.1)
-        return site
+        return fixture
 
     def end(self) -> None:
         """Stop."""
@@ -178,47 +178,47 @@
 
 
 class TestAdmission(DeclarationsCase):
-    """Who may call what."""
+    """Which calls are authorized."""
 
     @virtual
-    async def test_before_any_document_nobody_is_admitted(self):
+    async def test_before_any_document_all_calls_are_rejected(self):
         self.assertEqual(
-            _Site().authorize(), CallRejected(CallRejectionCode.NO_DOCUMENT)
+            _Fixture().authorize(), CallRejected(CallRejectionCode.NO_DOCUMENT)
         )
 
     @virtual
-    async def test_a_key_tells_whose_call_it_is(self):
-        site = await self.begin()
-        admitted = site.authorize()
-        wanted = Caller("kiosk", "plans", digest_key(b"key-1"))
-        self.assertEqual(admitted.caller, wanted)
+    async def test_a_key_identifies_the_account(self):
+        fixture = await self.begin()
+        admitted = fixture.authorize()
+        caller = Caller("kiosk", "plans", digest_key(b"key-1"))
+        self.assertEqual(admitted.caller, caller)
         self.assertEqual(
-            site.authorize(b"key-2"), CallRejected(CallRejectionCode.UNKNOWN_KEY)
+            fixture.authorize(b"key-2"), CallRejected(CallRejectionCode.UNKNOWN_KEY)
         )
         self.assertEqual(
-            site.authorize(None), CallRejected(CallRejectionCode.MISSING_KEY)
+            fixture.authorize(None), CallRejected(CallRejectionCode.MISSING_KEY)
         )
         self.assertEqual(
-            site.authorize(b""), CallRejected(CallRejectionCode.MISSING_KEY)
+            fixture.authorize(b""), CallRejected(CallRejectionCode.MISSING_KEY)
         )
-        no_queue = site.authorizer.authorize("a.example", "/none/1", b"key-1")
+        no_queue = fixture.authorizer.authorize("a.example", "/none/1", b"key-1")
         self.assertEqual(no_queue, CallRejected(CallRejectionCode.NO_QUEUE))
         self.end()
 
     @virtual
     async def test_a_public_queue_needs_no_key(self):
-        site = await self.begin()
-        site.declare(is_public=True)
+        fixture = await self.begin()
+        fixture.declare(is_public=True)
         await asyncio.sleep(0.1)
-        self.assertEqual(site.authorize(None).caller, Caller(queue="plans"))
+        self.assertEqual(fixture.authorize(None).caller, Caller(queue="plans"))
         self.end()
 
     @virtual
-    async def test_a_line_names_the_account_and_never_the_key(self):
-        site = await self.begin()
+    async def test_a_log_line_names_the_job_and_never_the_key(self):
+        fixture = await self.begin()
         with TestHandler() as handler:
-            site.authorize(b"a-secret-that-is-wrong")
-        record = next(r for r in handler.records if r.message == "Turned away.")
+            fixture.authorize(b"a-secret-that-is-wrong")
+        record = next(r for r in handler.records if r.message == "A call was rejected.")
         self.assertEqual(record.extra["code"], CallRejectionCode.UNKNOWN_KEY)
         self.assertEqual(record.extra["id"], "00000000000000aa")
         self.assertNotIn("secret", str(record.extra) + record.message)
@@ -226,128 +226,132 @@
 
 
 class TestSureness(DeclarationsCase):
-    """Until when a document may be taken for the newest."""
+    """How long a document counts as the newest."""
 
     @virtual
     async def test_a_daemon_that_is_cut_off_stops_in_time(self):
-        site = await self.begin()
-        site.client.faults.outage = True
-        cut_at = site.clock.monotonic()
-        site.declare()
+        fixture = await self.begin()
+        fixture.client.faults.outage = True
+        cut_at = fixture.clock.monotonic()
+        fixture.declare()
         for _ in range(1000):
-            if isinstance(site.authorize(), CallRejected):
+            if isinstance(fixture.authorize(), CallRejected):
                 break
             await asyncio.sleep(0.01)
-        # The bound counts from when the key was taken away, at the cut.
-        self.assertLess(site.clock.monotonic() - cut_at, LIMIT)
+        # The bound counts from the cut, when the key was revoked.
+        self.assertLess(fixture.clock.monotonic() - cut_at, LIMIT)
         self.assertEqual(
-            site.authorize(), CallRejected(CallRejectionCode.STALE_DOCUMENT)
+            fixture.authorize(), CallRejected(CallRejectionCode.STALE_DOCUMENT)
         )
-        site.client.faults.outage = False
+        fixture.client.faults.outage = False
         await asyncio.sleep(0.5)
-        self.assertEqual(site.authorize(), CallRejected(CallRejectionCode.UNKNOWN_KEY))
+        self.assertEqual(
+            fixture.authorize(), CallRejected(CallRejectionCode.UNKNOWN_KEY)
+        )
         self.end()
 
     @virtual
     async def test_it_recovers_by_itself(self):
-        site = await self.begin()
-        site.client.faults.outage = True
+        fixture = await self.begin()
+        fixture.client.faults.outage = True
         await asyncio.sleep(6)
         self.assertEqual(
-            site.authorize(), CallRejected(CallRejectionCode.STALE_DOCUMENT)
+            fixture.authorize(), CallRejected(CallRejectionCode.STALE_DOCUMENT)
         )
-        site.client.faults.outage = False
+        fixture.client.faults.outage = False
         await asyncio.sleep(0.5)
-        self.assertIsInstance(site.authorize(), AuthorizedCall)
+        self.assertIsInstance(fixture.authorize(), AuthorizedCall)
         self.end()
 
     @virtual
-    async def test_a_watch_that_hears_nothing_proves_nothing(self):
-        site = await self.begin()
+    async def test_a_silent_watch_confirms_nothing(self):
+        fixture = await self.begin()
 
-        async def hear_nothing(revision, wait):
+        async def report_nothing(revision, wait):
             await asyncio.sleep(wait.total_seconds())
             return DeclaredQueues(None, revision + 1)
 
-        async def get_no_answer(known=0):
+        async def lose_answer(known=0):
             await asyncio.sleep(1.5)
             return Lost("timeout")
 
-        site.source.follow_queues = hear_nothing
-        site.source.read_queues = get_no_answer
+        fixture.source.follow_queues = report_nothing
+        fixture.source.read_queues = lose_answer
         await asyncio.sleep(LIMIT.total_seconds() + 2.1)
         self.assertEqual(
-            site.authorize(), CallRejected(CallRejectionCode.STALE_DOCUMENT)
+            fixture.authorize(), CallRejected(CallRejectionCode.STALE_DOCUMENT)
         )
         self.end()
 
     @virtual
-    async def test_an_answer_counts_from_when_its_question_was_sent(self):
-        site = await self.begin()
-        site.client.faults.delay = 3 * SECOND
+    async def test_the_age_counts_from_when_the_request_was_sent(self):
+        fixture = await self.begin()
+        fixture.client.faults.delay = 3 * SECOND
         await asyncio.sleep(7)
-        # Each answer is 3 s old when it comes, and good for one second more.
-        self.assertGreaterEqual(site.declarations.measure_age(), 3.0)
+        # Each answer is 3 s old when it arrives and valid for one more second.
+        self.assertGreaterEqual(fixture.declarations.measure_age(), 3.0)
         self.end()
 
     @virtual
     async def test_a_commit_that_expected_the_document_confirms_it(self):
-        site = await self.begin()
-        site.client.faults.outage = True
+        fixture = await self.begin()
+        fixture.client.faults.outage = True
         await asyncio.sleep(3.5)
-        declarations = site.declarations
+        declarations = fixture.declarations
         declarations.confirm(declarations.expected, declarations._now())
         await asyncio.sleep(3.5)
-        self.assertIsInstance(site.authorize(), AuthorizedCall)
-        # What another document was expected by proves nothing of this one.
+        self.assertIsInstance(fixture.authorize(), AuthorizedCall)
+        # A commit that expected another document confirms nothing about this one.
         declarations.confirm((("operator/queues", 1),), declarations._now())
         await asyncio.sleep(0.6)
         self.assertEqual(
-            site.authorize(), CallRejected(CallRejectionCode.STALE_DOCUMENT)
+            fixture.authorize(), CallRejected(CallRejectionCode.STALE_DOCUMENT)
         )
         self.end()
 
     @virtual
-    async def test_a_refused_commit_brings_the_newer_document(self):
-        site = await self.begin()
-        site.client.faults.outage = True
-        site.declare(make_account("kiosk", "key-9"))
-        declarations = site.declarations
-        shown = Mismatch((site.store.entries[StandinQueues.key],))
-        self.assertTrue(declarations.handle_mismatch(shown, declarations._now()))
-        self.assertFalse(declarations.handle_mismatch(shown, declarations._now()))
-        self.assertEqual(site.authorize(), CallRejected(CallRejectionCode.UNKNOWN_KEY))
-        self.assertIsInstance(site.authorize(b"key-9"), AuthorizedCall)
+    async def test_a_refused_commit_provides_the_newer_document(self):
+        fixture = await self.begin()
+        fixture.client.faults.outage = True
+        fixture.declare(make_account("kiosk", "key-9"))
+        declarations = fixture.declarations
+        mismatch = Mismatch((fixture.store.entries[StandinQueues.key],))
+        self.assertTrue(declarations.handle_mismatch(mismatch, declarations._now()))
+        self.assertFalse(declarations.handle_mismatch(mismatch, declarations._now()))
+        self.assertEqual(
+            fixture.authorize(), CallRejected(CallRejectionCode.UNKNOWN_KEY)
+        )
+        self.assertIsInstance(fixture.authorize(b"key-9"), AuthorizedCall)
         self.end()
 
     @virtual
-    async def test_a_document_that_cannot_be_read_is_not_passed_over(self):
-        site = await self.begin()
-        site.store.set(StandinQueues.key, b"99")
+    async def test_an_unreadable_document_is_not_skipped(self):
+        fixture = await self.begin()
+        fixture.store.set(StandinQueues.key, b"99")
         await asyncio.sleep(LIMIT.total_seconds() + 0.1)
         self.assertEqual(
-            site.authorize(), CallRejected(CallRejectionCode.STALE_DOCUMENT)
+            fixture.authorize(), CallRejected(CallRejectionCode.STALE_DOCUMENT)
         )
         self.end()
 
     @virtual
-    async def test_a_storm_of_documents_leaves_the_last_in_force(self):
-        site = await self.begin()
+    async def test_of_frequent_documents_the_last_is_in_force(self):
+        fixture = await self.begin()
         for number in range(20):
-            site.declare(make_account("kiosk", f"key-{number}"))
+            fixture.declare(make_account("kiosk", f"key-{number}"))
             await asyncio.sleep(0.3)
             self.assertIsInstance(
-                site.authorize(f"key-{number}".encode()), AuthorizedCall
+                fixture.authorize(f"key-{number}".encode()), AuthorizedCall
             )
             if number != 1:
-                self.assertIsInstance(site.authorize(), CallRejected)
+                self.assertIsInstance(fixture.authorize(), CallRejected)
         self.end()
 
     @virtual
-    async def test_nothing_is_asked_where_nothing_depends_on_it(self):
-        site = _Site()
-        free = Declarations(site.source, site.clock)
-        site.declare()
+    async def test_no_confirmation_is_read_without_a_limit(self):
+        fixture = _Fixture()
+        free = Declarations(fixture.source, fixture.clock)
+        fixture.declare()
         running = asyncio.ensure_future(free.run())
         await asyncio.sleep(10)
         self.assertTrue(free.can_verify_keys)
--- a/tests/test_pools_accounts.py
+++ b/tests/test_pools_accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts on whole clusters: whose jobs are served, and what may run."""
+"""Tests client accounts on clusters: access to jobs, revoked keys and quotas."""
 
 import asyncio
 from datetime import timedelta
@@ -51,7 +51,7 @@
     """A cluster with two accounts."""
 
     async def begin_accounts(self, quota: Size = QUOTA, **options):
-        """Start it."""
+        """Start the cluster."""
         cluster = await self.begin(
             queues=(QUEUE,), accounts=make_accounts(quota), **options
         )
@@ -59,12 +59,12 @@
         return cluster
 
     async def submit(self, job: str, spec=None, daemon: str = "d0", caller=KIOSK):
-        """Hand a job in."""
+        """Submit a job."""
         frontend = self.cluster.daemons[daemon].frontend
         return await frontend.submit(QUEUE, job, spec or make_job(), caller)
 
     def find_overuse(self) -> list[str]:
-        """Return the starts beyond a quota, of all that the workers saw."""
+        """Return the starts on workers that exceeded a quota."""
         jobs = read_jobs(self.cluster)
 
         def find_size(task: TaskName) -> tuple[str, Size]:
@@ -74,15 +74,15 @@
         return find_overuse(self.cluster, find_size)
 
     def assert_within_quota(self) -> None:
-        """Check all starts that the workers saw."""
+        """Check all starts on workers against the quotas."""
         self.assertEqual(self.find_overuse(), [])
 
 
 class TestWhoCalls(AccountsCase):
-    """A job is its account's."""
+    """A job belongs to its account."""
 
     @virtual
-    async def test_another_account_sees_a_job_as_absent(self):
+    async def test_another_account_does_not_find_a_job(self):
         cluster = await self.begin_accounts()
         self.assertEqual(await self.submit("j1"), JobAccepted())
         for daemon in cluster.daemons.values():
@@ -100,7 +100,7 @@
         self.end()
 
     @virtual
-    async def test_another_account_does_not_hand_the_same_job_in(self):
+    async def test_another_account_cannot_submit_the_same_job(self):
         cluster = await self.begin_accounts()
         self.assertEqual(await self.submit("j1"), JobAccepted())
         self.assertEqual(await self.submit("j1", daemon="d1"), JobAccepted())
@@ -111,7 +111,7 @@
         self.end()
 
     @virtual
-    async def test_jobs_of_a_queue_that_becomes_private_are_still_seen(self):
+    async def test_jobs_of_a_queue_that_becomes_private_stay_visible(self):
         cluster = await self.begin_accounts()
         cluster.declare((QUEUE._replace(is_public=True),), make_accounts())
         await asyncio.sleep(0.1)
@@ -123,7 +123,7 @@
         self.end()
 
     @virtual
-    async def test_without_the_owner_the_store_tells_whose_a_job_is(self):
+    async def test_without_the_owner_the_store_identifies_the_account(self):
         cluster = await self.begin_accounts()
         self.assertEqual(await self.submit("j1"), JobAccepted())
         daemon = cluster.find_other_daemon()
@@ -139,13 +139,13 @@
 
 
 class TestKeysTakenAway(AccountsCase):
-    """What a key that was taken away still does: nothing."""
+    """A revoked key has no effect any more."""
 
     @virtual
-    async def test_a_commit_is_refused_whatever_the_daemon_believes(self):
+    async def test_a_commit_is_refused_after_a_revocation_unknown_to_the_daemon(self):
         cluster = await self.begin_accounts()
         frontend = cluster.daemons["d0"].frontend
-        # The key goes while the call is under way; no watch has told yet.
+        # The key is revoked while the call is in flight, before a watch reports it.
         cluster.declare((QUEUE,), make_accounts(keys=()))
         done = await frontend.submit(QUEUE, "j1", make_job(), KIOSK)
         self.assertEqual(done, CallRejected(CallRejectionCode.UNKNOWN_KEY))
@@ -153,14 +153,14 @@
         self.end()
 
     @virtual
-    async def test_what_was_stored_without_an_answer_is_not_refused(self):
+    async def test_a_job_stored_without_an_answer_is_not_refused(self):
         cluster = await self.begin_accounts()
         daemon = cluster.daemons["d0"]
 
         async def lose_answer(transaction, timeout=None, max_reply_bytes=None):
             daemon.store.commit = commit
-            # Before it is tried again the key goes, and no watch tells of it yet; the
-            # job is stored, and will run.
+            # The key is revoked before the retry, and no watch has reported that yet.
+            # The job is stored and will run.
             self.assertIsInstance(await commit(transaction), Written)
             cluster.declare((QUEUE,), make_accounts(keys=()))
             return await commit(transaction)
@@ -170,19 +170,19 @@
         self.end()
 
     @virtual
-    async def test_another_document_keeps_a_call_that_is_still_allowed(self):
+    async def test_a_call_that_is_still_authorized_survives_a_new_document(self):
         cluster = await self.begin_accounts()
         cluster.declare((QUEUE,), make_accounts(keys=("key-1", "key-9")))
         self.assertEqual(await self.submit("j1"), JobAccepted())
         self.end()
 
     @virtual
-    async def test_a_daemon_that_is_turned_away_hands_nothing_in(self):
+    async def test_a_daemon_that_the_store_rejects_submits_nothing(self):
         cluster = await self.begin_accounts()
         daemon = cluster.find_other_daemon()
         daemon.store.faults.outage = True
         await asyncio.sleep(1)
-        # Its helpers have the store, and judge the key by their own document.
+        # Its delegates reach the store and verify the key by their own document.
         self.assertEqual(await self.submit("j1", daemon=daemon.name), JobAccepted())
         cluster.declare((QUEUE,), make_accounts(keys=()))
         await asyncio.sleep(0.1)
@@ -192,33 +192,33 @@
         self.end()
 
     @virtual
-    async def test_a_restart_behind_a_cut_admits_nobody(self):
+    async def test_a_restarted_daemon_without_the_store_authorizes_no_calls(self):
         cluster = await self.begin_accounts()
         daemon = cluster.find_other_daemon()
         daemon.kill()
-        fresh = cluster.add_daemon(daemon.name)
-        fresh.store.faults.outage = True
-        fresh.start()
+        restarted = cluster.add_daemon(daemon.name)
+        restarted.store.faults.outage = True
+        restarted.start()
         await asyncio.sleep(2)
-        judged = fresh.authorizer.authorize("a.example", "/plans/0a", b"key-1")
-        self.assertEqual(judged, CallRejected(CallRejectionCode.NO_DOCUMENT))
+        result = restarted.authorizer.authorize("a.example", "/plans/0a", b"key-1")
+        self.assertEqual(result, CallRejected(CallRejectionCode.NO_DOCUMENT))
         self.end()
 
     @virtual
-    async def test_a_suspend_ends_what_was_sure(self):
+    async def test_a_document_is_stale_after_a_suspend(self):
         cluster = await self.begin_accounts()
         daemon = cluster.find_other_daemon()
         daemon.freeze()
         daemon.store.faults.outage = True
         await asyncio.sleep(6)
-        judged = daemon.authorizer.authorize("a.example", "/plans/0a", b"key-1")
-        self.assertEqual(judged, CallRejected(CallRejectionCode.STALE_DOCUMENT))
+        result = daemon.authorizer.authorize("a.example", "/plans/0a", b"key-1")
+        self.assertEqual(result, CallRejected(CallRejectionCode.STALE_DOCUMENT))
         daemon.thaw()
         self.end()
 
 
 class TestQuotas(AccountsCase):
-    """What an account has running never passes its quota."""
+    """The usage of an account never exceeds its quota."""
 
     @virtual
     async def test_a_wide_step_runs_in_waves(self):
@@ -231,13 +231,13 @@
             JobStateFound(QueueJobState.COMPLETED),
         )
         self.assert_within_quota()
-        # Four waves of a second each, and hardly more.
+        # There are four waves of a second each, and little time between them.
         starts = [at for at, *_ in cluster.list_starts("j1")]
         self.assertLess(starts[-1] - starts[0], timedelta(seconds=3.6))
         self.end()
 
     @virtual
-    async def test_one_account_at_its_quota_does_not_hold_up_another(self):
+    async def test_one_account_at_its_quota_does_not_delay_another(self):
         cluster = await self.begin_accounts()
         await self.submit("j1", make_job(StepSpec(8, SMALL, 5 * SECOND)))
         await self.submit("j2", make_job(StepSpec(4, SMALL, SECOND)), caller=OTHER)
@@ -247,12 +247,12 @@
         self.end()
 
     @virtual
-    async def test_a_gang_above_the_quota_starts_when_that_is_raised(self):
+    async def test_a_gang_above_the_quota_starts_when_the_quota_is_raised(self):
         cluster = await self.begin_accounts()
         await self.submit("g", make_job(StepSpec(4, SMALL, SECOND, is_gang=True)))
         await self.submit("j1")
         await asyncio.sleep(5)
-        # It waits, and what is behind it does not.
+        # The gang waits, and the job behind it does not.
         self.assertEqual(cluster.list_starts("g"), [])
         self.assertEqual(len(cluster.list_starts("j1")), 1)
         cluster.declare((QUEUE,), make_accounts(Size(4000, 4000, 0)))
@@ -261,7 +261,7 @@
         self.end()
 
     @virtual
-    async def test_the_advisor_is_asked_about_what_waits_for_its_quota(self):
+    async def test_the_advisor_is_queried_about_the_first_step_held_back(self):
         queue = QUEUE._replace(advice=TERMS)
         cluster = await self.begin(queues=(queue,), accounts=make_accounts())
         await asyncio.sleep(0.1)
@@ -275,7 +275,7 @@
             for daemon in cluster.daemons.values()
             for step, _ in daemon.advisor.calls
         }
-        # The first that its quota holds back has its tickets, and no other.
+        # Of the steps that the quota holds back only the first has tickets.
         self.assertEqual(len(asked), 2)
         await asyncio.sleep(4)
         self.assertEqual(len(cluster.list_starts()), 6)
@@ -283,7 +283,7 @@
         self.end()
 
     @virtual
-    async def test_a_lower_quota_holds_for_what_starts_then(self):
+    async def test_a_lower_quota_applies_to_later_starts(self):
         cluster = await self.begin_accounts(Size(6000, 6000, 0))
         await self.submit("j1", make_job(StepSpec(12, SMALL, SECOND)))
         await asyncio.sleep(0.5)
@@ -293,15 +293,18 @@
         self.assert_within_quota()
         self.end()
 
-    async def lower_behind_an_outage(self):
-        """Lower a quota that binds while the store answers no daemon, for 8 s.
+    async def lower_during_an_outage(self):
+        """Lower a quota in use during an outage of the store for all daemons, for 8 s.
 
-        Workers' rooms count as known: the quota alone has to hold the owner back.
+        The capacity of workers counts as fresh, so that the quota alone limits the
+        owner.
+
+        :returns: The cluster and the starts by the outdated quota.
         """
-        rooms = mock.patch.object(
+        fresh_capacity = mock.patch.object(
             WorkerContact, "is_capacity_fresh", lambda self, now: True
         )
-        self.enterContext(rooms)
+        self.enterContext(fresh_capacity)
         cluster = await self.begin_accounts(Size(6000, 6000, 0))
         owner = cluster.find_owner()
         await self.submit("j1", make_job(StepSpec(60, SMALL, SECOND)))
@@ -309,31 +312,35 @@
         for daemon in cluster.daemons.values():
             daemon.store.faults.outage = True
         cluster.declare((QUEUE,), make_accounts(Size(1000, 1000, 0)))
-        lowered = cluster.clock.monotonic()
+        lowered_at = cluster.clock.monotonic()
         await asyncio.sleep(8)
         self.assertIs(cluster.find_owner(), owner)
-        limit = lowered + BOUNDS.in_force
-        return cluster, [row for row in cluster.list_starts("j1") if row[0] > limit]
+        applied_at = lowered_at + BOUNDS.in_force
+        return cluster, [
+            row for row in cluster.list_starts("j1") if row[0] > applied_at
+        ]
 
     @virtual
-    async def test_an_owner_without_the_store_starts_nothing_by_an_old_quota(self):
-        cluster, late = await self.lower_behind_an_outage()
-        self.assertEqual(late, [])
+    async def test_an_owner_without_the_store_starts_nothing_by_an_outdated_quota(self):
+        cluster, late_starts = await self.lower_during_an_outage()
+        self.assertEqual(late_starts, [])
         self.assert_within_quota()
         for daemon in cluster.daemons.values():
             daemon.store.faults.outage = False
         await asyncio.sleep(2)
         self.assert_within_quota()
-        last, *_ = cluster.list_starts("j1")[-1]
-        self.assertGreater(last, cluster.clock.monotonic() - 2 * SECOND)
+        last_start, *_ = cluster.list_starts("j1")[-1]
+        self.assertGreater(last_start, cluster.clock.monotonic() - 2 * SECOND)
         self.end()
 
     @virtual
-    async def test_the_checker_sees_an_owner_that_goes_by_an_old_quota(self):
-        trusting = mock.patch.object(PoolOwner, "are_quotas_fresh", lambda self: True)
-        with trusting:
-            _, late = await self.lower_behind_an_outage()
-        self.assertNotEqual(late, [])
+    async def test_the_checker_detects_an_owner_that_uses_an_outdated_quota(self):
+        without_check = mock.patch.object(
+            PoolOwner, "are_quotas_fresh", lambda self: True
+        )
+        with without_check:
+            _, late_starts = await self.lower_during_an_outage()
+        self.assertNotEqual(late_starts, [])
         self.assertNotEqual(self.find_overuse(), [])
         self.end()
 
@@ -361,7 +368,7 @@
         self.end()
 
     @virtual
-    async def test_what_is_counted_is_what_the_contacts_have(self):
+    async def test_the_counted_usage_matches_the_contacts(self):
         cluster = await self.begin_accounts(Size(6000, 6000, 0))
         await self.submit("j1", make_job(StepSpec(9, SMALL, SECOND)))
         await self.submit("j2", make_job(StepSpec(3, SMALL, SECOND)), caller=OTHER)
--- a/tests/test_pools_accounts_chaos.py
+++ b/tests/test_pools_accounts_chaos.py
@@ -1,4 +1,4 @@
-"""Random faults beside quotas that change and keys that are taken away, by seed."""
+"""Tests quotas and keys that change during random faults, by seed."""
 
 import asyncio
 import unittest
@@ -17,10 +17,10 @@
 from tests.test_pools_chaos import SEEDS, Chaos, ZonedChaos
 from tests.usage import find_overuse
 
-# Of a gang's widest, six tasks of two cores, on workers of four cores.
+# The widest gang has six tasks of two cores, and workers have four cores.
 QUOTAS = (Size(12_000, 12_000, 0), Size(14_000, 20_000, 0), Size(18_000, UNLIMITED, 9))
 NAMES = ("kiosk", "depot")
-# Keys of an account, of which some hold at a time.
+# The keys of an account, some of which are valid at a time.
 KEYS = 3
 
 
@@ -30,35 +30,38 @@
 
 
 def name_account(job: str) -> str:
-    """Return the account of a job: of most the first, so that its quota binds."""
+    """Return the account of a job.
+
+    Most jobs belong to the first account, so that they exceed its quota.
+    """
     return NAMES[int(job[1:]) % 5 == 0]
 
 
 class AccountsChaos(ZonedChaos):
-    """A run with accounts.
+    """A chaos run with client accounts.
 
-    :ivar gone: when each key was last taken away, as long as it is.
+    :ivar revoked_at: When each key that is revoked at present was revoked.
     """
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
-        self.faults += [change_quota, change_keys] * 3 + [lower_behind_a_cut]
+        self.faults += [change_quota, change_keys] * 3 + [lower_during_a_cut]
         self.quotas = {name: QUOTAS[0] for name in NAMES}
         self.keys = {name: set(range(KEYS)) for name in NAMES}
-        self.gone: dict[bytes, timedelta] = {}
+        self.revoked_at: dict[bytes, timedelta] = {}
         self.cluster = AccountsCluster(self)
         self.declare()
 
     def declare(self) -> None:
-        """Put quotas and keys in force, as they are now."""
+        """Declare the current quotas and keys."""
         now = self.cluster.clock.monotonic()
         for name in NAMES:
             for number in range(KEYS):
                 key = make_key(name, number)
                 if number in self.keys[name]:
-                    self.gone.pop(key, None)
+                    self.revoked_at.pop(key, None)
                 else:
-                    self.gone.setdefault(key, now)
+                    self.revoked_at.setdefault(key, now)
         queues = tuple(q._replace(is_public=False) for q in self.cluster.table.queues)
         accounts = tuple(
             make_account(
@@ -71,13 +74,15 @@
         self.cluster.declare(queues, accounts)
 
     def check_key(self, key: bytes, sent: timedelta) -> None:
-        """Check that a call that was answered with success showed a sound key."""
-        gone = self.gone.get(key)
-        if gone is not None and sent > gone + REVOCATION:
-            self.problems.append(f"{key.decode()} served {sent - gone} after it went")
+        """Check that the key of a call that succeeded was valid."""
+        revoked_at = self.revoked_at.get(key)
+        if revoked_at is not None and sent > revoked_at + REVOCATION:
+            self.problems.append(
+                f"{key.decode()} served {sent - revoked_at} after revocation"
+            )
 
     async def run(self) -> list[str]:
-        """Play the run; returns what did not hold."""
+        """Run the scenario and return the violations."""
         probing = asyncio.ensure_future(self.probe())
         problems = await super().run()
         probing.cancel()
@@ -88,7 +93,7 @@
         return name_account(task.job), self.specs[task.job].steps[task.step].size
 
     async def probe(self) -> None:
-        """Ask every daemon with keys that may have been taken away."""
+        """Call every daemon with keys that may have been revoked."""
         while True:
             await asyncio.sleep(0.15)
             for daemon in list(self.cluster.daemons.values()):
@@ -96,74 +101,74 @@
                 sent = self.cluster.clock.monotonic()
                 if daemon.is_killed or not daemon.clock.runs.is_set():
                     continue
-                judged = daemon.authorizer.authorize("a.example", "/plans/1", key)
-                if isinstance(judged, AuthorizedCall):
+                result = daemon.authorizer.authorize("a.example", "/plans/1", key)
+                if isinstance(result, AuthorizedCall):
                     self.check_key(key, sent)
 
     def heal(self) -> None:
-        """End all faults; all keys hold again."""
+        """End all faults and make all keys valid."""
         super().heal()
         self.keys = {name: set(range(KEYS)) for name in NAMES}
         self.declare()
 
 
-class CallingDesk:
-    """A desk behind its admission, as callers meet it.
+class AuthorizingFrontend:
+    """A frontend that authorizes calls first, as it does for callers.
 
-    :param daemon: whose desk it is.
+    :param daemon: The daemon of the frontend.
     """
 
     def __init__(self, chaos: AccountsChaos, daemon) -> None:
         self._chaos = chaos
         self._daemon = daemon
-        self._desk = daemon.frontend
+        self._frontend = daemon.frontend
 
     def __getattr__(self, name: str):
-        return getattr(self._desk, name)
+        return getattr(self._frontend, name)
 
     def _admit(self, queue: Queue, job: str) -> tuple[Caller | None, bytes, timedelta]:
         account = name_account(job)
         numbers = self._chaos.random.sample(range(KEYS), KEYS)
         key = make_key(account, numbers[0])
         sent = self._chaos.cluster.clock.monotonic()
-        judged = self._daemon.authorizer.authorize(queue.host, queue.prefix + job, key)
+        result = self._daemon.authorizer.authorize(queue.host, queue.prefix + job, key)
         return (
-            (judged.caller if isinstance(judged, AuthorizedCall) else None),
+            (result.caller if isinstance(result, AuthorizedCall) else None),
             key,
             sent,
         )
 
     async def submit(self, queue: Queue, job: str, spec):
-        """Hand a job in with a key of its account."""
+        """Submit a job with a key of its account."""
         caller, key, sent = self._admit(queue, job)
         if caller is None:
             return None
-        done = await self._desk.submit(queue, job, spec, caller)
+        done = await self._frontend.submit(queue, job, spec, caller)
         if done == JobAccepted():
             self._chaos.check_key(key, sent)
         return done
 
     async def read_state(self, job: str):
-        """Ask for a job's state with a key of its account."""
-        return await self._ask(self._desk.read_state, job)
+        """Read the state of a job with a key of its account."""
+        return await self._call(self._frontend.read_state, job)
 
     async def cancel(self, job: str):
         """Cancel a job with a key of its account."""
-        return await self._ask(self._desk.cancel, job)
+        return await self._call(self._frontend.cancel, job)
 
-    async def _ask(self, ask, job: str):
-        # Who may see a job on a private queue is told by the account alone.
+    async def _call(self, operation, job: str):
+        # The visibility of a job on a private queue depends on the account only.
         caller, key, sent = self._admit(self._chaos.cluster.table.queues[0], job)
         if caller is None:
             return None
-        told = await ask(job, caller)
-        if isinstance(told, JobStateFound):
+        result = await operation(job, caller)
+        if isinstance(result, JobStateFound):
             self._chaos.check_key(key, sent)
-        return told
+        return result
 
 
 class AccountsCluster(PoolCluster):
-    """A cluster whose callers show keys."""
+    """A cluster whose callers send keys."""
 
     def __init__(self, chaos: AccountsChaos) -> None:
         self._chaos = chaos
@@ -181,9 +186,9 @@
         )
 
     def add_daemon(self, name: str, *args, **options):
-        """Make a daemon whose desk asks for keys."""
+        """Add a daemon whose frontend verifies keys."""
         daemon = super().add_daemon(name, *args, **options)
-        daemon.frontend = CallingDesk(self._chaos, daemon)
+        daemon.frontend = AuthorizingFrontend(self._chaos, daemon)
         return daemon
 
 
@@ -193,8 +198,8 @@
     chaos.declare()
 
 
-def lower_behind_a_cut(chaos: AccountsChaos) -> None:
-    """Lower a quota while the store turns the owner away, and others not."""
+def lower_during_a_cut(chaos: AccountsChaos) -> None:
+    """Lower a quota during an outage of the store for the owner only."""
     owner = chaos.cluster.find_owner()
     if owner is None:
         return
@@ -209,7 +214,7 @@
 
 
 def change_keys(chaos: AccountsChaos) -> None:
-    """Take a key away, or all of an account, or give one back."""
+    """Revoke a key or all keys of an account, or restore a key."""
     name = chaos.random.choice(NAMES)
     if chaos.random.random() < 0.2:
         chaos.keys[name].clear()
@@ -219,7 +224,7 @@
 
 
 def play(seed: int) -> tuple[list[str], list[str]]:
-    """Play a seed; return what did not hold, and the faults."""
+    """Run a seed and return the violations and the faults."""
     chaos: Chaos | None = None
 
     async def run() -> list[str]:
@@ -231,7 +236,7 @@
 
 
 class TestAccountsChaos(unittest.TestCase):
-    """Whatever fails, no quota is passed and no key that went is served."""
+    """During faults no quota is exceeded and no revoked key is served."""
 
     def test_the_invariants_hold_under_faults(self):
         for seed in SEEDS:
@@ -241,28 +246,28 @@
 
 
 class TestCheckers(unittest.TestCase):
-    """Each fence that is taken away is seen within a few seeds."""
+    """Each check that is disabled is detected within a few seeds."""
 
-    def assert_caught(self, words: str) -> None:
-        """Play until a problem says the words."""
+    def assert_caught(self, text: str) -> None:
+        """Run seeds until a violation contains the text."""
         for seed in range(10):
-            if any(words in problem for problem in play(seed)[0]):
+            if any(text in problem for problem in play(seed)[0]):
                 return
-        self.fail(f"nothing was caught: {words}")
+        self.fail(f"nothing was detected: {text}")
 
-    def test_quotas_that_nobody_keeps_are_seen(self):
-        free = mock.patch.object(
+    def test_missing_quotas_are_detected(self):
+        without_quotas = mock.patch.object(
             AccountLimits, "count_startable", lambda self, step, wanted: wanted
         )
-        with free:
+        with without_quotas:
             self.assert_caught(" brings ")
 
-    def test_a_document_that_is_believed_for_ever_is_seen(self):
-        believing = mock.patch.object(Declarations, "can_verify_keys", True)
-        with believing:
+    def test_a_document_without_expiry_is_detected(self):
+        always_fresh = mock.patch.object(Declarations, "can_verify_keys", True)
+        with always_fresh:
             self.assert_caught(" served ")
 
-    def test_keys_that_nobody_looks_at_are_seen(self):
+    def test_missing_key_checks_are_detected(self):
         def authorize(self, host, path, key):
             table = self._declarations.table
             queue = table.find(host, path) if table else None
--- a/tests/test_wide_documents.py
+++ b/tests/test_wide_documents.py
@@ -1,4 +1,4 @@
-"""Documents that take as long to read over a narrow link as they may be late."""
+"""Tests documents so wide that reading them over a narrow link takes up the bound."""
 
 import asyncio
 import itertools
@@ -29,13 +29,13 @@
     in_force=3 * SECOND,
     revocation=5 * SECOND,
 )
-# 5 Mbit/s, in bytes a second.
+# 5 Mbit/s in bytes per second.
 NARROW_RATE = 625_000.0
-# What a daemon may receive for control, bytes a second.
+# The bytes per second that a daemon may receive for control traffic.
 CONTROL_RATE = 23_000.0
-FEW, MANY = 45, 2845
-# Makes a document as wide as a value of the store may be, a megabyte.
-MOST = 4080
+FEW_QUEUES, MANY_QUEUES = 45, 2845
+# Makes a document of a megabyte, the largest value that the store allows.
+MAX_QUEUES = 4080
 HOST = "a.example"
 DOCUMENT = "op/config"
 
@@ -70,7 +70,7 @@
 
 
 class _Daemon:
-    """What of one daemon follows the document and stores jobs."""
+    """The parts of a daemon that follow the document and store jobs."""
 
     def __init__(self, rate: float = NARROW_RATE) -> None:
         self.clock = LoopClock()
@@ -83,7 +83,7 @@
         self._numbers = itertools.count()
         self.storing = JobSubmitter(
             self.store,
-            SimpleNamespace(register=lambda kind, take: None),
+            SimpleNamespace(register=lambda kind, handler: None),
             SimpleNamespace(owner=None, owner_revision=0, refresh=lambda entry: None),
             self.clock,
             self.times,
@@ -103,35 +103,35 @@
         )
 
     def write(self, version: int, queues: int) -> None:
-        """Let the operators write a document."""
+        """Store a document as the operators do."""
         self.wire.store.set(DOCUMENT, build_document(version, queues))
 
     @property
     def version(self) -> int:
-        """Of the document in force."""
+        """The version of the document in force."""
         return self.declarations.table.version if self.declarations.table else 0
 
     def authorize(
         self, queue: int, key: bytes | None = b"key-1"
     ) -> AuthorizedCall | CallRejected:
-        """Judge a call to a queue."""
+        """Authorize a call to a queue."""
         return self.authorizer.authorize(HOST, f"/queue{queue}/00000000000000aa", key)
 
-    async def hand_in(self, identifier: str = "") -> None:
-        """Hand a job in, as a caller with a key does."""
-        judged = self.authorize(1)
-        if isinstance(judged, AuthorizedCall):
+    async def submit_job(self, identifier: str = "") -> None:
+        """Submit a job with a key, as a caller does."""
+        result = self.authorize(1)
+        if isinstance(result, AuthorizedCall):
             identifier = identifier or f"{next(self._numbers):016x}"
             await self.storing.submit(
-                judged.queue, identifier, make_job(), judged.caller
+                result.queue, identifier, make_job(), result.caller
             )
 
 
 class WideDocumentCase(unittest.TestCase):
-    """Runs a daemon with its usual traffic beside the test."""
+    """Runs a daemon with its usual traffic in the background of a test."""
 
     async def begin(self, queues: int, rate: float = NARROW_RATE) -> _Daemon:
-        """Start with a document in force."""
+        """Start a daemon and put a document in force."""
         daemon = _Daemon(rate)
         self._running = [
             asyncio.ensure_future(daemon.declarations.run()),
@@ -149,12 +149,12 @@
             await asyncio.sleep(0.3)
 
     def start_callers(self, daemon: _Daemon, pause: float = 0.2) -> None:
-        """Let callers hand jobs in for as long as the test lasts."""
+        """Let callers submit jobs until the test ends."""
 
         async def call() -> None:
             calls = set()
             while True:
-                calls.add(asyncio.ensure_future(daemon.hand_in()))
+                calls.add(asyncio.ensure_future(daemon.submit_job()))
                 await asyncio.sleep(pause)
 
         self._running.append(asyncio.ensure_future(call()))
@@ -166,67 +166,67 @@
 
 
 class TestNarrowLink(WideDocumentCase):
-    """A link that takes half of the bound to read the document once."""
+    """A link on which reading the document once takes half of the bound."""
 
-    # A document was read from its beginning for ever, and none was ever in force.
+    # The document was read from its beginning again and again and never in force.
     @virtual
     async def test_a_wide_document_is_in_force_within_the_bound(self):
-        daemon = await self.begin(FEW)
+        daemon = await self.begin(FEW_QUEUES)
         self.start_callers(daemon)
-        daemon.write(2, MANY)
+        daemon.write(2, MANY_QUEUES)
         await asyncio.sleep(BOUNDS.in_force.total_seconds())
         self.assertEqual(daemon.version, 2)
         self.end()
 
     @virtual
-    async def test_the_widest_document_there_may_be_is_in_force_within_the_bound(self):
-        daemon = await self.begin(FEW)
+    async def test_the_widest_document_is_in_force_within_the_bound(self):
+        daemon = await self.begin(FEW_QUEUES)
         self.start_callers(daemon)
-        self.assertGreater(len(build_document(2, MOST)), 1_000_000)
-        daemon.write(2, MOST)
+        self.assertGreater(len(build_document(2, MAX_QUEUES)), 1_000_000)
+        daemon.write(2, MAX_QUEUES)
         await asyncio.sleep(BOUNDS.in_force.total_seconds())
         self.assertEqual(daemon.version, 2)
         self.end()
 
-    # The same for a small change of a document that is wide already.
+    # The same failure for a small change of a document that is already wide.
     @virtual
     async def test_a_change_of_a_wide_document_is_in_force_within_the_bound(self):
-        daemon = await self.begin(MANY)
+        daemon = await self.begin(MANY_QUEUES)
         self.start_callers(daemon)
-        daemon.write(2, MANY + 1)
+        daemon.write(2, MANY_QUEUES + 1)
         await asyncio.sleep(BOUNDS.in_force.total_seconds())
         self.assertEqual(daemon.version, 2)
         self.end()
 
-    # Each look whether the document was the newest read all of it.
+    # Each check whether the document was the newest read all of it.
     @virtual
-    async def test_a_wide_document_that_stays_costs_no_more_than_control_may(self):
-        daemon = await self.begin(MANY)
+    async def test_an_unchanged_wide_document_stays_within_the_control_rate(self):
+        daemon = await self.begin(MANY_QUEUES)
         before, seconds = daemon.client.received, 20
         await asyncio.sleep(seconds)
         self.assertLess(daemon.client.received - before, CONTROL_RATE * seconds)
         self.assertIsInstance(daemon.authorize(1), AuthorizedCall)
         self.end()
 
-    # A commit that was refused for another reason was answered with the document.
+    # The reply to a commit that was refused for another reason had the document.
     @virtual
-    async def test_a_job_that_is_handed_in_again_brings_no_document(self):
-        daemon = await self.begin(MANY)
-        await daemon.hand_in("00000000000000aa")
+    async def test_a_job_that_is_submitted_again_transfers_no_document(self):
+        daemon = await self.begin(MANY_QUEUES)
+        await daemon.submit_job("00000000000000aa")
         before, seconds = daemon.client.received, 10
         for _ in range(5 * seconds):
-            await daemon.hand_in("00000000000000aa")
+            await daemon.submit_job("00000000000000aa")
             await asyncio.sleep(0.2)
         self.assertLess(daemon.client.received - before, CONTROL_RATE * seconds)
         self.end()
 
-    # Documents that came faster than they could be read were all read in turn.
+    # Documents that changed faster than they could be read were all read in turn.
     @virtual
-    async def test_of_documents_in_quick_succession_the_last_is_in_force_in_time(self):
-        daemon = await self.begin(MANY)
+    async def test_of_frequent_documents_the_last_is_in_force_in_time(self):
+        daemon = await self.begin(MANY_QUEUES)
         self.start_callers(daemon)
         for version in range(2, 22):
-            daemon.write(version, MANY)
+            daemon.write(version, MANY_QUEUES)
             await asyncio.sleep(0.3)
         await asyncio.sleep(BOUNDS.in_force.total_seconds() - 0.3)
         self.assertEqual(daemon.version, 21)
@@ -234,12 +234,12 @@
 
 
 class TestLostAnswers(WideDocumentCase):
-    """Answers that never come."""
+    """Answers that are lost."""
 
-    # A lost answer was waited for until the document could no longer be judged by.
+    # The wait for a lost answer lasted until the document was stale.
     @virtual
-    async def test_a_daemon_goes_on_where_every_other_answer_is_lost(self):
-        daemon = await self.begin(FEW)
+    async def test_a_daemon_continues_when_every_other_answer_is_lost(self):
+        daemon = await self.begin(FEW_QUEUES)
         numbers = itertools.count()
         daemon.client.loses = lambda path: path == "/kv-txn" and next(numbers) % 2 == 0
         for _ in range(300):
@@ -248,43 +248,43 @@
         self.end()
 
     @virtual
-    async def test_it_recovers_from_minutes_without_an_answer(self):
-        daemon = await self.begin(FEW)
+    async def test_a_daemon_recovers_from_minutes_without_an_answer(self):
+        daemon = await self.begin(FEW_QUEUES)
         daemon.client.loses = lambda path: True
         await asyncio.sleep(300)
         daemon.client.loses = lambda path: False
-        daemon.write(2, FEW)
+        daemon.write(2, FEW_QUEUES)
         await asyncio.sleep(2)
         self.assertEqual(daemon.version, 2)
         self.end()
 
 
-class TestFence(WideDocumentCase):
-    """Calls by a document that may have been replaced for longer than the bound."""
+class TestStaleDocuments(WideDocumentCase):
+    """Documents that may have been replaced for longer than the bound."""
 
-    # Queues without keys, dropped by a newer document, were served by the older one.
+    # Queues without keys that a newer document removed were served by the older one.
     @virtual
-    async def test_no_call_is_judged_by_a_document_older_than_the_bound(self):
-        daemon = await self.begin(FEW)
+    async def test_no_call_is_authorized_by_a_document_older_than_the_bound(self):
+        daemon = await self.begin(FEW_QUEUES)
         daemon.client.rate = 5_000.0
-        daemon.write(2, MANY)
+        daemon.write(2, MANY_QUEUES)
         await asyncio.sleep(BOUNDS.in_force.total_seconds())
-        calls = ((0, None), (1, b"key-1"), (FEW, b"key-1"))
-        judged = [daemon.authorize(queue, key) for queue, key in calls]
+        calls = ((0, None), (1, b"key-1"), (FEW_QUEUES, b"key-1"))
+        result = [daemon.authorize(queue, key) for queue, key in calls]
         self.assertEqual(
-            judged, [CallRejected(CallRejectionCode.STALE_DOCUMENT)] * len(calls)
+            result, [CallRejected(CallRejectionCode.STALE_DOCUMENT)] * len(calls)
         )
         self.end()
 
     @virtual
-    async def test_a_daemon_that_the_store_does_not_answer_goes_on(self):
-        daemon = await self.begin(FEW)
+    async def test_a_daemon_that_the_store_does_not_answer_continues(self):
+        daemon = await self.begin(FEW_QUEUES)
         daemon.client.is_cut = True
         for _ in range(100):
             await asyncio.sleep(0.1)
             self.assertIsInstance(daemon.authorize(0, None), AuthorizedCall)
         daemon.client.is_cut = False
-        daemon.write(2, FEW)
+        daemon.write(2, FEW_QUEUES)
         await asyncio.sleep(0.5)
         self.assertEqual(daemon.version, 2)
         self.end()
--- a/tests/usage.py
+++ b/tests/usage.py
@@ -1,4 +1,4 @@
-"""What accounts had running, counted naively from what the workers saw."""
+"""A naive check of account usage, based on the runs on the workers."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -10,7 +10,7 @@
 
 
 def read_jobs(cluster: PoolCluster) -> dict[str, JobRecord]:
-    """Return all jobs that the store's history tells of."""
+    """Return all jobs in the history of the store."""
     records = (
         decode_job(event.value)
         for event in cluster.store._history
@@ -26,36 +26,40 @@
     possible = [v for v, when in declared if since < when <= at]
     before = [v for v, when in declared if when <= since]
     versions = possible + before[-1:]
-    found = (cluster.tables[v].accounts.get(account) for v in versions)
-    quotas = [a.quota for a in found if a is not None]
+    declared_accounts = (cluster.tables[v].accounts.get(account) for v in versions)
+    quotas = [a.quota for a in declared_accounts if a is not None]
     return Size(*(max(sizes) for sizes in zip(*quotas, strict=True)))
 
 
 def find_overuse(
     cluster: PoolCluster, find_size: Callable[[TaskName], tuple[str, Size]]
 ) -> list[str]:
-    """Return the starts that brought an account above its quota.
+    """Return the starts that raised the usage of an account above its quota.
 
-    :param find_size: returns the account and the size of a task.
+    :param find_size: Returns the account and the size of a task.
     """
     events: list[tuple[timedelta, int, str, str, Size]] = []
     for worker in cluster.workers.values():
         worker.settle()
-        spans = [(task, began, ended) for task, _, _, began, ended in worker.history]
+        spans = [
+            (task, started, ended) for task, _, _, started, ended in worker.history
+        ]
         spans += [(task, run.began, None) for task, run in worker.running.items()]
-        for task, began, ended in spans:
+        for task, started, ended in spans:
             account, size = find_size(task)
-            # What ends at a moment makes room for what starts then.
-            events.append((began, 1, account, str(task), size))
+            # A run that ends frees its capacity for one that starts at the same time.
+            events.append((started, 1, account, str(task), size))
             if ended is not None:
                 events.append((ended, 0, account, str(task), size))
     used: dict[str, Size] = {}
-    over = []
+    violations = []
     for at, is_start, account, task, size in sorted(events):
         use = used.get(account, ZERO_SIZE)
         used[account] = (add_sizes if is_start else subtract_sizes)(use, size)
         if is_start and account:
             quota = _find_quota(cluster, account, at)
             if not fits(used[account], quota):
-                over.append(f"{at} {account}: {task} brings {used[account]} > {quota}")
-    return over
+                violations.append(
+                    f"{at} {account}: {task} brings {used[account]} > {quota}"
+                )
+    return violations
