--- a/src/damaskdeck/coordination/pools/__init__.py
+++ b/src/damaskdeck/coordination/pools/__init__.py
@@ -1,1 +1,4 @@
-"""Queues of jobs on pools of workers: one owner decides, every daemon takes jobs."""
+"""Queues of jobs on pools of workers.
+
+One daemon, the owner, makes all decisions; every daemon accepts jobs from callers.
+"""
--- a/src/damaskdeck/coordination/pools/delegates.py
+++ b/src/damaskdeck/coordination/pools/delegates.py
@@ -1,14 +1,14 @@
-"""Daemons that are asked to do what the store doesn't do for this one."""
+"""The daemons that execute for this one what the store doesn't."""
 
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.pools.leadership import Leadership
 
-# One that could not help is not asked for so long.
-REST_SECONDS = 1.0
+# A delegate that has failed is not called for this time.
+SUSPENSION_SECONDS = 1.0
 
 
 class Delegates:
-    """The other daemons, the owner first, without those that could not help lately."""
+    """The other daemons, the owner first, without those that failed recently."""
 
     def __init__(self, instance: str, leadership: Leadership, clock: Clock) -> None:
         self._instance = instance
@@ -20,19 +20,19 @@
         return self._clock.monotonic().total_seconds()
 
     def choose(self, count: int) -> list[str]:
-        """Choose so many at most."""
+        """Choose at most ``count`` delegates."""
         now, owner = self._now(), self._leadership.owner
         names = self._leadership.list_members()
         if owner is not None and owner.instance in names:
             names.remove(owner.instance)
             names.insert(0, owner.instance)
-        rested = [
+        available = [
             name
             for name in names
             if name != self._instance and self._suspended_until.get(name, 0.0) <= now
         ]
-        return rested[:count]
+        return available[:count]
 
     def suspend(self, name: str) -> None:
-        """Leave one alone that could not help."""
-        self._suspended_until[name] = self._now() + REST_SECONDS
+        """Stop choosing a delegate for a while, as it has failed."""
+        self._suspended_until[name] = self._now() + SUSPENSION_SECONDS
--- a/src/damaskdeck/coordination/pools/intake.py
+++ b/src/damaskdeck/coordination/pools/intake.py
@@ -1,4 +1,4 @@
-"""How jobs come to an owner: from the store at first, then by messages and a watch."""
+"""How an owner receives jobs: from the store first, then by messages and a watch."""
 
 import asyncio
 from datetime import timedelta
@@ -25,34 +25,36 @@
 )
 from damaskdeck.state.pooljobs import Job, JobIndex
 
-# Jobs come by messages of the daemons that took them; the watch is the safety net.
-INBOX_INTERVAL = timedelta(milliseconds=200)
+# The pause between two watches. The daemons that accept jobs announce them by messages,
+# and the watch only finds the jobs whose message was lost.
+WATCH_INTERVAL = timedelta(milliseconds=200)
 WATCH_WAIT = timedelta(seconds=1)
-# A record's time of day may be off; a job is never taken for older than this.
-OLDEST_ARRIVAL_SECONDS = 60.0
+# The wall-clock time in a record may be wrong, so a job never counts as older than this
+# when it is received.
+MAX_ARRIVAL_AGE_SECONDS = 60.0
 
 _log = get_logger("owner")
 
 
 class IntakeOwner(Protocol):
-    """What taking jobs in asks of their owner."""
+    """What the intake needs from the owner of the jobs."""
 
     term: OwnerTerm
     job_index: JobIndex
     dispatcher: Dispatcher
 
     def now(self) -> float:
-        """Return monotonic seconds."""
+        """Return the monotonic time in seconds."""
 
     def may_have_started(self, job: Job) -> bool:
-        """Whether a predecessor may have started a job without our knowing."""
+        """Whether a previous owner may have started tasks that are unknown here."""
 
     def cancel(self, job: Job) -> None:
         """End a job as cancelled, unless it has ended."""
 
 
 class Intake:
-    """Takes jobs, their progress and wishes to cancel in, each once."""
+    """Accepts jobs, their progress and requests to cancel, each of them once."""
 
     def __init__(
         self,
@@ -67,25 +69,26 @@
         self._clock = clock
         self._cancelled: set[str] = set()
         self._unreadable: set[str] = set()
-        self._doubts: set[asyncio.Task[None]] = set()
+        self._epoch_checks: set[asyncio.Task[None]] = set()
         self._inbox_revision = 0
 
     def close(self) -> None:
-        """Stop at once."""
-        for doubt in self._doubts:
-            doubt.cancel()
+        """Cancel all checks of epochs."""
+        for check in self._epoch_checks:
+            check.cancel()
 
     async def load(self) -> None:
         """Read all jobs and their progress."""
-        # Nobody else writes progress under this mandate, so their order is free.
+        # Nobody else writes progress during this owner's term, so the order of the two
+        # reads doesn't matter.
         progress, (inbox, self._inbox_revision) = await asyncio.gather(
             self._read_all(PROGRESS_PREFIX), self._read_all(INBOX_PREFIX)
         )
-        known: dict[str, ProgressRecord] = {}
+        progress_by_job: dict[str, ProgressRecord] = {}
         for entry in progress[0]:
-            self._decode_progress(entry, known)
+            self._decode_progress(entry, progress_by_job)
         for entry in inbox:
-            self._apply_inbox(entry.key, entry.value, known)
+            self._apply_inbox(entry.key, entry.value, progress_by_job)
 
     async def _read_all(self, prefix: str) -> tuple[tuple[Entry, ...], int]:
         while True:
@@ -94,63 +97,66 @@
                 return found  # type: ignore[return-value]
             await self._clock.sleep(RETRY_DELAY)
 
-    def _decode_progress(self, entry: Entry, known: dict[str, ProgressRecord]) -> None:
+    def _decode_progress(
+        self, entry: Entry, progress_by_job: dict[str, ProgressRecord]
+    ) -> None:
         identifier = entry.key.removeprefix(PROGRESS_PREFIX)
         try:
-            known[identifier] = decode_progress(entry.value)
+            progress_by_job[identifier] = decode_progress(entry.value)
         except MessageError as error:
-            self._hold_back(identifier, str(error))
+            self._ignore_job(identifier, str(error))
 
-    def _hold_back(self, identifier: str, reason: str) -> None:
-        """Leave a job alone whose progress can't be read.
+    def _ignore_job(self, identifier: str, reason: str) -> None:
+        """Ignore a job whose progress can't be decoded.
 
-        Started anew, it would run twice what has run.
+        If it were started from the beginning, finished tasks would run again.
         """
         self._unreadable.add(identifier)
         _log.error(
-            "A job's progress can't be read: it is left alone.",
+            "Failed to decode the progress of a job, which is ignored.",
             id=identifier,
             code=MessageError.code,
             error=reason,
         )
 
     def _apply_inbox(
-        self, key: str, value: bytes | None, known: dict[str, ProgressRecord]
+        self, key: str, value: bytes | None, progress_by_job: dict[str, ProgressRecord]
     ) -> None:
         try:
             if key.startswith(JOBS_PREFIX) and value is not None:
-                self.take_job(value, known)
+                self.accept_job(value, progress_by_job)
             elif key.startswith(CANCELS_PREFIX) and value is not None:
-                self._take_cancel(key.removeprefix(CANCELS_PREFIX))
+                self._accept_cancel(key.removeprefix(CANCELS_PREFIX))
         except MessageError as error:
             _log.error(
-                "A record can't be read.", key=key, code=error.code, error=str(error)
+                "Failed to decode a record.", key=key, code=error.code, error=str(error)
             )
 
-    def take_job(
-        self, value: bytes, known: dict[str, ProgressRecord] | None = None
+    def accept_job(
+        self, value: bytes, progress_by_job: dict[str, ProgressRecord] | None = None
     ) -> None:
-        """Take in a stored job, once.
+        """Add a stored job, unless it was added before.
 
-        :raises MessageError: when it can't be read.
+        :raises MessageError: If the job can't be decoded.
         """
         record = decode_job(value)
         identifier = record.identifier
         if identifier in self._owner.job_index.jobs or identifier in self._unreadable:
             return
         if record.epoch > self._owner.term.epoch:
-            # Its owner may start it where nobody has heard of that epoch yet.
-            start_task(self._doubt_epoch(record), self._doubts)
+            # The owner of that epoch may start the job on workers that have not seen
+            # the epoch yet.
+            start_task(self._check_epoch(record), self._epoch_checks)
             return
         now = self._owner.now()
         age = self._clock.now().timestamp() - record.accepted_at
-        job = Job(record, now - min(max(age, 0.0), OLDEST_ARRIVAL_SECONDS))
-        progress = (known or {}).get(identifier)
+        job = Job(record, now - min(max(age, 0.0), MAX_ARRIVAL_AGE_SECONDS))
+        progress = (progress_by_job or {}).get(identifier)
         if progress is not None:
             try:
                 job.restore(progress, now)
             except MessageError as error:
-                self._hold_back(identifier, str(error))
+                self._ignore_job(identifier, str(error))
                 return
         job.has_unconfirmed_runs = self._owner.may_have_started(job)
         self._owner.job_index.add(job)
@@ -158,36 +164,37 @@
             self._owner.cancel(job)
         self._owner.dispatcher.add_job(job)
 
-    async def _doubt_epoch(self, record: JobRecord) -> None:
-        """Settle whether a job's newer owner exists: this one is deposed then.
+    async def _check_epoch(self, record: JobRecord) -> None:
+        """Check whether the newer owner that a job names exists.
 
-        Where the store still names this one, no owner has had that epoch.
+        If it does, this owner has been deposed. If the store still names this owner,
+        no owner has had that epoch.
         """
-        met = self._owner.now()
+        checked_at = self._owner.now()
         _log.info(
             "A job is stored for a newer owner.",
             id=record.identifier,
             epoch=record.epoch,
             own=self._owner.term.epoch,
         )
-        while not await self._leadership.is_confirmed_since(met):
+        while not await self._leadership.is_confirmed_since(checked_at):
             await self._clock.sleep(RETRY_DELAY)
         self._unreadable.add(record.identifier)
         _log.error(
-            "A job names an epoch that there isn't: it is left alone.",
+            "A job names an epoch that does not exist and is ignored.",
             id=record.identifier,
             code=MessageError.code,
             epoch=record.epoch,
         )
 
-    def _take_cancel(self, identifier: str) -> None:
+    def _accept_cancel(self, identifier: str) -> None:
         self._cancelled.add(identifier)
         job = self._owner.job_index.jobs.get(identifier)
         if job is not None:
             self._owner.cancel(job)
 
     async def follow(self) -> None:
-        """Take in what daemons store, until cancelled: messages may be lost."""
+        """Accept what daemons store until cancelled, as messages may be lost."""
         while True:
             answer = await self._store.watch(
                 INBOX_PREFIX, self._inbox_revision, WATCH_WAIT
@@ -200,4 +207,4 @@
                 inbox, self._inbox_revision = await self._read_all(INBOX_PREFIX)
                 for entry in inbox:
                     self._apply_inbox(entry.key, entry.value, {})
-            await self._clock.sleep(INBOX_INTERVAL)
+            await self._clock.sleep(WATCH_INTERVAL)
--- a/src/damaskdeck/coordination/pools/jobfrontend.py
+++ b/src/damaskdeck/coordination/pools/jobfrontend.py
@@ -1,4 +1,7 @@
-"""Callers' jobs on any daemon: taken into the store, told of by the owner."""
+"""The interface of every daemon to callers: submits, reads and cancels jobs.
+
+Jobs are accepted by storing them, and the owner answers for their states.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -65,17 +68,20 @@
 
 OWNER_TIMEOUT = timedelta(milliseconds=400)
 CANCEL_TIMEOUT = timedelta(milliseconds=1200)
-# Final states never change, so entries answer them from memory.
-KNOWN_LIMIT = 5000
+# Final states never change, so they are cached.
+MAX_CACHED_FINAL_STATES = 5000
 
 _log = get_logger("desk")
 
 
 class JobFrontend:
-    """Answers callers on one daemon; the owner's part is reached over peers.
+    """Answers callers on one daemon and calls the owner over the peer channels.
 
-    :param instance: this daemon's name.
-    :param get_owner: returns this daemon's owner part, if it has the mandate.
+    :param instance: The name of this daemon.
+    :param get_owner: Returns the owner on this daemon, ``None`` if another daemon owns
+        the pools.
+    :param on_owner_epoch: Called with the epoch of each capacity report, which shows
+        that its owner is alive.
     """
 
     def __init__(
@@ -89,7 +95,7 @@
         times: PoolTimes,
         declarations: Declarations,
         get_owner: Callable[[], PoolOwner | None],
-        note_owner: Callable[[int], None] = lambda epoch: None,
+        on_owner_epoch: Callable[[int], None] = lambda epoch: None,
     ) -> None:
         self._instance = instance
         self._store = store
@@ -99,12 +105,12 @@
         self._clock = clock
         self._times = times
         self._get_owner = get_owner
-        self._note_owner = note_owner
-        # By identifier and caller's account and queue.
-        self._known: dict[tuple[str, str, str], QueueJobState] = {}
-        self._rooms = ZoneCapacities(clock, times.lease)
+        self._on_owner_epoch = on_owner_epoch
+        # By the identifier of the job and the caller's account and queue.
+        self._final_states: dict[tuple[str, str, str], QueueJobState] = {}
+        self._zone_capacities = ZoneCapacities(clock, times.lease)
         self._delegates = Delegates(instance, leadership, clock)
-        self._storing = JobSubmitter(
+        self._submitter = JobSubmitter(
             store,
             peers,
             leadership,
@@ -112,64 +118,69 @@
             times,
             declarations,
             self._delegates,
-            self._rooms,
+            self._zone_capacities,
         )
-        peers.register(AnnounceJob, self._take_submitted)
-        peers.register(ReadJobState, self._tell_state)
-        peers.register(CancelPoolJob, self._cancel)
-        peers.register(CountWaitingJobs, self._tell_waiting)
-        peers.register(GetAdvice, self._ask_advisor)
-        peers.register(DelegateJobOperation, self._do_for)
-        peers.register(ReportCapacity, self._take_room)
+        peers.register(AnnounceJob, self._handle_announced_job)
+        peers.register(ReadJobState, self._handle_read_state)
+        peers.register(CancelPoolJob, self._handle_cancel)
+        peers.register(CountWaitingJobs, self._handle_count_waiting)
+        peers.register(GetAdvice, self._handle_get_advice)
+        peers.register(DelegateJobOperation, self._handle_delegated_operation)
+        peers.register(ReportCapacity, self._handle_capacity)
 
     def _now(self) -> float:
         return self._clock.monotonic().total_seconds()
 
-    # Taking ------------------------------------------------------------------
+    # Submitting --------------------------------------------------------------
 
     async def submit(
         self, queue: Queue, identifier: str, spec: JobSpec, caller: Caller = ANONYMOUS
     ) -> JobAccepted | JobNotAccepted | JobUnconfirmed | CallRejected:
-        """Store a job; the same identifier is the same job."""
-        return await self._storing.submit(queue, identifier, spec, caller)
+        """Store a job.
+
+        Jobs with the same identifier are the same job.
+        """
+        return await self._submitter.submit(queue, identifier, spec, caller)
 
-    async def _take_room(self, peer: str, message: ReportCapacity) -> None:
-        self._rooms.take(message)
-        self._note_owner(message["epoch"])
+    async def _handle_capacity(self, peer: str, message: ReportCapacity) -> None:
+        self._zone_capacities.update(message)
+        self._on_owner_epoch(message["epoch"])
 
-    async def _take_submitted(self, peer: str, message: AnnounceJob) -> None:
+    async def _handle_announced_job(self, peer: str, message: AnnounceJob) -> None:
         owner = self._get_owner()
         if owner is not None and owner.is_loaded:
             try:
-                owner.intake.take_job(message["record"])
+                owner.intake.accept_job(message["record"])
             except MessageError as error:
-                _log.error("A job can't be read.", peer=peer, error=str(error))
+                _log.error(
+                    "Failed to decode an announced job.", peer=peer, error=str(error)
+                )
 
     # States ------------------------------------------------------------------
 
     async def read_state(
         self, identifier: str, caller: Caller = ANONYMOUS
     ) -> JobStateFound | JobNotFound | JobStateUnavailable:
-        """Tell the state of a job; one of another account isn't there."""
-        known = self._known.get((identifier, caller.account, caller.queue))
-        if known is not None:
-            return JobStateFound(known)
-        began = self._now()
-        told = await self._ask(ReadJobState, OWNER_TIMEOUT, identifier, caller)
-        observe_latency("desk", "state", self._now() - began)
-        if told is not None:
-            return told
+        """Return the state of a job; jobs of other accounts count as not found."""
+        cached = self._final_states.get((identifier, caller.account, caller.queue))
+        if cached is not None:
+            return JobStateFound(cached)
+        started = self._now()
+        result = await self._call_owner(ReadJobState, OWNER_TIMEOUT, identifier, caller)
+        observe_latency("desk", "state", self._now() - started)
+        if result is not None:
+            return result
         if self._store.is_failing:
-            return await self._ask_for(identifier, "state", caller)
+            return await self._call_delegates(identifier, "state", caller)
         return await self._read_stored(identifier, caller)
 
-    async def _ask_for(
-        self, identifier: str, wish: Literal["state", "cancel"], caller: Caller
+    async def _call_delegates(
+        self, identifier: str, operation: Literal["state", "cancel"], caller: Caller
     ) -> JobStateFound | JobNotFound | JobStateUnavailable:
-        """Let a daemon that the store answers do what the caller wishes."""
+        """Let a daemon that the store answers execute a caller's operation."""
         message: DelegateJobOperation = {
-            "wish": wish,
-            **_write_asked(identifier, caller),
+            "wish": operation,
+            **_build_request(identifier, caller),
         }
         for name in self._delegates.choose(DELEGATE_COUNT):
             reply = await self._peers.call(
@@ -185,31 +196,31 @@
                 return JobStateFound(QueueJobState(state))
         return JobStateUnavailable("store_failing")
 
-    async def _do_for(
+    async def _handle_delegated_operation(
         self, peer: str, message: DelegateJobOperation
     ) -> DelegateJobOperationReply:
         if self._store.is_failing:
             return {"answer": "untold", "state": "store_failing"}
-        ask = self.read_state if message["wish"] == "state" else self.cancel
-        told = await ask(message["job"], _read_caller(message))
-        if isinstance(told, JobStateFound):
-            return {"answer": "state", "state": told.state}
-        if isinstance(told, JobNotFound):
+        execute = self.read_state if message["wish"] == "state" else self.cancel
+        result = await execute(message["job"], _read_caller(message))
+        if isinstance(result, JobStateFound):
+            return {"answer": "state", "state": result.state}
+        if isinstance(result, JobNotFound):
             return {"answer": "no_job", "state": ""}
-        return {"answer": "untold", "state": told.code}
+        return {"answer": "untold", "state": result.code}
 
-    async def _ask(
+    async def _call_owner(
         self,
         kind: type[ReadJobState | CancelPoolJob],
         timeout: timedelta,
         identifier: str,
         caller: Caller,
     ) -> JobStateFound | JobNotFound | None:
-        """Ask the owner about a job; ``None`` when it can't tell."""
+        """Call the owner about a job; return ``None`` if it can't answer."""
         owner = self._leadership.owner
         if owner is None:
             return None
-        message = _write_asked(identifier, caller)
+        message = _build_request(identifier, caller)
         reply = await self._peers.call(owner.instance, message, kind, timeout)
         if not isinstance(reply, Answered):
             return None
@@ -218,19 +229,21 @@
         if not reply.message["state"]:
             return None
         state = QueueJobState(reply.message["state"])
-        self._remember(identifier, caller, state)
+        self._cache_final_state(identifier, caller, state)
         return JobStateFound(state)
 
-    def _remember(self, identifier: str, caller: Caller, state: QueueJobState) -> None:
+    def _cache_final_state(
+        self, identifier: str, caller: Caller, state: QueueJobState
+    ) -> None:
         if state in FINAL_STATES:
-            if len(self._known) >= KNOWN_LIMIT:
-                del self._known[next(iter(self._known))]
-            self._known[identifier, caller.account, caller.queue] = state
+            if len(self._final_states) >= MAX_CACHED_FINAL_STATES:
+                del self._final_states[next(iter(self._final_states))]
+            self._final_states[identifier, caller.account, caller.queue] = state
 
     async def _read_stored(
         self, identifier: str, caller: Caller
     ) -> JobStateFound | JobNotFound | JobStateUnavailable:
-        """Read what the store knows of a job; it is behind, but never wrong."""
+        """Read the stored state of a job, which may be outdated but never wrong."""
         progress, job = await asyncio.gather(
             self._store.read(PROGRESS_PREFIX + identifier),
             self._store.read(JOBS_PREFIX + identifier),
@@ -247,16 +260,22 @@
         try:
             record = decode_progress(progress.entry.value)
         except MessageError as error:
-            _log.error("Progress can't be read.", id=identifier, error=str(error))
+            _log.error(
+                "Failed to decode the progress of a job.",
+                id=identifier,
+                error=str(error),
+            )
             return JobStateUnavailable("unreadable")
-        has_begun = record.has_started or bool(record.steps)
-        state = QueueJobState.RUNNING if has_begun else QueueJobState.QUEUED
+        has_started_tasks = record.has_started or bool(record.steps)
+        state = QueueJobState.RUNNING if has_started_tasks else QueueJobState.QUEUED
         if record.final:
             state = QueueJobState(record.final)
-            self._remember(identifier, caller, state)
+            self._cache_final_state(identifier, caller, state)
         return JobStateFound(state)
 
-    async def _tell_state(self, peer: str, message: ReadJobState) -> JobStateReply:
+    async def _handle_read_state(
+        self, peer: str, message: ReadJobState
+    ) -> JobStateReply:
         owner = self._get_owner()
         if owner is None or not owner.is_loaded or not owner.may_decide():
             return {"epoch": 0, "state": ""}
@@ -270,19 +289,21 @@
     async def cancel(
         self, identifier: str, caller: Caller = ANONYMOUS
     ) -> JobStateFound | JobNotFound | JobStateUnavailable:
-        """Cancel a job; answers once that is durable."""
-        told = await self._ask(CancelPoolJob, CANCEL_TIMEOUT, identifier, caller)
-        if told is not None:
-            return told
+        """Cancel a job and return once that is durable."""
+        result = await self._call_owner(
+            CancelPoolJob, CANCEL_TIMEOUT, identifier, caller
+        )
+        if result is not None:
+            return result
         if self._store.is_failing:
-            return await self._ask_for(identifier, "cancel", caller)
+            return await self._call_delegates(identifier, "cancel", caller)
         return await self._store_cancel(identifier, caller)
 
     async def _store_cancel(
         self, identifier: str, caller: Caller
     ) -> JobStateFound | JobNotFound | JobStateUnavailable:
-        """Store the wish to cancel, for the owner to find."""
-        until = self._now() + self._times.accept_timeout.total_seconds()
+        """Store a request to cancel, which the owner reads later."""
+        deadline = self._now() + self._times.accept_timeout.total_seconds()
         key = JOBS_PREFIX + identifier
         while True:
             found = await self._store.read(key)
@@ -300,11 +321,11 @@
                 )
                 if isinstance(done, Written):
                     return JobStateFound(QueueJobState.CANCELLED)
-            if self._now() >= until or self._store.is_failing:
+            if self._now() >= deadline or self._store.is_failing:
                 return JobStateUnavailable(getattr(done, "code", "lost"))
             await self._clock.sleep(RETRY_DELAY)
 
-    async def _cancel(self, peer: str, message: CancelPoolJob) -> JobStateReply:
+    async def _handle_cancel(self, peer: str, message: CancelPoolJob) -> JobStateReply:
         owner = self._get_owner()
         if owner is None or not owner.is_loaded:
             return {"epoch": 0, "state": ""}
@@ -316,10 +337,10 @@
         state = await owner.cancel_durably(job)
         return {"epoch": owner.term.epoch, "state": state}
 
-    # Numbers -----------------------------------------------------------------
+    # Counting ----------------------------------------------------------------
 
     async def count_waiting(self, queue: str) -> int | JobStateUnavailable:
-        """Tell how many jobs of a queue have started nothing."""
+        """Return how many jobs of a queue have not started any task."""
         owner = self._leadership.owner
         if owner is None:
             return JobStateUnavailable("no_owner")
@@ -330,7 +351,7 @@
             return reply.message["count"]
         return JobStateUnavailable("owner_unreachable")
 
-    async def _tell_waiting(
+    async def _handle_count_waiting(
         self, peer: str, message: CountWaitingJobs
     ) -> CountWaitingJobsReply:
         owner = self._get_owner()
@@ -341,7 +362,7 @@
 
     # Advice ------------------------------------------------------------------
 
-    async def _ask_advisor(self, peer: str, message: GetAdvice) -> GetAdviceReply:
+    async def _handle_get_advice(self, peer: str, message: GetAdvice) -> GetAdviceReply:
         timeout = timedelta(milliseconds=message["timeout"])
         workers = tuple(message["workers"])
         answer = await self._advisor.ask(message["step"], workers, timeout)
@@ -350,7 +371,7 @@
         return {"code": answer.code, "consents": []}
 
 
-def _write_asked(identifier: str, caller: Caller) -> ReadJobState:
+def _build_request(identifier: str, caller: Caller) -> ReadJobState:
     return {"job": identifier, "account": caller.account, "queue": caller.queue}
 
 
--- a/src/damaskdeck/coordination/pools/monitoredstore.py
+++ b/src/damaskdeck/coordination/pools/monitoredstore.py
@@ -1,4 +1,4 @@
-"""Whether the store answers this daemon, told by all calls that are made anyway."""
+"""Monitors through its ordinary calls whether the store answers this daemon."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -28,20 +28,21 @@
     Unchanged,
 )
 
-# One refusal may be a full rate; so many one after the other are an outage.
-FAILURES = 2
-# A commit is given up after so many times what the last ones took, within these
-# bounds: one that hangs is tried again at once when the store is back, and a store
-# that answers 60 times as slowly as its usual 4 ms is still waited for.
+# One rejection may be due to a rate limit; this many failures in a row are an outage.
+OUTAGE_FAILURES = 2
+# A commit times out after this multiple of the usual reply time, within the bounds
+# below. A commit that hangs is thus retried as soon as the store is back, and a store
+# that takes 60 times its usual 4 ms still gets the time to reply.
 TIMEOUT_FACTOR = 4.0
-SHORTEST_TIMEOUT = timedelta(milliseconds=300)
-LONGEST_TIMEOUT = timedelta(milliseconds=1500)
-# The wait for a conditional read is doubled after each that was lost, so often.
-MOST_DOUBLINGS = 3
-# What is told of the silence of a store that has never answered.
-SILENCE_LIMIT_SECONDS = 1e6
-# Weight of a call in the usual time of an answer.
-LATEST_SHARE = 0.3
+MIN_TIMEOUT = timedelta(milliseconds=300)
+MAX_TIMEOUT = timedelta(milliseconds=1500)
+# The timeout of a conditional read is doubled after each lost reply, at most this
+# often.
+MAX_DOUBLINGS = 3
+# The silence that is reported for a store that has never replied.
+MAX_SILENCE_SECONDS = 1e6
+# The weight of the last commit in the usual reply time.
+LATEST_WEIGHT = 0.3
 
 T = TypeVar("T")
 
@@ -49,12 +50,12 @@
 
 
 class MonitoredStore:
-    """A transactional store that remembers how its last calls went.
+    """A transactional store that tracks the results of its calls.
 
-    Renewals of the member's lease are made several times a second, so a return of
-    the store is noticed about as soon as it can be.
+    The lease of the member is renewed several times a second, so the return of the
+    store is noticed almost at once.
 
-    :ivar write_times: from when on what the store shows was written.
+    :ivar write_times: The times since which the store's revisions exist.
     """
 
     def __init__(self, store: TransactionalStore, clock: Clock) -> None:
@@ -62,8 +63,8 @@
         self._clock = clock
         self._failures = 0
         self._failing_since: float | None = None
-        self._usual = 0.0
-        # Conditional reads without an answer, one after the other, up to a limit.
+        self._usual_seconds = 0.0
+        # The conditional reads in a row that were lost, up to MAX_DOUBLINGS.
         self._lost_reads = 0
         self._answered_at = float("-inf")
         self.write_times = RevisionTimes()
@@ -72,54 +73,54 @@
 
     @property
     def commit_timeout(self) -> timedelta:
-        """How long to wait for a commit before it is tried again."""
-        wanted = timedelta(seconds=TIMEOUT_FACTOR * self._usual)
-        return min(max(wanted, SHORTEST_TIMEOUT), LONGEST_TIMEOUT)
+        """How long to wait for a commit before it is retried."""
+        wanted = timedelta(seconds=TIMEOUT_FACTOR * self._usual_seconds)
+        return min(max(wanted, MIN_TIMEOUT), MAX_TIMEOUT)
 
     @property
     def entry_limit(self) -> int:
-        """How many keys a transaction may name in all."""
+        """How many keys a transaction may name in total."""
         return self._store.entry_limit
 
     @property
     def is_failing(self) -> bool:
-        """Whether the last calls had no answer or a refusal."""
+        """Whether the last calls were lost or rejected."""
         return self._failing_since is not None
 
     def measure_outage(self) -> timedelta:
-        """Return for how long the store has been failing."""
+        """Return how long the store has been failing."""
         if self._failing_since is None:
             return timedelta()
         return timedelta(seconds=self._now() - self._failing_since)
 
     def measure_silence(self) -> timedelta:
-        """Return the time since the last answer; very long before any."""
-        silence = min(self._now() - self._answered_at, SILENCE_LIMIT_SECONDS)
+        """Return the time since the last answer, very long if there was none."""
+        silence = min(self._now() - self._answered_at, MAX_SILENCE_SECONDS)
         return timedelta(seconds=silence)
 
     def _now(self) -> float:
         return self._clock.monotonic().total_seconds()
 
-    def _note(self, answer: T, sent: float) -> T:
-        """Take note of an answer to a call of then.
+    def _record(self, answer: T, sent: float) -> T:
+        """Record the answer to a call that was sent at ``sent``.
 
-        That a call failed says nothing when another that was sent later, or was on
-        its way at the same time, has been answered since.
+        A failed call says nothing about the store if another call, which was sent later
+        or was in flight at the same time, has been answered since.
         """
         if isinstance(answer, Written | Unchanged):
             self.write_times.record(answer.revision, sent)
         if not isinstance(answer, Rejected | Lost):
-            self._note_answer()
+            self._record_answer()
         elif sent >= self._answered_at:
-            self._note_failure(answer)
+            self._record_failure(answer)
         return answer
 
     async def _observe(self, call: Awaitable[T]) -> T:
-        """Make a call and take note of how it went."""
+        """Make a call and record its result."""
         sent = self._now()
-        return self._note(await call, sent)
+        return self._record(await call, sent)
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         self._answered_at = self._now()
         self._failures = 0
         if self._failing_since is not None:
@@ -128,9 +129,9 @@
             self._returned.set()
             self._returned = asyncio.Event()
 
-    def _note_failure(self, answer: Rejected | Lost) -> None:
+    def _record_failure(self, answer: Rejected | Lost) -> None:
         self._failures += 1
-        if self._failures >= FAILURES and self._failing_since is None:
+        if self._failures >= OUTAGE_FAILURES and self._failing_since is None:
             self._failing_since = self._now()
             _log.warn("The store does not answer.", reason=answer.code)
 
@@ -141,15 +142,15 @@
     async def read_changed(
         self, key: str, revision: int
     ) -> Found | Missing | Unchanged | Rejected | Lost:
-        """Read one key unless ``revision`` still is its last.
+        """Read one key unless ``revision`` still is its last revision.
 
-        A lost answer is soon noticed. A late one is waited for twice as long each
-        time, and one that has begun for as long as it comes.
+        The timeout is short, so that a lost reply is noticed soon. It doubles after
+        each lost reply, and it doesn't apply once a reply has begun to arrive.
         """
-        within = min(self.commit_timeout * 2**self._lost_reads, LONGEST_TIMEOUT)
-        done = await self._observe(self._store.read_changed(key, revision, within))
+        timeout = min(self.commit_timeout * 2**self._lost_reads, MAX_TIMEOUT)
+        done = await self._observe(self._store.read_changed(key, revision, timeout))
         lost = self._lost_reads + 1 if isinstance(done, Lost) else 0
-        self._lost_reads = min(lost, MOST_DOUBLINGS)
+        self._lost_reads = min(lost, MAX_DOUBLINGS)
         return done
 
     async def read_page(self, prefix: str, after: str) -> Page | Rejected | Lost:
@@ -163,12 +164,14 @@
         max_reply_bytes: int | None = None,
     ) -> CommitResult | ReplyTooLarge:
         """Make changes that take effect together or not at all."""
-        limit = min(timeout or LONGEST_TIMEOUT, self.commit_timeout)
+        limit = min(timeout or MAX_TIMEOUT, self.commit_timeout)
         sent = self._now()
         done = await self._observe(
             self._store.commit(transaction, limit, max_reply_bytes)
         )
-        self._usual += LATEST_SHARE * (self._now() - sent - self._usual)
+        self._usual_seconds += LATEST_WEIGHT * (
+            self._now() - sent - self._usual_seconds
+        )
         return done
 
     async def watch(
@@ -180,8 +183,8 @@
     ) -> Events | RevisionTooOld | ReplyTooLarge | Rejected | Lost:
         """Return the changes after ``revision``.
 
-        A watch that an outage has outlived may never be answered: it is given up as
-        soon as the store answers another call.
+        A watch that was sent before or during an outage may never be answered, so it is
+        abandoned as soon as the store answers another call.
         """
         sent = self._now()
         call = asyncio.ensure_future(
@@ -192,7 +195,7 @@
             await asyncio.wait({call, returned}, return_when=asyncio.FIRST_COMPLETED)
             if not call.done():
                 return Lost("outage_over")
-            return self._note(call.result(), sent)
+            return self._record(call.result(), sent)
         finally:
             returned.cancel()
             call.cancel()
--- a/src/damaskdeck/coordination/pools/zoneconfinement.py
+++ b/src/damaskdeck/coordination/pools/zoneconfinement.py
@@ -1,8 +1,9 @@
-"""To which availability zones a job is confined when it is taken.
+"""The availability zones that a job is confined to when it is accepted.
 
-A takeover knows what runs in the zones that it reaches. A job that was confined to
-those is sure to run nowhere else, so it goes on at once; one that may run anywhere
-waits for the workers that don't answer, for as long as a zone is cut off.
+After a takeover the new owner knows what runs in the zones that it can reach. A job
+that is confined to these zones can't run anywhere else, so it continues at once. A job
+that may run anywhere has to wait for the workers that don't answer while a zone is cut
+off.
 """
 
 from collections.abc import Iterable
@@ -20,86 +21,93 @@
 from damaskdeck.protocol.poolmessages import ReportCapacity
 from damaskdeck.protocol.queues import JobSpec, Queue, StepSpec
 
-# What the owner told longer ago says nothing about room any more; it tells it twice
-# a second.
-ROOM_LASTS = timedelta(seconds=2)
-# Room that a job is given beyond what its widest step needs: the advisor refuses some
-# workers, what is left is in pieces, and others come meanwhile.
-ROOM_MARGIN = 2.0
+# An older report says nothing about the free capacity any more. The owner sends one
+# twice a second.
+CAPACITY_MAX_AGE = timedelta(seconds=2)
+# A job's zones should have this multiple of the capacity that its widest step needs,
+# because the advisor refuses some workers, free capacity is fragmented and other jobs
+# arrive in the meantime.
+CAPACITY_MARGIN = 2.0
 
 
-class Room(NamedTuple):
-    """Free room of an availability zone, in millicores and MiB."""
+class ZoneCapacity(NamedTuple):
+    """The free capacity of an availability zone in millicores and MiB."""
 
     millicores: int
     memory: int
 
 
 class ZoneCapacities:
-    """What the owner told of the room in each zone, on one daemon.
+    """The free capacity of each zone, as the owner last reported it to this daemon.
 
-    :param lease: a job that can wait for the leases of workers that don't answer
-        is not confined: it would only lack room sooner.
+    :param lease: The duration of a worker's lease. A job that can wait this long for
+        workers that don't answer is not confined, because it would only run out of
+        capacity sooner.
     """
 
     def __init__(self, clock: Clock, lease: timedelta) -> None:
         self._clock = clock
         self._lease = lease
-        self._told_at = timedelta()
+        self._reported_at = timedelta()
         self._epoch = 0
-        self._pools: dict[str, dict[str, Room]] = {}
+        self._pools: dict[str, dict[str, ZoneCapacity]] = {}
 
-    def take(self, message: ReportCapacity) -> None:
-        """Take note of what an owner tells; an older one is not heard."""
+    def update(self, message: ReportCapacity) -> None:
+        """Store the report of an owner, unless a newer owner has reported before."""
         if message["epoch"] < self._epoch:
             return
         self._epoch = message["epoch"]
-        self._told_at = self._clock.monotonic()
+        self._reported_at = self._clock.monotonic()
         self._pools = {}
         for pool, zone, millicores, memory in message["zones"]:
-            self._pools.setdefault(pool, {})[zone] = Room(millicores, memory)
+            self._pools.setdefault(pool, {})[zone] = ZoneCapacity(millicores, memory)
 
     def choose(self, queue: Queue, identifier: str, spec: JobSpec) -> tuple[str, ...]:
-        """Return the fewest zones that should hold a job; none stands for all.
+        """Return the fewest zones that should hold a job, empty for all zones.
 
-        :param identifier: of the job; equal zones are chosen between by it.
+        :param identifier: The identifier of the job, which seeds the choice between
+            zones.
         """
-        rooms = self._pools.get(queue.pool, {})
-        is_old = self._clock.monotonic() - self._told_at > ROOM_LASTS
+        zones = self._pools.get(queue.pool, {})
+        is_old = self._clock.monotonic() - self._reported_at > CAPACITY_MAX_AGE
         if is_old or spec.repeats or not all(map(_may_be_confined, spec.steps)):
             return ()
         slack = find_objective(queue, spec) - measure_critical_path(spec)
         if slack > self._lease.total_seconds():
             return ()
-        millicores = max(s.tasks * s.size.millicores for s in spec.steps) * ROOM_MARGIN
-        memory = max(s.tasks * s.size.memory for s in spec.steps) * ROOM_MARGIN
+        millicores = (
+            max(s.tasks * s.size.millicores for s in spec.steps) * CAPACITY_MARGIN
+        )
+        memory = max(s.tasks * s.size.memory for s in spec.steps) * CAPACITY_MARGIN
         chosen: list[str] = []
-        for zone in _shuffle(rooms, identifier):
+        for zone in _shuffle(zones, identifier):
             chosen.append(zone)
-            millicores -= rooms[zone].millicores
-            memory -= rooms[zone].memory
+            millicores -= zones[zone].millicores
+            memory -= zones[zone].memory
             if millicores <= 0 and memory <= 0:
                 break
         is_enough = millicores <= 0 and memory <= 0
-        return tuple(sorted(chosen)) if is_enough and len(chosen) < len(rooms) else ()
+        return tuple(sorted(chosen)) if is_enough and len(chosen) < len(zones) else ()
 
 
 def _may_be_confined(step: StepSpec) -> bool:
-    """Tell whether a step gains from running in few zones.
+    """Whether a step benefits from running in few zones.
 
-    One that lasts is better spread, and one that is choosy goes to its racks.
+    A long-running step is better spread over zones, and a step with a rack preference
+    goes to its racks.
     """
     return not (step.is_long_running or step.label or has_rack_preference(step))
 
 
-def _shuffle(rooms: dict[str, Room], identifier: str) -> list[str]:
-    """Order zones at random, those with more room earlier more often."""
+def _shuffle(zones: dict[str, ZoneCapacity], identifier: str) -> list[str]:
+    """Order zones at random, weighted by their free capacity."""
     random = Random(identifier)
-    # Exponential times with rates of the room: the first is each zone's with the
-    # share of its room, so daemons that know the same don't choose the same.
+    # The times are exponentially distributed with the capacities as rates. A zone
+    # comes first with a probability equal to its share of the capacity, so that
+    # daemons with the same report don't all choose the same zone.
     times = {
-        zone: random.expovariate(1.0) / max(1, room.millicores)
-        for zone, room in sorted(rooms.items())
+        zone: random.expovariate(1.0) / max(1, capacity.millicores)
+        for zone, capacity in sorted(zones.items())
     }
     return sorted(times, key=lambda zone: times[zone])
 
@@ -107,14 +115,14 @@
 def measure_zone_capacities(
     contacts: Iterable[WorkerContact], now: float
 ) -> list[tuple[str, str, int, int]]:
-    """Return pool, zone, millicores and MiB of the free room that orders may use."""
-    rooms: dict[tuple[str, str], Room] = {}
+    """Return pool, zone and the free millicores and MiB that orders may use there."""
+    capacities: dict[tuple[str, str], ZoneCapacity] = {}
     for contact in contacts:
         key = contact.info.pool, contact.info.zone
-        room = rooms.setdefault(key, Room(0, 0))
+        capacity = capacities.setdefault(key, ZoneCapacity(0, 0))
         if contact.is_usable(now):
-            rooms[key] = Room(
-                room.millicores + max(0, contact.free.millicores),
-                room.memory + max(0, contact.free.memory),
+            capacities[key] = ZoneCapacity(
+                capacity.millicores + max(0, contact.free.millicores),
+                capacity.memory + max(0, contact.free.memory),
             )
-    return [(*key, *room) for key, room in sorted(rooms.items())]
+    return [(*key, *capacity) for key, capacity in sorted(capacities.items())]
--- a/tests/test_pools_store.py
+++ b/tests/test_pools_store.py
@@ -1,8 +1,8 @@
-"""A store that is slow, hangs, or comes back, as one daemon sees it.
+"""Tests how one daemon handles a store that is slow, hangs or returns.
 
-The patterns: a store that answers 40 to 80 times as slowly as its usual 4 ms, and one
-that is silent for 4 s, so that calls hang until they are given up. Figures: commits are
-given up after four times the usual answer, 0.3 to 1.5 s.
+The store answers 40 to 80 times more slowly than its usual 4 ms, or it is silent for
+4 s, so that calls hang until they time out. Commits time out after four times the usual
+reply time, but not before 0.3 s and not after 1.5 s.
 """
 
 import asyncio
@@ -10,8 +10,8 @@
 from datetime import timedelta
 
 from damaskdeck.coordination.pools.monitoredstore import (
-    LONGEST_TIMEOUT,
-    SHORTEST_TIMEOUT,
+    MAX_TIMEOUT,
+    MIN_TIMEOUT,
     MonitoredStore,
 )
 from damaskdeck.protocol.ports import Events, Lost, Rejected, Written
@@ -27,7 +27,7 @@
 
 
 class ScriptedStore:
-    """Answers commits after a delay, unless the caller gives up before."""
+    """Answers commits after a delay, unless they time out before."""
 
     entry_limit = 32
 
@@ -47,77 +47,77 @@
         return Written(1)
 
     async def watch(self, prefix: str, revision: int, wait: timedelta, longest=None):
-        """Wait; a watch that the store was silent for is never answered."""
+        """Wait; a watch that was sent while the store is silent is never answered."""
         if self.is_silent:
             await self.clock.sleep(timedelta(minutes=1))
         await self.clock.sleep(wait)
         return Events((), revision)
 
     async def read(self, key: str):
-        """Refuse."""
+        """Reject the read."""
         return Rejected("busy")
 
 
-class TestHealth(unittest.TestCase):
-    """What a daemon learns of the store from its calls."""
+class TestMonitoredStore(unittest.TestCase):
+    """What a daemon learns about the store from its calls."""
 
     def setUp(self) -> None:
         self.clock = LoopClock()
-        self.script = ScriptedStore(self.clock)
-        self.store = MonitoredStore(self.script, self.clock)
+        self.scripted = ScriptedStore(self.clock)
+        self.store = MonitoredStore(self.scripted, self.clock)
 
     @virtual
-    async def test_a_commit_that_hangs_is_given_up_soon(self):
+    async def test_a_commit_that_hangs_times_out_soon(self):
         await self.store.commit(Transaction())
-        self.assertEqual(self.store.commit_timeout, SHORTEST_TIMEOUT)
+        self.assertEqual(self.store.commit_timeout, MIN_TIMEOUT)
 
     @virtual
-    async def test_a_slow_store_is_waited_for_longer(self):
-        self.script.delay = 240 * MILLISECOND
+    async def test_a_slow_store_gets_a_longer_timeout(self):
+        self.scripted.delay = 240 * MILLISECOND
         for _ in range(8):
             self.assertIsInstance(await self.store.commit(Transaction()), Written)
-        self.assertGreater(self.store.commit_timeout, 3 * self.script.delay)
-        self.assertLessEqual(self.store.commit_timeout, LONGEST_TIMEOUT)
+        self.assertGreater(self.store.commit_timeout, 3 * self.scripted.delay)
+        self.assertLessEqual(self.store.commit_timeout, MAX_TIMEOUT)
 
     @virtual
-    async def test_a_store_that_turns_very_slow_is_reached_all_the_same(self):
-        self.script.delay = 320 * MILLISECOND
-        done = [await self.store.commit(Transaction()) for _ in range(4)]
-        self.assertIsInstance(done[-1], Written)
+    async def test_a_store_that_becomes_very_slow_is_still_reached(self):
+        self.scripted.delay = 320 * MILLISECOND
+        results = [await self.store.commit(Transaction()) for _ in range(4)]
+        self.assertIsInstance(results[-1], Written)
         self.assertFalse(self.store.is_failing)
 
     @virtual
-    async def test_a_callers_own_limit_holds(self):
+    async def test_a_callers_own_timeout_applies(self):
         await self.store.commit(Transaction(), 50 * MILLISECOND)
-        self.assertEqual(self.script.limits, [50 * MILLISECOND])
+        self.assertEqual(self.scripted.limits, [50 * MILLISECOND])
 
     @virtual
-    async def test_a_call_that_was_sent_before_an_answer_came_speaks_no_more(self):
-        self.script.is_silent = True
+    async def test_a_failed_call_sent_before_an_answer_does_not_count(self):
+        self.scripted.is_silent = True
         hanging = [asyncio.ensure_future(self.store.commit(Transaction()))]
         hanging.append(asyncio.ensure_future(self.store.commit(Transaction())))
         await asyncio.sleep(0.1)
-        self.script.is_silent = False
+        self.scripted.is_silent = False
         await self.store.commit(Transaction())
         self.assertEqual(await asyncio.gather(*hanging), [LOST, LOST])
         self.assertFalse(self.store.is_failing)
 
     @virtual
-    async def test_a_watch_that_an_outage_has_outlived_is_given_up(self):
-        self.script.is_silent = True
+    async def test_a_watch_from_before_an_outage_is_abandoned(self):
+        self.scripted.is_silent = True
         watch = asyncio.ensure_future(self.store.watch("a", 1, SECOND))
         for _ in range(2):
             await self.store.commit(Transaction())
         self.assertTrue(self.store.is_failing)
-        self.script.is_silent = False
-        began = self.clock.monotonic()
+        self.scripted.is_silent = False
+        started = self.clock.monotonic()
         await self.store.commit(Transaction())
         self.assertEqual(await watch, Lost("outage_over"))
-        self.assertLess(self.clock.monotonic() - began, 50 * MILLISECOND)
+        self.assertLess(self.clock.monotonic() - started, 50 * MILLISECOND)
         self.assertFalse(self.store.is_failing)
 
     @virtual
-    async def test_refusals_in_a_row_are_an_outage(self):
+    async def test_rejections_in_a_row_are_an_outage(self):
         await self.store.read("a")
         self.assertFalse(self.store.is_failing)
         await self.store.read("a")
@@ -125,7 +125,7 @@
 
 
 class TestReturn(PoolCase):
-    """A store that was away for all."""
+    """A store that was unavailable for all daemons."""
 
     @virtual
     async def test_its_return_is_noticed_within_a_fifth_of_a_second(self):
@@ -134,19 +134,19 @@
         for daemon in cluster.daemons.values():
             daemon.store.faults.pause()
         await asyncio.sleep(4)
-        health = [daemon.frontend._store for daemon in cluster.daemons.values()]
-        self.assertTrue(all(store.is_failing for store in health))
+        stores = [daemon.frontend._store for daemon in cluster.daemons.values()]
+        self.assertTrue(all(store.is_failing for store in stores))
         for daemon in cluster.daemons.values():
             daemon.store.faults.resume()
         await asyncio.sleep(0.2)
-        self.assertFalse(any(store.is_failing for store in health))
+        self.assertFalse(any(store.is_failing for store in stores))
         await cluster.submit("j1", make_job())
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=3)
         self.end()
 
 
 class TestSlowStore(PoolCase):
-    """A store that is sixty times as slow as usual."""
+    """A store that is sixty times slower than usual."""
 
     @virtual
     async def test_later_steps_do_not_wait_for_the_ends_before_them(self):
--- a/tests/test_pools_zones.py
+++ b/tests/test_pools_zones.py
@@ -1,15 +1,19 @@
-"""A zone that is cut off under load: which jobs it holds up, and which go on.
+"""Tests which jobs are delayed by a zone that is cut off under load.
 
-The pattern: quick jobs of a few tasks, some 10 a second, with a second of slack, while
-an availability zone is cut off for 5 to 6 s. What runs there can't be known before it
-answers or its leases, 6 s, are over; what doesn't must not wait for it.
+Quick jobs of a few tasks arrive about 10 times a second with a second of slack, while
+an availability zone is cut off for 5 to 6 s. What runs there is unknown until the zone
+answers or its leases of 6 s have expired. Jobs that don't run there must not wait for
+that.
 """
 
 import asyncio
 import unittest
 from datetime import timedelta
 
-from damaskdeck.coordination.pools.zoneconfinement import ROOM_LASTS, ZoneCapacities
+from damaskdeck.coordination.pools.zoneconfinement import (
+    CAPACITY_MAX_AGE,
+    ZoneCapacities,
+)
 from damaskdeck.protocol.queues import JobSpec, QueueJobState, StepSpec
 from damaskdeck.state.jobrecords import JOBS_PREFIX, decode_job
 from standins.clock import ManualClock
@@ -17,10 +21,14 @@
 from tests.poolcluster import SECOND, SMALL, PoolCase, make_job, make_queue
 from tests.virtual import virtual
 
-QUICK = make_queue(slack=1.5, allowance=SECOND / 4)
-# Twelve workers in three zones hold 16 small tasks a zone.
-SHAPE = {"workers": 12, "zones": 3, "queues": (QUICK,)}
-ROOMS = [("hub", "z0", 9000, 9000), ("hub", "z1", 9000, 9000), ("hub", "z2", 500, 500)]
+QUICK_QUEUE = make_queue(slack=1.5, allowance=SECOND / 4)
+# Twelve workers in three zones hold 16 small tasks per zone.
+CLUSTER_OPTIONS = {"workers": 12, "zones": 3, "queues": (QUICK_QUEUE,)}
+CAPACITIES = [
+    ("hub", "z0", 9000, 9000),
+    ("hub", "z1", 9000, 9000),
+    ("hub", "z2", 500, 500),
+]
 
 
 def make_quick(tasks: int = 4) -> JobSpec:
@@ -28,31 +36,31 @@
     return make_job(StepSpec(tasks, SMALL, SECOND))
 
 
-class TestChoice(unittest.TestCase):
-    """The zones that a job is confined to when it is taken."""
+class TestZoneChoice(unittest.TestCase):
+    """The zones that a job is confined to when it is accepted."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
-        self.rooms = ZoneCapacities(self.clock, timedelta(seconds=6))
-        self.rooms.take({"epoch": 2, "zones": ROOMS})
+        self.capacities = ZoneCapacities(self.clock, timedelta(seconds=6))
+        self.capacities.update({"epoch": 2, "zones": CAPACITIES})
 
     def choose(self, spec: JobSpec, job: str = "j") -> tuple[str, ...]:
-        """Choose for a quick job."""
-        return self.rooms.choose(QUICK, job, spec)
+        """Choose the zones of a job on the quick queue."""
+        return self.capacities.choose(QUICK_QUEUE, job, spec)
 
     def test_a_job_gets_the_fewest_zones_that_hold_it(self):
         chosen = {self.choose(make_quick(), f"j{n}") for n in range(30)}
         self.assertEqual({c for c in chosen if len(c) == 1}, {("z0",), ("z1",)})
 
-    def test_a_wide_job_gets_more_and_a_very_wide_one_all(self):
+    def test_a_wide_job_gets_more_zones_and_a_very_wide_one_all(self):
         self.assertEqual(len(self.choose(make_quick(8))), 2)
         self.assertEqual(self.choose(make_quick(12)), ())
 
-    def test_what_can_wait_for_a_lease_is_not_confined(self):
+    def test_a_job_that_can_wait_for_a_lease_is_not_confined(self):
         slow = make_job(StepSpec(4, SMALL, timedelta(seconds=20)))
         self.assertEqual(self.choose(slow), ())
 
-    def test_what_lasts_or_is_choosy_is_not_confined(self):
+    def test_long_running_steps_and_steps_with_preferences_are_not_confined(self):
         for step in (
             StepSpec(2, SMALL, SECOND, is_long_running=True),
             StepSpec(2, SMALL, SECOND, near="r1"),
@@ -61,48 +69,48 @@
             self.assertEqual(self.choose(make_job(step)), ())
         self.assertEqual(self.choose(make_job(repeats=2)), ())
 
-    def test_what_was_told_long_ago_confines_nothing(self):
-        self.clock.move(ROOM_LASTS + SECOND)
+    def test_outdated_reports_confine_no_jobs(self):
+        self.clock.move(CAPACITY_MAX_AGE + SECOND)
         self.assertEqual(self.choose(make_quick()), ())
 
-    def test_an_older_owner_is_not_heard(self):
-        self.rooms.take({"epoch": 1, "zones": [("hub", "z2", 90000, 90000)]})
+    def test_the_report_of_an_older_owner_is_ignored(self):
+        self.capacities.update({"epoch": 1, "zones": [("hub", "z2", 90000, 90000)]})
         self.assertNotIn("z2", self.choose(make_quick()))
 
 
 class TestZoneCut(PoolCase):
-    """What a zone that is cut off holds up."""
+    """What a zone that is cut off delays."""
 
-    async def begin_quick(self, **options):
-        """Start a cluster and let its daemons learn of the room."""
-        cluster = await self.begin(**{**SHAPE, **options})
+    async def begin_quick_cluster(self, **options):
+        """Start a cluster and wait until capacity was reported to its daemons."""
+        cluster = await self.begin(**{**CLUSTER_OPTIONS, **options})
         await cluster.run_first_job()
         await asyncio.sleep(1.2)
         return cluster
 
     def find_zones(self, job: str) -> tuple[str, ...]:
-        """Return the zones that a job's record names."""
+        """Return the zones in the record of a job."""
         return decode_job(self.cluster.store.entries[JOBS_PREFIX + job].value).zones
 
-    def find_used(self, job: str) -> set[str]:
+    def find_used_zones(self, job: str) -> set[str]:
         """Return the zones in which a job's tasks started."""
         workers = self.cluster.workers
         return {workers[row[3]].info.zone for row in self.cluster.list_starts(job)}
 
     @virtual
     async def test_each_quick_job_runs_in_one_zone(self):
-        cluster = await self.begin_quick()
+        cluster = await self.begin_quick_cluster()
         for number in range(9):
             await cluster.submit(f"j{number + 1}", make_quick())
         for number in range(9):
             await cluster.wait_for_state(f"j{number + 1}", QueueJobState.COMPLETED)
             job = f"j{number + 1}"
-            self.assertEqual(self.find_used(job), set(self.find_zones(job)))
+            self.assertEqual(self.find_used_zones(job), set(self.find_zones(job)))
         self.end()
 
     @virtual
     async def test_jobs_of_other_zones_do_not_wait_for_the_owners_zone(self):
-        cluster = await self.begin_quick(
+        cluster = await self.begin_quick_cluster(
             daemons=5, behave=lambda t, a: Work(SECOND / 2)
         )
         owner = cluster.find_owner()
@@ -119,8 +127,8 @@
         self.assertGreater(len(free), 3)
         for job in free:
             await cluster.wait_for_state(job, QueueJobState.COMPLETED, outside, 5)
-        took = cluster.clock.monotonic() - cut_at
-        self.assertLess(took, timedelta(seconds=3.5))
+        duration = cluster.clock.monotonic() - cut_at
+        self.assertLess(duration, timedelta(seconds=3.5))
         cluster.heal()
         for job in jobs:
             await cluster.wait_for_state(job, QueueJobState.COMPLETED, outside)
@@ -128,7 +136,7 @@
 
     @virtual
     async def test_a_deposed_owner_starts_no_job_of_its_successor(self):
-        cluster = await self.begin_quick(
+        cluster = await self.begin_quick_cluster(
             daemons=5, behave=lambda t, a: Work(3 * SECOND)
         )
         owner = cluster.find_owner()
@@ -138,24 +146,24 @@
             lambda: any(d.owner for d in cluster.daemons.values() if d is not owner)
         )
         await asyncio.sleep(1)
-        # The old owner learns of the jobs before it learns of its successor, and the
-        # workers of its zone have not heard of the new epoch.
+        # The old owner receives the jobs before it learns of its successor, and the
+        # workers of its zone have not seen the new epoch.
         for number in range(6):
             job = f"j{number + 1}"
             unconfined = make_job(StepSpec(2, SMALL, 20 * SECOND))
             await cluster.submit(job, unconfined, outside.name)
             if owner.owner is not None:
-                owner.owner.intake.take_job(
+                owner.owner.intake.accept_job(
                     cluster.store.entries[JOBS_PREFIX + job].value
                 )
         await asyncio.sleep(1.5)
-        by_old = [
+        starts_by_old_owner = [
             row
             for worker in cluster.workers.values()
             for row in worker.starts
             if row[3] == 1 and row[1].job != "j0"
         ]
-        self.assertEqual(by_old, [])
+        self.assertEqual(starts_by_old_owner, [])
         cluster.heal()
         for number in range(6):
             await cluster.wait_for_state(
@@ -164,8 +172,8 @@
         self.end()
 
     @virtual
-    async def test_a_lease_that_a_successor_extended_is_given_up_by_nobody_else(self):
-        cluster = await self.begin_quick(
+    async def test_runs_under_a_lease_extended_by_a_successor_are_not_given_up(self):
+        cluster = await self.begin_quick_cluster(
             daemons=5, behave=lambda t, a: Work(2 * SECOND)
         )
         owner = cluster.find_owner()
@@ -175,8 +183,8 @@
         name = cluster.list_starts("j1")[0][3]
         zone = cluster.workers[name].info.zone
         owner.workers.cut_off.add(name)
-        # The lease is over for the owner before its tenure is, which counts from the
-        # last commit.
+        # For the owner the worker's lease expires before its owner lease, which counts
+        # from the last commit.
         await cluster.submit("j2", slow)
         await cluster.wait_for_state("j2", QueueJobState.COMPLETED)
         other = "z1" if zone == "z0" else "z0"
@@ -189,46 +197,48 @@
         self.end()
 
     @virtual
-    async def test_a_job_whose_zones_have_no_room_is_let_into_more(self):
-        cluster = await self.begin_quick(behave=lambda t, a: Work(4 * SECOND))
+    async def test_a_job_whose_zones_lack_capacity_gets_more_zones(self):
+        cluster = await self.begin_quick_cluster(behave=lambda t, a: Work(4 * SECOND))
         await cluster.submit("j1", make_quick())
         (zone,) = self.find_zones("j1")
         for worker in cluster.workers.values():
             if worker.info.zone == zone:
                 cluster.retire(worker.info.identifier)
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=20)
-        again = make_quick()
-        await cluster.submit("j2", again)
+        second = make_quick()
+        await cluster.submit("j2", second)
         await cluster.wait_for_state("j2", QueueJobState.COMPLETED, seconds=20)
         self.end()
 
     @virtual
-    async def test_a_task_moves_to_another_zone_only_once_that_is_durable(self):
-        cluster = await self.begin_quick(workers=6, behave=lambda t, a: Work(SECOND))
+    async def test_a_task_starts_in_another_zone_only_once_that_is_durable(self):
+        cluster = await self.begin_quick_cluster(
+            workers=6, behave=lambda t, a: Work(SECOND)
+        )
         full = make_job(StepSpec(24, SMALL, SECOND))
         await cluster.submit("j1", make_quick(4))
         owner = cluster.find_owner()
         await cluster.submit("j2", make_quick(4))
-        # What fills the zones of the job after it was confined.
+        # This job fills the zones of the other jobs after they were confined.
         await cluster.submit("j3", full)
         owner.store.faults.outage = True
         await asyncio.sleep(1.5)
         for job in ("j1", "j2"):
             zones = set(self.find_zones(job))
             if zones:
-                self.assertLessEqual(self.find_used(job), zones)
+                self.assertLessEqual(self.find_used_zones(job), zones)
         owner.store.faults.outage = False
         for job in ("j1", "j2", "j3"):
             await cluster.wait_for_state(job, QueueJobState.COMPLETED, seconds=20)
         self.end()
 
     @virtual
-    async def test_a_copy_starts_where_copies_may_while_a_zone_is_silent(self):
-        cluster = await self.begin_quick(behave=lambda t, a: Work(2 * SECOND))
+    async def test_a_copy_starts_in_another_zone_while_a_zone_is_silent(self):
+        cluster = await self.begin_quick_cluster(behave=lambda t, a: Work(2 * SECOND))
         step = StepSpec(4, SMALL, SECOND, is_speculative=True)
         await cluster.submit("j1", make_job(step))
         await asyncio.sleep(0.3)
-        (zone,) = self.find_used("j1")
+        (zone,) = self.find_used_zones("j1")
         cluster.cut_zone(zone)
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=5)
         cluster.heal()
@@ -237,7 +247,7 @@
 
 
 class TestCopies(PoolCase):
-    """Copies beside runs that nothing is heard of."""
+    """Copies of runs on workers that are silent."""
 
     @virtual
     async def test_a_task_that_has_completed_gets_no_copy(self):
