--- a/src/damaskdeck/coordination/pools/contacts.py
+++ b/src/damaskdeck/coordination/pools/contacts.py
@@ -116,7 +116,7 @@
         self.is_synchronized = False
         self.is_gone = False
         self.is_cordoned = False
-        self._may_extend = True
+        self._may_extend_lease = True
         self.is_rostered = False
         self.processed = 0
         self.observed = 0
@@ -260,12 +260,12 @@
     def cordon(self, is_silent: bool) -> None:
         """Stop sending orders and, to a silent worker, stop extending its lease."""
         self.is_cordoned = True
-        self._may_extend = not is_silent
+        self._may_extend_lease = not is_silent
 
     def release(self) -> None:
         """Allow orders and lease extensions again."""
         self.is_cordoned = False
-        self._may_extend = True
+        self._may_extend_lease = True
         self._poll_soon.set()
         self._owner.handle_contact_change(self)
 
@@ -451,7 +451,7 @@
         The lease of a silent worker is not extended: it might be extended without an
         answer, and then its runs could not be given up.
         """
-        if not self.is_synchronized or not self._may_extend:
+        if not self.is_synchronized or not self._may_extend_lease:
             return None
         if not self._leadership.may_decide():
             return None
--- a/src/damaskdeck/coordination/pools/cordons.py
+++ b/src/damaskdeck/coordination/pools/cordons.py
@@ -1,12 +1,12 @@
 """Cordons: the durable record of workers that are silent or leaving.
 
 Without cordons a successor has to assume that a worker which doesn't answer may run
-any job, and that its lease may be extended until the previous owner's term ends. But
-a silent worker gets neither orders nor lease extensions, and a leaving worker gets no
-orders. Once that is durable, together with the jobs whose tasks the worker may run, a
-successor starts all other jobs at once and waits for the jobs of a silent worker for
-one lease at most. Before such a worker gets orders or lease extensions again, the end
-of its cordon has to be committed.
+any job, and that the previous owner may extend the worker's lease until its own owner
+lease has expired. But a silent worker gets neither orders nor lease extensions, and a
+leaving worker gets no orders. Once that is durable, together with the jobs whose tasks
+the worker may run, a successor starts all other jobs at once and waits for the jobs of
+a silent worker for one lease at most. Before such a worker gets orders or lease
+extensions again, the end of its cordon has to be committed.
 """
 
 from collections.abc import Callable
@@ -62,7 +62,7 @@
         added = [c.info.identifier for c in contacts if self._add(c, now)]
         if added:
             _log.info("Workers are cordoned.", workers=added)
-        if added or any(map(self._is_over, self._cordons.values())):
+        if added or any(map(self._has_ended, self._cordons.values())):
             self._on_change()
 
     def _add(self, contact: WorkerContact, now: float) -> bool:
@@ -80,7 +80,7 @@
         self._cordons[cordon.worker] = cordon
         return True
 
-    def _is_over(self, cordon: Cordon) -> bool:
+    def _has_ended(self, cordon: Cordon) -> bool:
         contact = self._contacts.get(cordon.worker)
         if contact is None or contact.is_gone:
             return True
@@ -94,14 +94,14 @@
 
         The function returns whether workers may get orders and leases again.
         """
-        over = [c.worker for c in self._cordons.values() if self._is_over(c)]
-        for worker in over:
+        ended = [c.worker for c in self._cordons.values() if self._has_ended(c)]
+        for worker in ended:
             del self._cordons[worker]
 
         def release() -> bool:
             released = [
                 contact
-                for contact in map(self._contacts.get, over)
+                for contact in map(self._contacts.get, ended)
                 if contact is not None and contact.info.identifier not in self._cordons
             ]
             for contact in released:
--- a/src/damaskdeck/coordination/pools/monitoredstore.py
+++ b/src/damaskdeck/coordination/pools/monitoredstore.py
@@ -69,7 +69,7 @@
         self._answered_at = float("-inf")
         self.write_times = RevisionTimes()
         # Set, and replaced, when the store answers again.
-        self._returned = asyncio.Event()
+        self._recovered = asyncio.Event()
 
     @property
     def commit_timeout(self) -> timedelta:
@@ -126,8 +126,8 @@
         if self._failing_since is not None:
             _log.info("The store answers again.", away=str(self.measure_outage()))
             self._failing_since = None
-            self._returned.set()
-            self._returned = asyncio.Event()
+            self._recovered.set()
+            self._recovered = asyncio.Event()
 
     def _record_failure(self, answer: Rejected | Lost) -> None:
         self._failures += 1
@@ -190,14 +190,14 @@
         call = asyncio.ensure_future(
             self._store.watch(prefix, revision, wait, max_reply_bytes)
         )
-        returned = asyncio.ensure_future(self._returned.wait())
+        recovered = asyncio.ensure_future(self._recovered.wait())
         try:
-            await asyncio.wait({call, returned}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({call, recovered}, return_when=asyncio.FIRST_COMPLETED)
             if not call.done():
                 return Lost("outage_over")
             return self._record(call.result(), sent)
         finally:
-            returned.cancel()
+            recovered.cancel()
             call.cancel()
 
     async def grant_lease(self, ttl: timedelta) -> Granted | Rejected | Lost:
--- a/tests/test_pools_crashes.py
+++ b/tests/test_pools_crashes.py
@@ -18,7 +18,7 @@
 
 # In the observed failure a worker was gone about 10 ms after the order to start.
 CRASH_DELAY = timedelta(milliseconds=10)
-# Twice the time of five starts with three seconds between them, with a margin.
+# Twice the time of five starts with three seconds between them.
 GIVE_UP_SECONDS = 40
 LONG_RUNNING = StepSpec(1, SMALL, SECOND, is_long_running=True)
 
