--- a/src/standins/__init__.py
+++ b/src/standins/__init__.py
@@ -1,1 +1,1 @@
-"""In-process stand-ins of the platform, with faults that can be injected."""
+"""In-process stand-ins for the platform, with fault injection."""
--- a/src/standins/narrow.py
+++ b/src/standins/bandwidth.py
@@ -13,27 +13,27 @@
 from standins.wire import WireStore
 
 LATENCY = timedelta(milliseconds=5)
-# Answers that come at the same time take turns on the link.
-TURN = timedelta(milliseconds=10)
+# Concurrent answers share the bandwidth equally in each slice of time.
+TIME_SLICE = timedelta(milliseconds=10)
 
 
-class NarrowClient:
-    """Stands in for ``PlatformClient`` on one daemon's link to a store.
+class BandwidthLimitedClient:
+    """Replaces ``PlatformClient`` on one daemon's link to a store.
 
-    :param rate: what the link carries, bytes a second.
-    :ivar received: bytes that have come, those of answers given up included.
-    :ivar is_cut: whether calls reach nobody.
-    :ivar loses: tells of a call's path whether its answer never begins.
+    :param rate: bandwidth of the link in bytes per second.
+    :ivar received: bytes received, including those of abandoned answers.
+    :ivar is_cut: whether the store is unreachable.
+    :ivar loses_reply: whether the answer to a call never starts, by its path.
     """
 
     def __init__(self, store: WireStore, clock: Clock, rate: float) -> None:
         self.rate = rate
         self.received = 0.0
         self.is_cut = False
-        self.loses: Callable[[str], bool] = lambda path: False
+        self.loses_reply: Callable[[str], bool] = lambda path: False
         self._store = store
         self._clock = clock
-        self._coming = 0
+        self._active_transfers = 0
 
     async def call(
         self,
@@ -46,11 +46,11 @@
         within: timedelta | None = None,
         **options: Any,
     ) -> Reply | Oversized | Rejected | Lost:
-        """Make a call; what came of an answer that is given up is thrown away."""
+        """Make a call; the part of an answer received by the timeout is discarded."""
         if self.is_cut:
             await self._clock.sleep(LATENCY)
             return Rejected("unreachable")
-        if self.loses(path):
+        if self.loses_reply(path):
             await self._clock.sleep(within or timeout)
             return Lost("timeout")
         try:
@@ -73,13 +73,13 @@
         return Reply(status, data)
 
     async def _receive(self, size: float) -> None:
-        self._coming += 1
+        self._active_transfers += 1
         try:
             while size > 0:
-                await self._clock.sleep(TURN)
-                share = self.rate * TURN.total_seconds() / self._coming
+                await self._clock.sleep(TIME_SLICE)
+                share = self.rate * TIME_SLICE.total_seconds() / self._active_transfers
                 part = min(size, share)
                 size -= part
                 self.received += part
         finally:
-            self._coming -= 1
+            self._active_transfers -= 1
--- a/src/standins/clock.py
+++ b/src/standins/clock.py
@@ -1,4 +1,4 @@
-"""A clock that only moves when told to."""
+"""A clock that only moves when a test advances it."""
 
 import asyncio
 import heapq
@@ -10,9 +10,9 @@
 
 
 class ManualClock:
-    """A clock for tests and benchmarks; sleepers wake in order of their deadlines.
+    """A clock for tests and benchmarks; it wakes sleepers in deadline order.
 
-    :param start: time of day at the start.
+    :param start: initial time of day.
     """
 
     def __init__(self, start: datetime = _START) -> None:
@@ -26,11 +26,11 @@
         return self._start + self._elapsed
 
     def monotonic(self) -> timedelta:
-        """Return the time since the start."""
+        """Return the time that has passed on this clock since it was created."""
         return self._elapsed
 
     async def sleep(self, duration: timedelta) -> None:
-        """Wait until :meth:`advance` has passed ``duration``."""
+        """Wait until :meth:`advance` has moved the clock by ``duration``."""
         if duration <= timedelta():
             await asyncio.sleep(0)
             return
@@ -40,11 +40,11 @@
         await future
 
     def move(self, duration: timedelta) -> None:
-        """Jump ahead without waking anybody, as a paused process sees it."""
+        """Jump ahead without waking sleepers, as a paused process experiences it."""
         self._elapsed += duration
 
     async def advance(self, duration: timedelta) -> None:
-        """Move ahead step by step and let every woken task run."""
+        """Move ahead from deadline to deadline; let woken tasks run at each."""
         end = self._elapsed + duration
         await settle()
         while self._sleepers and self._sleepers[0][0] <= end:
@@ -58,6 +58,6 @@
 
 
 async def settle() -> None:
-    """Let the tasks that are ready run until they wait for something."""
+    """Run the tasks that are ready until they wait for something."""
     for _ in range(_SETTLE_ROUNDS):
         await asyncio.sleep(0)
--- a/src/standins/deployment.py
+++ b/src/standins/deployment.py
@@ -1,4 +1,4 @@
-"""Daemons as separate processes on the stand-ins of the platform."""
+"""Daemons that run as separate processes on the stand-ins for the platform."""
 
 import asyncio
 import signal
@@ -15,30 +15,32 @@
 
 OPERATOR_TOKEN = "operator-token"
 PEER_TOKEN = "peer-token-1"
-LINES_KEPT = 2000
-LINES_TOLD = 20
-START_LIMIT_SECONDS = 30
+MAX_LOG_LINES = 2000
+ERROR_LOG_LINES = 20
+START_TIMEOUT_SECONDS = 30
 
 
 class StartError(Exception):
-    """A daemon ended, or said nothing, before it listened."""
+    """A daemon exited, or timed out, before it started to listen."""
 
     def __init__(self, name: str, lines: list[dict[str, Any]]) -> None:
-        told = "\n".join(str(line.get("message", line)) for line in lines)
-        super().__init__(f"{name} doesn't listen; its last lines:\n{told}")
+        last_lines = "\n".join(str(line.get("message", line)) for line in lines)
+        super().__init__(
+            f"{name} did not start to listen; its last log lines:\n{last_lines}"
+        )
 
 
 class DaemonProcess:
-    """One ``damaskdeckd`` process; its log lines are kept.
+    """One ``damaskdeckd`` process and its most recent log lines.
 
     :param settings: the settings document.
-    :param folder: where the settings file is written.
+    :param folder: folder in which the settings file is written.
     """
 
     def __init__(self, settings: dict[str, Any], folder: Path) -> None:
         self.name = settings["name"]
         self.address = ""
-        self.lines: deque[dict[str, Any]] = deque(maxlen=LINES_KEPT)
+        self.lines: deque[dict[str, Any]] = deque(maxlen=MAX_LOG_LINES)
         self._path = folder / f"{self.name}.yaml"
         self._path.write_text(yaml.safe_dump(settings))
         self._process: Process | None = None
@@ -48,29 +50,29 @@
 
     @property
     def process(self) -> Process:
-        """The running process."""
+        """The process that was started last."""
         assert self._process is not None, "not started"
         return self._process
 
     async def start(self) -> None:
         """Start the process and wait until it listens."""
         self._listening.clear()
-        self._process, self._stream = await self._open()
+        self._process, self._stream = await self._spawn()
         self._reader = asyncio.ensure_future(self._read_lines())
         listening = asyncio.ensure_future(self._listening.wait())
         try:
             await asyncio.wait(
                 {listening, self._reader},
-                timeout=START_LIMIT_SECONDS,
+                timeout=START_TIMEOUT_SECONDS,
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
             listening.cancel()
         if not self._listening.is_set():
-            raise StartError(self.name, list(self.lines)[-LINES_TOLD:])
+            raise StartError(self.name, list(self.lines)[-ERROR_LOG_LINES:])
 
-    async def _open(self) -> tuple[Process, asyncio.StreamReader | None]:
-        """Return the new process and the stream with its log lines."""
+    async def _spawn(self) -> tuple[Process, asyncio.StreamReader | None]:
+        """Start the process; return it and the stream of its log lines."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -82,24 +84,24 @@
         return process, process.stderr
 
     async def stop(self) -> int:
-        """Shut down gracefully; returns the exit code."""
-        return await self._end(signal.SIGTERM)
+        """Shut down gracefully and return the exit code."""
+        return await self._terminate(signal.SIGTERM)
 
     async def kill(self) -> int:
-        """End the process at once, as when its instance fails."""
-        return await self._end(signal.SIGKILL)
+        """Kill the process, as when its instance fails, and return the exit code."""
+        return await self._terminate(signal.SIGKILL)
 
     def freeze(self) -> None:
         """Pause the process."""
         self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Continue a paused process."""
         self.process.send_signal(signal.SIGCONT)
 
-    async def _end(self, number: signal.Signals) -> int:
+    async def _terminate(self, signal_number: signal.Signals) -> int:
         if self.process.returncode is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
         code = await self.process.wait()
         if self._reader is not None:
             await self._reader
@@ -109,7 +111,7 @@
         stream = self._stream
         assert stream is not None, "started with a pipe"
         async for raw in stream:
-            line = _read_line(raw)
+            line = _parse_line(raw)
             self.lines.append(line)
             if line.get("message") == "Listening.":
                 self.address = line["api"]
@@ -117,12 +119,12 @@
 
 
 class Deployment:
-    """Several daemons on one platform.
+    """Several daemons that share one platform.
 
-    :param platform: already serving over HTTP.
-    :param folder: for the settings files.
-    :param teams: token of each team.
-    :param limits: the section ``limits`` of each daemon's settings.
+    :param platform: must already serve HTTP.
+    :param folder: folder for the settings files.
+    :param teams: token of each team, by team name.
+    :param limits: added to the section ``limits`` of each daemon's settings.
     """
 
     def __init__(
@@ -139,7 +141,7 @@
         self._limits = limits or {}
 
     async def start(self, name: str, zone: str, region: str = "") -> DaemonProcess:
-        """Start a daemon in an availability zone."""
+        """Start a daemon in an availability zone and wait until it listens."""
         daemon = DaemonProcess(self.make_settings(name, zone, region), self._folder)
         self.daemons[name] = daemon
         await daemon.start()
@@ -168,11 +170,11 @@
         return settings
 
     async def close(self) -> None:
-        """End all daemons at once."""
+        """Kill all daemons concurrently."""
         await asyncio.gather(*(d.kill() for d in self.daemons.values()))
 
 
-def _read_line(raw: bytes) -> dict[str, Any]:
+def _parse_line(raw: bytes) -> dict[str, Any]:
     try:
         line = msgspec.json.decode(raw)
     except msgspec.DecodeError:
--- a/src/standins/faults.py
+++ b/src/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that tests, benchmarks and demos inject into a stand-in."""
+"""Faults that tests, benchmarks and the demo inject into a stand-in."""
 
 import asyncio
 from datetime import timedelta
@@ -6,7 +6,11 @@
 
 
 class FaultKind(StrEnum):
-    """What happens to the next calls."""
+    """What happens to a call.
+
+    ``REFUSE`` rejects it, ``LOSE_ANSWER`` performs it and loses the answer,
+    ``LOSE_CALL`` loses it before it takes effect.
+    """
 
     REFUSE = "refuse"
     LOSE_ANSWER = "lose_answer"
@@ -14,12 +18,12 @@
 
 
 class Faults:
-    """Faults of one stand-in; all off at first.
+    """Faults of one stand-in; none is active at first.
 
-    :ivar outage: every call is refused as unreachable.
-    :ivar delay: time that each call takes.
-    :ivar planned: faults of the next calls by operation, first come first used.
-    :ivar cut_off: instances whose calls don't arrive.
+    :ivar outage: whether every call is rejected as unreachable.
+    :ivar delay: added latency of each call.
+    :ivar planned: faults of the next calls by operation, in order of use.
+    :ivar cut_off: clients whose calls do not arrive.
     :ivar resumed: set unless the stand-in is paused.
     """
 
@@ -37,18 +41,18 @@
         return not self.resumed.is_set()
 
     def pause(self) -> None:
-        """Let calls wait until :meth:`resume`."""
+        """Hold all calls until :meth:`resume`."""
         self.resumed.clear()
 
     def resume(self) -> None:
-        """Go on with the calls that wait."""
+        """Continue with the calls that are held."""
         self.resumed.set()
 
     def plan(self, operation: str, *kinds: FaultKind) -> None:
-        """Let the next calls of ``operation`` meet ``kinds``, one each."""
+        """Inject ``kinds`` into the next calls of ``operation``, one per call."""
         self.planned.setdefault(operation, []).extend(kinds)
 
     def take(self, operation: str) -> FaultKind | None:
-        """Return the fault of this call, if one is planned."""
+        """Remove and return the next planned fault of ``operation``, if any."""
         queue = self.planned.get(operation)
         return queue.pop(0) if queue else None
--- a/src/standins/gateway.py
+++ b/src/standins/gateway.py
@@ -1,4 +1,4 @@
-"""The way into a stand-in: every call passes here and meets its faults."""
+"""Entry point of a stand-in: applies the injected faults to every call."""
 
 import asyncio
 from collections import Counter
@@ -15,71 +15,78 @@
 T = TypeVar("T")
 
 
-class Signal:
-    """Wakes everybody who waits for the next change."""
+class ChangeSignal:
+    """Wakes all tasks that wait for the next change."""
 
     def __init__(self) -> None:
         self._event = asyncio.Event()
 
     def wake(self) -> None:
-        """Wake all who hold the event of :meth:`next`."""
+        """Set the event that :meth:`next` returned, and start a new one."""
         self._event.set()
         self._event = asyncio.Event()
 
     def next(self) -> asyncio.Event:
-        """Return the event of the next change; take it before looking."""
+        """Return the event of the next change.
+
+        Get it before reading the state, or a change in between is missed.
+        """
         return self._event
 
 
 class Gateway:
-    """Lets calls of clients into one stand-in.
+    """Passes calls of clients to one stand-in.
 
-    :param busy: code of a call that the fault ``REFUSE`` turns away.
+    :param busy_code: code with which the fault ``REFUSE`` rejects a call.
     """
 
-    def __init__(self, clock: Clock, busy: str) -> None:
+    def __init__(self, clock: Clock, busy_code: str) -> None:
         self.clock = clock
         self.faults = Faults()
         self.calls: Counter[str] = Counter()
         self.waiting = 0
-        self._busy = busy
-        self._arrived: set[asyncio.Task[Any]] = set()
+        self._busy_code = busy_code
+        self._pending_calls: set[asyncio.Task[Any]] = set()
 
     def is_cut_off(self, client: str) -> bool:
-        """Tell whether calls of ``client`` don't arrive now."""
+        """Whether calls of ``client`` fail to arrive now."""
         return self.faults.outage or client in self.faults.cut_off
 
     async def call(
         self,
         client: str,
         operation: str,
-        act: Callable[[], T],
+        action: Callable[[], T],
         timeout: timedelta = CALL_TIMEOUT,
     ) -> T | Rejected | Lost:
-        """Let ``act`` happen, unless a fault forbids it.
+        """Perform ``action``, unless a fault prevents it.
+
+        A call that arrives during a pause is held and takes effect after it, even
+        if its caller has timed out by then.
 
-        While the stand-in is paused the call waits inside it: it takes effect
-        after the pause, though its caller may have given up by then.
+        :param timeout: how long the client waits for a call that is held.
         """
         if self.faults.delay:
             await self.clock.sleep(self.faults.delay)
         if self.is_cut_off(client):
             return Rejected("unreachable")
         if not self.faults.is_paused:
-            return self._act(operation, act)
-        arrived = asyncio.ensure_future(self._act_once_resumed(operation, act))
-        self._arrived.add(arrived)
-        arrived.add_done_callback(self._arrived.discard)
-        return await self.wait_for(arrived, timeout)
+            return self._perform(operation, action)
+        pending_call = asyncio.ensure_future(
+            self._perform_after_resume(operation, action)
+        )
+        self._pending_calls.add(pending_call)
+        pending_call.add_done_callback(self._pending_calls.discard)
+        return await self.wait_for(pending_call, timeout)
 
     def drop_calls(self) -> None:
-        """Lose the calls that wait in a pause, as when the machine dies."""
-        for call in self._arrived:
+        """Drop the calls that a pause holds, as when the machine fails, and resume."""
+        for call in self._pending_calls:
             call.cancel()
         self.faults.resume()
 
     async def wait_for(self, task: "asyncio.Task[T]", timeout: timedelta) -> T | Lost:
-        """Wait for ``task`` as long as a client waits; it goes on regardless."""
+        """Wait for ``task`` until the client times out; the task continues anyway."""
         timer = asyncio.ensure_future(self.clock.sleep(timeout))
         try:
             await asyncio.wait({task, timer}, return_when=asyncio.FIRST_COMPLETED)
@@ -94,13 +101,17 @@
         client: str,
         read: Callable[[], T],
         is_empty: Callable[[T], bool],
-        signal: Signal,
+        signal: ChangeSignal,
         wait: timedelta,
-        find_due: Callable[[], timedelta | None],
+        find_next_change: Callable[[], timedelta | None],
     ) -> T | Lost:
-        """Answer once ``read`` finds something or ``wait`` has passed.
+        """Return what ``read`` finds, waiting up to ``wait`` for a non-empty answer.
+
+        It re-reads on each ``signal`` and whenever the clock alone changes the state.
+
 
-        :param find_due: when something changes by the clock alone.
+        :param find_next_change: returns the monotonic time at which the clock alone
+            changes the state next, or ``None``.
         """
         deadline = self.clock.monotonic() + wait
         self.waiting += 1
@@ -111,8 +122,8 @@
                 now = self.clock.monotonic()
                 if not is_empty(answer) or deadline <= now:
                     return answer
-                due = find_due()
-                until = deadline if due is None else min(deadline, due)
+                next_change = find_next_change()
+                until = deadline if next_change is None else min(deadline, next_change)
                 await self._wait_for_change(change, until - now)
                 if self.faults.is_paused or self.is_cut_off(client):
                     return Lost("timeout")
@@ -128,18 +139,18 @@
             timer.cancel()
             changed.cancel()
 
-    def _act(self, operation: str, act: Callable[[], T]) -> T | Rejected | Lost:
+    def _perform(self, operation: str, action: Callable[[], T]) -> T | Rejected | Lost:
         self.calls[operation] += 1
         fault = self.faults.take(operation)
         if fault is FaultKind.REFUSE:
-            return Rejected(self._busy)
+            return Rejected(self._busy_code)
         if fault is FaultKind.LOSE_CALL:
             return Lost("timeout")
-        answer = act()
+        answer = action()
         return Lost("timeout") if fault is FaultKind.LOSE_ANSWER else answer
 
-    async def _act_once_resumed(
-        self, operation: str, act: Callable[[], T]
+    async def _perform_after_resume(
+        self, operation: str, action: Callable[[], T]
     ) -> T | Rejected | Lost:
         await self.faults.resumed.wait()
-        return self._act(operation, act)
+        return self._perform(operation, action)
--- a/src/standins/http.py
+++ b/src/standins/http.py
@@ -1,7 +1,7 @@
 """HTTP servers of the stand-ins, run inside the current event loop.
 
-Every part listens at an address of its own, on one uvicorn protocol each and
-without a server task, so that hundreds of them cost little.
+Every component listens at an address of its own. It uses uvicorn's protocol class
+without a server task, so that hundreds of listeners cost little.
 """
 
 import asyncio
@@ -44,15 +44,15 @@
 from standins.targets import MemoryTarget, TargetsClient
 from standins.workers import MemoryWorker, WorkersClient
 
-KEEPALIVE = 75
-BACKLOG = 128
+KEEPALIVE_SECONDS = 75
+LISTEN_BACKLOG = 128
 REQUEST_TIMEOUT = timedelta(minutes=10)
 
 T = TypeVar("T")
 Endpoint = Callable[[Request], Awaitable[Response]]
 Renderer = Callable[[Any], Response]
 
-# Connections that a test cuts are no errors of the stand-in.
+# Connections that a test resets are not errors of the stand-in.
 logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)
 
 _encoder = msgspec.msgpack.Encoder()
@@ -60,18 +60,18 @@
 
 
 class Listener:
-    """One address at which an application answers.
+    """A server for one application at one address.
 
     :param app: an ASGI application.
-    :param state: handed to it as the state of each request.
+    :param state: state of each request, to which the listener itself is added.
     """
 
     def __init__(self, app: Any, **state: Any) -> None:
-        # asyncio turns Nagle's algorithm off only on sockets that name TCP.
+        # asyncio disables Nagle's algorithm only on sockets created with IPPROTO_TCP.
         self._socket = socket.socket(proto=socket.IPPROTO_TCP)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._socket.bind(("127.0.0.1", 0))
-        self._socket.listen(BACKLOG)
+        self._socket.listen(LISTEN_BACKLOG)
         host, port = self._socket.getsockname()
         self.address = f"{host}:{port}"
         self._app = app
@@ -80,13 +80,13 @@
         self._server_state = ServerState()
 
     async def start(self) -> None:
-        """Begin to answer; calls that came before wait in the backlog."""
+        """Start to answer; earlier connections wait in the listen backlog."""
         config = uvicorn.Config(
             self._app,
             lifespan="off",
             access_log=False,
             log_config=None,
-            timeout_keep_alive=KEEPALIVE,
+            timeout_keep_alive=KEEPALIVE_SECONDS,
         )
         config.load()
         self._server = await asyncio.get_running_loop().create_server(
@@ -101,14 +101,14 @@
         """The open connections."""
         return tuple(protocol.transport for protocol in self._server_state.connections)
 
-    def hang_up(self, scope: Scope) -> None:
-        """Reset the connection of a request without an answer."""
+    def reset_connection(self, scope: Scope) -> None:
+        """Reset the connection of a request instead of answering it."""
         for protocol in list(self._server_state.connections):
             if protocol.scope is scope:
                 protocol.transport.abort()
 
     def close(self) -> None:
-        """Refuse connections from now on and reset those that are open."""
+        """Refuse new connections and reset the open ones."""
         if self._server is not None:
             self._server.close()
         self._socket.close()
@@ -116,18 +116,18 @@
             transport.abort()
 
 
-class HangUp(Response):
-    """No answer: the connection is reset."""
+class ResetResponse(Response):
+    """A response that resets the connection and sends nothing."""
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Reset the connection and wait until it is gone."""
-        scope["state"]["listener"].hang_up(scope)
+        """Reset the connection and wait until it is closed."""
+        scope["state"]["listener"].reset_connection(scope)
         while (await receive())["type"] != "http.disconnect":
             pass
 
 
 def renders(kind: type) -> Callable[[Renderer], Renderer]:
-    """Register how an answer of the ports becomes a response."""
+    """Register the function that turns an answer of type ``kind`` into a response."""
 
     def register(renderer: Renderer) -> Renderer:
         _renderers[kind] = renderer
@@ -137,20 +137,20 @@
 
 
 def render(answer: Any) -> Response:
-    """Turn an answer of the ports into a response."""
+    """Turn an answer of a port into a response."""
     return _renderers[type(answer)](answer)
 
 
 @renders(Rejected)
 def _render_rejected(answer: Rejected) -> Response:
     if answer.code == "unreachable":
-        return HangUp()
+        return ResetResponse()
     return Response(status_code=503, headers={"x-refusal": answer.code})
 
 
 @renders(Lost)
 def _render_lost(answer: Lost) -> Response:
-    return HangUp()
+    return ResetResponse()
 
 
 @renders(Found)
@@ -221,24 +221,24 @@
 
 
 async def _get_key(request: Request) -> Response:
-    return render(await _open_store(request).get(request.query_params["key"]))
+    return render(await _connect_store(request).get(request.query_params["key"]))
 
 
 async def _list_keys(request: Request) -> Response:
-    return render(await _open_store(request).list(request.query_params["prefix"]))
+    return render(await _connect_store(request).list(request.query_params["prefix"]))
 
 
 async def _put_key(request: Request) -> Response:
     query = request.query_params
     value = await request.body()
-    store = _open_store(request)
+    store = _connect_store(request)
     return render(
         await store.put(query["key"], value, _read_expected(request), query["lease"])
     )
 
 
 async def _delete_key(request: Request) -> Response:
-    store = _open_store(request)
+    store = _connect_store(request)
     return render(
         await store.delete(request.query_params["key"], _read_expected(request))
     )
@@ -246,24 +246,24 @@
 
 async def _grant_lease(request: Request) -> Response:
     ttl = timedelta(seconds=float(request.query_params["ttl"]))
-    return render(await _open_store(request).grant_lease(ttl))
+    return render(await _connect_store(request).grant_lease(ttl))
 
 
 async def _renew_lease(request: Request) -> Response:
     lease = request.query_params["lease"]
-    return render(await _open_store(request).renew_lease(lease))
+    return render(await _connect_store(request).renew_lease(lease))
 
 
 async def _revoke_lease(request: Request) -> Response:
     lease = request.query_params["lease"]
-    return render(await _open_store(request).revoke_lease(lease))
+    return render(await _connect_store(request).revoke_lease(lease))
 
 
 async def _watch(request: Request) -> Response:
     query = request.query_params
     wait = timedelta(seconds=float(query["wait"]))
-    watch = _open_store(request).watch(query["prefix"], int(query["revision"]), wait)
-    return render(await _answer_while_connected(request, watch))
+    watch = _connect_store(request).watch(query["prefix"], int(query["revision"]), wait)
+    return render(await _await_while_connected(request, watch))
 
 
 async def _list_instances(request: Request) -> Response:
@@ -278,7 +278,7 @@
     return Response(body, headers=headers, media_type="application/json")
 
 
-def _open_store(request: Request) -> StoreClient:
+def _connect_store(request: Request) -> StoreClient:
     store: MemoryStore = request.state.store
     return store.connect(_read_client(request))
 
@@ -292,27 +292,27 @@
     return request.headers.get("x-client", "")
 
 
-async def _answer_while_connected(request: Request, answer: Awaitable[T]) -> T | Lost:
-    """Wait for a long poll's answer, but no longer than its client does."""
+async def _await_while_connected(request: Request, answer: Awaitable[T]) -> T | Lost:
+    """Wait for the answer of a long poll until its client disconnects."""
     await request.body()
     work = asyncio.ensure_future(answer)
-    gone = asyncio.ensure_future(request.receive())
+    disconnected = asyncio.ensure_future(request.receive())
     try:
-        await asyncio.wait({work, gone}, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait({work, disconnected}, return_when=asyncio.FIRST_COMPLETED)
         return work.result() if work.done() else Lost("timeout")
     finally:
         work.cancel()
-        gone.cancel()
+        disconnected.cancel()
 
 
 # Workers ----------------------------------------------------------------------
 
 
 class Operation(NamedTuple):
-    """How a worker's operation is called.
+    """An operation of a worker.
 
-    :param argument: type of the request's body.
-    :param call: takes the client, the worker, the epoch and the argument.
+    :param argument: type as which the request's body is decoded.
+    :param call: function of the client, the worker, the epoch and the argument.
     """
 
     argument: Any
@@ -325,19 +325,25 @@
     "checkpoint": Operation(str, WorkersClient.checkpoint),
     "throttle": Operation(
         tuple[str, int],
-        lambda client, worker, epoch, given: client.throttle(worker, epoch, *given),
+        lambda client, worker, epoch, arguments: client.throttle(
+            worker, epoch, *arguments
+        ),
     ),
     "renew": Operation(
         tuple[tuple[str, ...], timedelta],
-        lambda client, worker, epoch, given: client.renew(worker, epoch, *given),
+        lambda client, worker, epoch, arguments: client.renew(
+            worker, epoch, *arguments
+        ),
     ),
     "read_inventory": Operation(
         None,
-        lambda client, worker, epoch, given: client.read_inventory(worker, epoch),
+        lambda client, worker, epoch, arguments: client.read_inventory(worker, epoch),
     ),
     "follow": Operation(
         tuple[int, timedelta],
-        lambda client, worker, epoch, given: client.follow(worker, epoch, *given),
+        lambda client, worker, epoch, arguments: client.follow(
+            worker, epoch, *arguments
+        ),
     ),
     "acknowledge": Operation(tuple[str, ...], WorkersClient.acknowledge),
 }
@@ -347,15 +353,15 @@
 }
 
 
-async def _operate(request: Request) -> Response:
+async def _handle_task_operation(request: Request) -> Response:
     name = request.path_params["operation"]
     epoch = int(request.query_params["epoch"])
-    worker: MemoryWorker = request.state.part
+    worker: MemoryWorker = request.state.machine
     client = WorkersClient({worker.instance.name: worker}, _read_client(request))
     argument = _decoders[name].decode(await request.body())
     answer = _OPERATIONS[name].call(client, worker.instance, epoch, argument)
     if name == "follow":
-        return render(await _answer_while_connected(request, answer))
+        return render(await _await_while_connected(request, answer))
     return render(await answer)
 
 
@@ -363,25 +369,25 @@
 
 
 async def _serve_request(request: Request) -> Response:
-    target: MemoryTarget = request.state.part
-    target.note_connections(len(request.state.listener.transports))
+    target: MemoryTarget = request.state.machine
+    target.record_connections(len(request.state.listener.transports))
     call = TargetCall(
         request.headers["x-request"],
         int(request.headers["x-attempt"]),
         await request.body(),
         request.headers.get("content-type", ""),
     )
-    return render(await _open_targets(request).submit(target, call, REQUEST_TIMEOUT))
+    return render(await _connect_targets(request).submit(target, call, REQUEST_TIMEOUT))
 
 
 async def _probe(request: Request) -> Response:
-    target: MemoryTarget = request.state.part
-    client = _open_targets(request)
+    target: MemoryTarget = request.state.machine
+    client = _connect_targets(request)
     return render(await client.probe(target.instance, REQUEST_TIMEOUT))
 
 
-def _open_targets(request: Request) -> TargetsClient:
-    target: MemoryTarget = request.state.part
+def _connect_targets(request: Request) -> TargetsClient:
+    target: MemoryTarget = request.state.machine
     return TargetsClient({target.instance.name: target}, _read_client(request))
 
 
@@ -398,7 +404,9 @@
         Route("/instances", _list_instances),
     ]
 )
-worker_app = Starlette(routes=[Route("/tasks/{operation}", _operate, methods=["POST"])])
+worker_app = Starlette(
+    routes=[Route("/tasks/{operation}", _handle_task_operation, methods=["POST"])]
+)
 target_app = Starlette(
     routes=[
         Route("/request", _serve_request, methods=["POST"]),
--- a/src/standins/instances.py
+++ b/src/standins/instances.py
@@ -1,4 +1,4 @@
-"""An in-memory instance list that lags behind the truth."""
+"""An in-memory instance list whose answers lag behind its content."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -18,9 +18,10 @@
 
 
 class Version(NamedTuple):
-    """The list as it was from ``time`` on.
+    """A version of the list, valid from ``time`` on.
 
-    :param number: rises with each change.
+    :param number: increases with each change.
+    :param time: monotonic time.
     """
 
     number: int
@@ -31,7 +32,7 @@
 class MemoryInstanceList:
     """The instance list, shared by all clients; see :meth:`connect`.
 
-    :param lag: how old each answer is.
+    :param lag: age of each answer.
     """
 
     def __init__(self, clock: Clock, lag: timedelta = timedelta()) -> None:
@@ -44,11 +45,11 @@
         self._versions = [Version(0, clock.monotonic() - timedelta(days=1), ())]
 
     def connect(self, client: str) -> "InstanceListClient":
-        """Return the list as one client sees it; it may be cut off alone."""
+        """Return a client of the list, which can be cut off on its own."""
         return InstanceListClient(self, client)
 
     def set_lag(self, lag: timedelta) -> None:
-        """Let each answer be ``lag`` old."""
+        """Make each answer ``lag`` old."""
         self.draw_lag = lambda: lag
 
     def put(self, instance: Instance) -> None:
@@ -57,20 +58,20 @@
         self._record()
 
     def mark_leaving(self, name: str) -> None:
-        """Let an instance leave."""
+        """List an instance as leaving."""
         self.put(self._instances[name]._replace(state=InstanceState.LEAVING))
 
     def remove(self, name: str) -> None:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         self._instances.pop(name, None)
         self._record()
 
     def get(self, name: str) -> Instance | None:
-        """Return an instance as it is, without lag."""
+        """Return the current state of an instance, without lag."""
         return self._instances.get(name)
 
     def read(self) -> Version:
-        """Return the list as of a lag ago."""
+        """Return the newest version that is at least as old as the lag."""
         time = self.clock.monotonic() - self.draw_lag()
         for version in reversed(self._versions):
             if version.time <= time:
@@ -87,7 +88,7 @@
 class InstanceListClient:
     """A client of the list; implements the port ``InstanceList``.
 
-    :param client: name to cut this client off by.
+    :param client: name by which this client can be cut off.
     """
 
     def __init__(self, source: MemoryInstanceList, client: str) -> None:
@@ -100,6 +101,6 @@
         return Instances(version.instances) if isinstance(version, Version) else version
 
     async def read_version(self) -> Version | Rejected | Lost:
-        """Read the list with its number."""
+        """Read the list with its version number."""
         source = self._source
         return await source.gateway.call(self._client, "list_instances", source.read)
--- a/src/standins/loops.py
+++ b/src/standins/loops.py
@@ -1,4 +1,4 @@
-"""An event loop in virtual time: sleeping costs nothing and is deterministic."""
+"""An event loop in virtual time: sleeps take no real time and are deterministic."""
 
 import asyncio
 import selectors
@@ -11,43 +11,45 @@
 _START = datetime(2026, 1, 1, tzinfo=UTC)
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """Jumps to the next timer in place of waiting for it."""
+class _VirtualTimeSelector(selectors.SelectSelector):
+    """Advances the virtual time to the next timer instead of waiting for it."""
 
     elapsed = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("nothing is left that could wake a task")
+            raise RuntimeError(
+                "deadlock in virtual time: no timer is left that could wake a task"
+            )
         self.elapsed += max(timeout, 0.0)
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time is moved by its own timers only."""
+    """An event loop whose time only advances to its own timers."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._jumping.elapsed
+        return self._virtual_selector.elapsed
 
 
 class LoopClock:
-    """The clock of the running event loop, virtual or not."""
+    """The clock of the running event loop, in virtual or real time."""
 
     def now(self) -> datetime:
-        """Return a time of day that follows the loop's time."""
+        """Return a fixed date plus the loop's time."""
         return _START + self.monotonic()
 
     def monotonic(self) -> timedelta:
-        """Return the loop's time."""
+        """Return the time of the running loop."""
         return timedelta(seconds=asyncio.get_running_loop().time())
 
     async def sleep(self, duration: timedelta) -> None:
-        """Wait on the loop."""
+        """Sleep on the running loop."""
         await asyncio.sleep(duration.total_seconds())
 
 
--- a/src/standins/nodes.py
+++ b/src/standins/nodes.py
@@ -1,4 +1,4 @@
-"""Daemons as separate processes on the stand-in of the platform's wire."""
+"""Daemons that run as separate processes on the HTTP stand-in for the platform."""
 
 import asyncio
 import os
@@ -12,9 +12,9 @@
 
 
 class NodeProcess(DaemonProcess):
-    """A daemon that takes the platform's settings file.
+    """A daemon that is started with the platform's node file as its settings.
 
-    :param folder: where the settings file is written.
+    :param folder: folder in which the settings file is written.
     """
 
     def __init__(self, name: str, zone: str, platform: WirePlatform, folder: Path):
@@ -41,23 +41,23 @@
 
     @property
     def ready_address(self) -> str:
-        """Where the balancer asks."""
+        """Address at which a load balancer checks readiness."""
         return self.find_lines("Listening.")[-1]["ready"]
 
     @property
     def metrics_address(self) -> str:
-        """Where metrics are read."""
+        """Address of the metrics endpoint."""
         return self.find_lines("Listening.")[-1]["metrics"]
 
     def find_lines(self, message: str) -> list[dict[str, Any]]:
-        """Return the log lines with that message."""
+        """Return the log lines whose message is ``message``."""
         return [line for line in self.lines if line.get("message") == message]
 
     def add_settings(self, line: str) -> None:
-        """Add a line to the settings file, without a signal."""
+        """Append a line to the settings file; does not signal the process."""
         self._path.write_text(f"{self._path.read_text()}\n{line}")
 
-    async def _open(self) -> tuple[Process, asyncio.StreamReader | None]:
+    async def _spawn(self) -> tuple[Process, asyncio.StreamReader | None]:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
--- a/src/standins/peers.py
+++ b/src/standins/peers.py
@@ -1,4 +1,4 @@
-"""In-process streams between daemons whose links can be cut, delayed or lossy."""
+"""In-process streams between daemons; links can be cut, delayed or lossy."""
 
 import asyncio
 import itertools
@@ -27,11 +27,18 @@
 
 
 class PeerSwitch:
-    """Joins the daemons of one process; all links work at first.
-
-    Replies are decoded by their type, as from a real stream.
-
-    :param clock: decides about delays and timeouts.
+    """Connects the daemons of one process; all links work at first.
+
+    Replies are encoded and then decoded by their type, as on a real stream.
+
+    :param clock: times delays and timeouts.
+    :param seed: seed of the random jitter.
+    :ivar delay: latency of each message.
+    :ivar jitter: upper bound of the random time added to ``delay``.
+    :ivar processing_times: time that a daemon, by name, needs for each message it
+        receives; it processes one at a time.
+    :ivar messages: number of messages sent, by sender.
+    :ivar bytes: number of bytes sent, by sender.
     """
 
     def __init__(self, clock: Clock, seed: int = 0) -> None:
@@ -39,8 +46,7 @@
         self.random = Random(seed)
         self.jitter = timedelta()
         self.delay = timedelta()
-        # What a daemon's process needs for a message that it takes in, one at a time.
-        self.work: dict[str, timedelta] = {}
+        self.processing_times: dict[str, timedelta] = {}
         self._busy_until: dict[str, timedelta] = {}
         self.messages: Counter[str] = Counter()
         self.bytes: Counter[str] = Counter()
@@ -51,62 +57,62 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def connect(self, name: str) -> "SwitchPeers":
-        """Return the streams of daemon ``name``; replaces an earlier daemon."""
+        """Return the streams of daemon ``name``, replacing an earlier daemon's."""
         peers = SwitchPeers(self, name)
         self._peers[name] = peers
         return peers
 
     def disconnect(self, name: str) -> None:
-        """Take a daemon away, as when its process dies."""
+        """Remove a daemon, as when its process dies."""
         self._peers.pop(name, None)
 
     def close(self) -> None:
-        """Drop all messages on their way, at the end of a test."""
+        """Drop all messages in transit, at the end of a test."""
         for task in self._tasks:
             task.cancel()
 
     def start(self, delivery: Coroutine[Any, Any, None]) -> None:
-        """Let a message be on its way, also when its sender dies meanwhile."""
+        """Start to deliver a message; it continues if its sender dies meanwhile."""
         task = asyncio.ensure_future(delivery)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def cut(self, sender: str, receiver: str) -> None:
-        """Lose what ``sender`` sends to ``receiver``, in this direction only."""
+        """Drop messages from ``sender`` to ``receiver``, in this direction only."""
         self._cuts.add((sender, receiver))
 
     def cut_both(self, first: str, second: str) -> None:
-        """Lose what the two send to each other."""
+        """Drop messages between two daemons, in both directions."""
         self._cuts.update({(first, second), (second, first)})
 
     def heal(self, first: str, second: str) -> None:
-        """Let both directions of a link work again."""
+        """Restore both directions of a link."""
         self._cuts.difference_update({(first, second), (second, first)})
 
     def heal_all(self) -> None:
-        """Let all links work again."""
+        """Restore all links."""
         self._cuts.clear()
 
     def lose_replies(self, caller: str, callee: str, count: int = 1) -> None:
-        """Lose the next ``count`` replies of ``callee`` to ``caller``."""
+        """Drop the next ``count`` replies of ``callee`` to ``caller``."""
         self._lost_replies[caller, callee] += count
 
     def pause(self, name: str) -> None:
-        """Keep what arrives at ``name`` until :meth:`resume`."""
+        """Hold the messages that arrive at ``name`` until :meth:`resume`."""
         self._paused.setdefault(name, asyncio.Event())
 
     def resume(self, name: str) -> None:
-        """Let a paused daemon handle what arrived meanwhile."""
+        """Let a paused daemon handle the messages held meanwhile."""
         event = self._paused.pop(name, None)
         if event is not None:
             event.set()
 
     def find(self, name: str) -> "SwitchPeers | None":
-        """Return the streams of a daemon that is connected."""
+        """Return the streams of a daemon, or ``None`` if it is not connected."""
         return self._peers.get(name)
 
-    async def carry(self, sender: str, receiver: str, size: int) -> bool:
-        """Take one message over a link; tell whether it arrived."""
+    async def transfer(self, sender: str, receiver: str, size: int) -> bool:
+        """Transfer one message over a link and return whether it arrived."""
         self.messages[sender] += 1
         self.bytes[sender] += size
         delay = self.delay + self.jitter * self.random.random()
@@ -116,21 +122,21 @@
             return False
         while receiver in self._paused:
             await self._paused[receiver].wait()
-        await self._work(receiver)
+        await self._wait_for_processing(receiver)
         return True
 
-    async def _work(self, receiver: str) -> None:
-        """Wait until a daemon has served what came before, and this."""
-        work = self.work.get(receiver)
-        if work is None:
+    async def _wait_for_processing(self, receiver: str) -> None:
+        """Wait until a daemon has processed the earlier messages and this one."""
+        processing_time = self.processing_times.get(receiver)
+        if processing_time is None:
             return
         now = self.clock.monotonic()
-        ends = max(now, self._busy_until.get(receiver, now)) + work
-        self._busy_until[receiver] = ends
-        await self.clock.sleep(ends - now)
+        finishes_at = max(now, self._busy_until.get(receiver, now)) + processing_time
+        self._busy_until[receiver] = finishes_at
+        await self.clock.sleep(finishes_at - now)
 
-    def take_lost_reply(self, caller: str, callee: str) -> bool:
-        """Tell whether this reply is to be lost."""
+    def consume_lost_reply(self, caller: str, callee: str) -> bool:
+        """Return whether to drop this reply, and count it if so."""
         if not self._lost_replies[caller, callee]:
             return False
         self._lost_replies[caller, callee] -= 1
@@ -147,11 +153,11 @@
         self._numbers = itertools.count(1)
 
     def register(self, kind: type, handler: Handler) -> None:
-        """Let ``handler(instance, message)`` take all messages of ``kind``."""
+        """Call ``handler(instance, message)`` for all messages of ``kind``."""
         self._handlers[get_message_name(kind)] = handler
 
     def send(self, instance: str, message: Any, kind: type) -> Unsent | None:
-        """Put a message on the stream to ``instance`` without waiting."""
+        """Send a message to ``instance`` without waiting for its delivery."""
         if self._switch.find(instance) is None:
             return Unsent("unreachable")
         self._start(instance, self._pack(message, kind, 0), None)
@@ -174,7 +180,7 @@
             reply.cancel()
 
     def is_refused(self, instance: str) -> bool:
-        """Whether a daemon's process is gone."""
+        """Whether connections are refused because the daemon's process has ended."""
         return self._switch.find(instance) is None
 
     def _pack(self, message: Any, kind: type, number: int) -> Envelope:
@@ -190,7 +196,7 @@
     ) -> None:
         switch = self._switch
         size = len(encode_message(envelope))
-        if not await switch.carry(self._name, instance, size):
+        if not await switch.transfer(self._name, instance, size):
             return
         peers = switch.find(instance)
         if peers is None:
@@ -199,9 +205,9 @@
         if reply is None:
             return
         body = encode_message(answer.message if isinstance(answer, Answered) else b"")
-        if switch.take_lost_reply(self._name, instance):
+        if switch.consume_lost_reply(self._name, instance):
             return
-        if not await switch.carry(instance, self._name, len(body)):
+        if not await switch.transfer(instance, self._name, len(body)):
             return
         if isinstance(answer, Answered):
             answer = read_reply(envelope.kind, body)
--- a/src/standins/plane.py
+++ b/src/standins/plane.py
@@ -1,4 +1,4 @@
-"""Task planes of several daemons in one process, whose owners are given."""
+"""Task planes of several daemons in one process; the test assigns the owners."""
 
 from __future__ import annotations
 
@@ -27,28 +27,31 @@
 
 
 class Registry:
-    """Who owns what, decided by the test."""
+    """The owners of all shards, as assigned by the test."""
 
     def __init__(self) -> None:
         self.owners: dict[str, Owner] = {}
         self.daemons: dict[str, PlaneDaemon] = {}
 
     async def grant(self, shard: str, name: str) -> None:
-        """Let a daemon own a thing under the next epoch."""
-        former = self.owners.get(shard)
-        epoch = former.epoch + 1 if former else 1
+        """Make a daemon the owner of a shard, under the next epoch."""
+        previous = self.owners.get(shard)
+        epoch = previous.epoch + 1 if previous else 1
         self.owners[shard] = Owner(name, epoch)
         await self.daemons[name].ownership.gain(shard, epoch)
 
     async def take_over(self, shard: str, name: str) -> None:
-        """Give a thing away while its owner, paused, still believes it owns it."""
+        """Reassign a shard without notifying its owner.
+
+        The owner still acts as if it owned it, as after a pause.
+        """
         await self.grant(shard, name)
 
     async def hand_over(self, shard: str, name: str) -> None:
-        """Let the present owner lose a thing first."""
-        former = self.owners[shard]
-        if former.instance in self.daemons:
-            await self.daemons[former.instance].ownership.lose(shard)
+        """Reassign a shard after its current owner has released it."""
+        previous = self.owners[shard]
+        if previous.instance in self.daemons:
+            await self.daemons[previous.instance].ownership.lose(shard)
         await self.grant(shard, name)
 
 
@@ -57,47 +60,50 @@
 
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
-        self.held: dict[str, int] = {}
-        self.gains: dict[str, OwnershipHandler] = {}
-        self.losses: dict[str, OwnershipHandler] = {}
+        self.owned_epochs: dict[str, int] = {}
+        self.gain_handlers: dict[str, OwnershipHandler] = {}
+        self.loss_handlers: dict[str, OwnershipHandler] = {}
 
     def get_epoch(self, shard: str) -> int | None:
-        """Return the epoch of a thing that this daemon believes it owns."""
-        return self.held.get(shard)
+        """Return the epoch of a shard that this daemon considers its own."""
+        return self.owned_epochs.get(shard)
 
     def find_owner(self, shard: str) -> Owner | None:
-        """Return the owner by the registry."""
+        """Return the owner according to the registry."""
         return self.registry.owners.get(shard)
 
     def list_owned(self, scope: str) -> tuple[str, ...]:
-        """List what this daemon believes it owns."""
-        return tuple(t for t in self.held if t.startswith(f"{scope}/"))
+        """List the shards of ``scope`` that this daemon considers its own."""
+        return tuple(t for t in self.owned_epochs if t.startswith(f"{scope}/"))
 
     def set_shards(self, scope: str, names: tuple[str, ...]) -> None:
-        """Change nothing: the test says what there is to own."""
+        """Do nothing: the test decides which shards exist."""
 
     def on_gain(self, scope: str, handler: OwnershipHandler) -> None:
-        """Let ``handler`` know of gains."""
-        self.gains[scope] = handler
+        """Call ``handler`` when a shard of ``scope`` is gained."""
+        self.gain_handlers[scope] = handler
 
     def on_loss(self, scope: str, handler: OwnershipHandler) -> None:
-        """Let ``handler`` know of losses."""
-        self.losses[scope] = handler
+        """Call ``handler`` when a shard of ``scope`` is lost."""
+        self.loss_handlers[scope] = handler
 
     async def gain(self, shard: str, epoch: int) -> None:
-        """Tell of a gain; it lasts while the store can't be reached."""
+        """Gain a shard; wait at most a second for the handler, which runs on.
+
+        The handler does not return while the store is unreachable.
+        """
         task = asyncio.ensure_future(self._finish_gain(shard, epoch))
         await asyncio.wait({task}, timeout=1)
 
     async def _finish_gain(self, shard: str, epoch: int) -> None:
-        await self.gains[shard.partition("/")[0]](shard, epoch)
-        self.held[shard] = max(epoch, self.held.get(shard, 0))
+        await self.gain_handlers[shard.partition("/")[0]](shard, epoch)
+        self.owned_epochs[shard] = max(epoch, self.owned_epochs.get(shard, 0))
 
     async def lose(self, shard: str) -> None:
-        """Tell of a loss; a thing that wasn't held changes nothing."""
-        epoch = self.held.pop(shard, None)
+        """Lose a shard; do nothing if this daemon does not consider it its own."""
+        epoch = self.owned_epochs.pop(shard, None)
         if epoch is not None:
-            await self.losses[shard.partition("/")[0]](shard, epoch)
+            await self.loss_handlers[shard.partition("/")[0]](shard, epoch)
 
 
 class FixedMembers:
@@ -108,16 +114,16 @@
         self.plane = plane
 
     def list_live(self, zone: str = "") -> tuple[Member, ...]:
-        """List the daemons that haven't been killed."""
+        """List the daemons that have not been killed."""
         found = [d.members.self for d in self.plane.registry.daemons.values()]
         return tuple(m for m in found if zone in ("", m.zone))
 
     def is_live(self, name: str) -> bool:
-        """Tell whether a daemon hasn't been killed."""
+        """Whether a daemon has not been killed."""
         return name in self.plane.registry.daemons
 
     def publish(self, topic: str, value: bytes) -> None:
-        """Give a report to all daemons at once."""
+        """Deliver a report to all daemons immediately."""
         now = self.plane.clock.monotonic()
         reports = self.plane.reports.setdefault(topic, {})
         reports[self.self.name] = Report(self.self.name, value, now)
@@ -128,7 +134,7 @@
 
 
 class FixedConfiguration:
-    """Declared resources; implements ``ConfigurationReader``."""
+    """The declared resources; implements ``ConfigurationReader``."""
 
     def __init__(self) -> None:
         self.resources: dict[tuple[Kind, str], Resource] = {}
@@ -140,7 +146,7 @@
         return self.resources.get((kind, name))
 
     def list(self, kind: Kind) -> tuple[Resource, ...]:
-        """List the declared resources of a kind in order of name."""
+        """List the declared resources of a kind, in order of name."""
         return tuple(r for (k, _), r in sorted(self.resources.items()) if k is kind)
 
     def subscribe(self, handler: ConfigurationHandler) -> None:
@@ -148,7 +154,7 @@
         self.handlers.append(handler)
 
     def declare(self, kind: Kind, name: str, spec: dict[str, Any] | None) -> None:
-        """Put a resource in force at once; without a ``spec`` it is deleted."""
+        """Apply a resource immediately; without a ``spec`` it is deleted."""
         resource = None
         if spec is None:
             del self.resources[kind, name]
@@ -192,7 +198,7 @@
         self.tasks: list[asyncio.Future[None]] = []
 
     def die(self) -> None:
-        """End everything at once, as a killed process does."""
+        """Cancel all tasks at once, as when the process is killed."""
         for task in self.tasks:
             task.cancel()
         for controller in self.ledger_owner.controllers.values():
@@ -200,7 +206,7 @@
                 controller._runner.cancel()
 
     async def start(self) -> None:
-        """Read the instance list once and begin to run."""
+        """Read the instance list once and start all loops."""
         await self.fleet.poll()
         self.tasks = [
             asyncio.ensure_future(self.fleet.run()),
@@ -210,7 +216,7 @@
 
 
 class Plane:
-    """Daemons ``d1`` to ``dN``, workers ``w1`` to ``wN``, and few ledgers."""
+    """Daemons ``d1`` to ``dN``, workers ``w1`` to ``wN``, and a few ledgers."""
 
     def __init__(
         self,
@@ -232,7 +238,7 @@
         self.names = [f"d{index + 1}" for index in range(daemons)]
 
     async def start(self) -> Self:
-        """Start all daemons; the ledgers and workers are dealt out in turn."""
+        """Start all daemons; distribute the ledgers and workers round-robin."""
         for name in self.names:
             await self.add_daemon(name)
         for index, worker in enumerate(self.platform.workers):
@@ -244,13 +250,13 @@
         return self
 
     async def add_daemon(self, name: str) -> None:
-        """Start a daemon that owns nothing yet."""
+        """Start a daemon that does not own anything yet."""
         daemon = PlaneDaemon(self, name, "z1")
         self.registry.daemons[name] = daemon
         await daemon.start()
 
     async def kill(self, name: str) -> None:
-        """Let a daemon die; others take over once its lease has lapsed."""
+        """Kill a daemon; the others take over once its lease has lapsed."""
         self.platform.cut_off(name)
         self.switch.disconnect(name)
         daemon = self.registry.daemons.pop(name)
@@ -261,14 +267,14 @@
         await self.redistribute(name)
 
     async def redistribute(self, name: str) -> None:
-        """Give what a daemon owned to the others in turn."""
+        """Distribute the shards of a daemon over the others round-robin."""
         others = sorted(other for other in self.registry.daemons if other != name)
         shards = [t for t, o in self.registry.owners.items() if o.instance == name]
         for index, shard in enumerate(sorted(shards)):
             await self.registry.grant(shard, others[index % len(others)])
 
     def declare(self, name: str = "batch", team: str = "team", **fields: Any) -> None:
-        """Declare a workload with one small task unless ``fields`` say more."""
+        """Declare a batch workload with one small task; ``fields`` extend its spec."""
         spec = {
             "team": team,
             "type": "batch",
@@ -278,7 +284,7 @@
         self.configuration.declare(Kind.WORKLOAD, name, spec | fields)
 
     def find(self, name: str) -> PlaneDaemon:
-        """Return a daemon that hasn't been killed."""
+        """Return a daemon that has not been killed."""
         return self.registry.daemons[name]
 
     async def wait_for_end(
@@ -286,9 +292,9 @@
     ) -> JobView:
         """Read a job until it has ended.
 
-        :param seconds: how long at most, by the loop's clock.
-        :param at: the daemon to ask; the first one unless given.
-        :raises AssertionError: when it hasn't ended by then.
+        :param seconds: upper bound of the wait, by the loop's clock.
+        :param at: daemon from which to read; by default the first one.
+        :raises AssertionError: if the job has not ended by then.
         """
         ledger_owner = self.find(at or self.names[0]).ledger_owner
         view = None
--- a/src/standins/platform.py
+++ b/src/standins/platform.py
@@ -1,4 +1,4 @@
-"""All stand-ins of one platform together."""
+"""All stand-ins of one platform."""
 
 import asyncio
 from datetime import timedelta
@@ -24,13 +24,13 @@
     MemoryTarget,
     ServiceTime,
     TargetsClient,
-    take_no_time,
+    draw_zero_time,
 )
 from standins.workers import MemoryWorker, WorkersClient
 
 
 class Ports(NamedTuple):
-    """One client's ports to the platform."""
+    """The ports through which one client uses the platform."""
 
     store: Store
     instances: InstanceList
@@ -41,7 +41,7 @@
 class Platform:
     """The store, the instance list, workers and targets.
 
-    :param lag: how old the answers of the instance list are.
+    :param lag: age of the answers of the instance list.
     """
 
     def __init__(self, clock: Clock, lag: timedelta = timedelta()) -> None:
@@ -57,22 +57,22 @@
         self._starts: set[asyncio.Task[None]] = set()
 
     async def serve(self) -> None:
-        """Answer over HTTP as well, on free ports of the loopback address."""
+        """Also serve HTTP, on free ports of the loopback address."""
         self._is_serving = True
         listener = Listener(platform_app, store=self.store, instances=self.instances)
         self._listeners["store"] = listener
         await listener.start()
-        for part in (*self.workers.values(), *self.targets.values()):
-            self._list(part)
+        for machine in (*self.workers.values(), *self.targets.values()):
+            self._list(machine)
         await asyncio.gather(*self._starts)
 
     @property
     def address(self) -> str:
-        """IP and port of the store and of the instance list."""
+        """IP address and port of the store and the instance list."""
         return self._listeners["store"].address
 
     async def close(self) -> None:
-        """Stop answering over HTTP."""
+        """Stop serving HTTP."""
         await asyncio.gather(*self._starts)
         for listener in self._listeners.values():
             listener.close()
@@ -81,7 +81,7 @@
         await asyncio.sleep(0)
 
     def connect(self, client: str) -> Ports:
-        """Return the ports of ``client``, without a network between."""
+        """Return the ports of ``client``, which call the stand-ins directly."""
         return Ports(
             self.store.connect(client),
             self.instances.connect(client),
@@ -97,7 +97,7 @@
         rack: str = "",
         region: str = "",
     ) -> MemoryWorker:
-        """Add a worker and list it."""
+        """Add a worker to the platform and the instance list."""
         instance = Instance(
             name,
             InstanceRole.WORKER,
@@ -120,9 +120,9 @@
         slots: int = 8,
         connections: int = 64,
         region: str = "",
-        service_time: ServiceTime = take_no_time,
+        service_time: ServiceTime = draw_zero_time,
     ) -> MemoryTarget:
-        """Add a target and list it."""
+        """Add a target to the platform and the instance list."""
         instance = Instance(
             name,
             InstanceRole.TARGET,
@@ -140,33 +140,33 @@
         return target
 
     def leave(self, name: str) -> None:
-        """Let a worker or target leave: it is listed so and takes no new work."""
+        """Mark a worker or target as leaving: it is listed so and refuses new work."""
         self.find(name).is_leaving = True
         self.instances.mark_leaving(name)
 
     def kill(self, name: str) -> None:
-        """Let a worker or target die; it stays listed."""
+        """Kill a worker or target; it stays in the instance list."""
         self.find(name).die()
         if name in self._listeners:
             self._listeners.pop(name).close()
 
     def replace(self, name: str) -> None:
-        """Bring a dead worker or target back as a new, empty machine."""
-        part = self.find(name)
-        part.replace()
-        self._list(part)
+        """Replace a killed worker or target by a new, empty machine."""
+        machine = self.find(name)
+        machine.replace()
+        self._list(machine)
 
     def remove(self, name: str) -> None:
-        """Let a worker or target die and take it off the list."""
+        """Kill a worker or target and remove it from the instance list."""
         self.kill(name)
         self.instances.remove(name)
 
     def find(self, name: str) -> MemoryWorker | MemoryTarget:
-        """Return a worker or target."""
+        """Return a worker or target by name."""
         return self.workers.get(name) or self.targets[name]
 
     def cut_off(self, client: str, *names: str) -> None:
-        """Cut a client off from the named parts, or from all.
+        """Cut a client off from the named components, or from all.
 
         :param names: ``store``, ``instances``, or names of workers and targets.
         """
@@ -174,28 +174,30 @@
             gateway.faults.cut_off.add(client)
 
     def reconnect(self, client: str, *names: str) -> None:
-        """End what :meth:`cut_off` did."""
+        """Undo :meth:`cut_off`."""
         for gateway in self._list_gateways(names):
             gateway.faults.cut_off.discard(client)
 
-    def _list(self, part: MemoryWorker | MemoryTarget) -> None:
+    def _list(self, machine: MemoryWorker | MemoryTarget) -> None:
         if self._is_serving:
-            address = self._listen(part)
-            part.instance = part.instance._replace(address=address)
-        self.instances.put(part.instance)
-
-    def _listen(self, part: MemoryWorker | MemoryTarget) -> str:
-        app = worker_app if isinstance(part, MemoryWorker) else target_app
-        listener = Listener(app, part=part)
-        self._listeners[part.instance.name] = listener
+            address = self._listen(machine)
+            machine.instance = machine.instance._replace(address=address)
+        self.instances.put(machine.instance)
+
+    def _listen(self, machine: MemoryWorker | MemoryTarget) -> str:
+        app = worker_app if isinstance(machine, MemoryWorker) else target_app
+        listener = Listener(app, machine=machine)
+        self._listeners[machine.instance.name] = listener
         start = asyncio.ensure_future(listener.start())
         self._starts.add(start)
         start.add_done_callback(self._starts.discard)
         return listener.address
 
     def _list_gateways(self, names: tuple[str, ...]) -> list[Gateway]:
-        parts: dict[str, MemoryStore | MemoryInstanceList | MemoryWorker | MemoryTarget]
-        parts = {"store": self.store, "instances": self.instances}
-        parts.update(self.workers)
-        parts.update(self.targets)
-        return [parts[name].gateway for name in names or parts]
+        components: dict[
+            str, MemoryStore | MemoryInstanceList | MemoryWorker | MemoryTarget
+        ]
+        components = {"store": self.store, "instances": self.instances}
+        components.update(self.workers)
+        components.update(self.targets)
+        return [components[name].gateway for name in names or components]
--- a/src/standins/pools.py
+++ b/src/standins/pools.py
@@ -1,8 +1,8 @@
-"""In-process stand-ins of what the pools need: workers, advisor, operator.
+"""In-process stand-ins for what the pools use: workers, advisor, operators' queues.
 
-The store is in :mod:`standins.poolstore`. All are written from the platform's pages
-and inject what those name: refusals, lost answers, writes and orders that are carried
-out late, revoked keys, silence.
+The store is in :mod:`standins.poolstore`. All follow the platform's documentation
+and inject the faults that it names: refusals, lost answers, writes and orders that
+are executed late, revoked keys and silent machines.
 """
 
 import asyncio
@@ -44,18 +44,18 @@
 from standins.faults import FaultKind, Faults
 from standins.poolstore import PoolStoreClient
 
-LOSS_WAIT = timedelta(milliseconds=400)
-# Before its deadline has passed, or it would only ever be refused.
-ORDER_LATE_BY = timedelta(milliseconds=700)
+LOST_CALL_DELAY = timedelta(milliseconds=400)
+# Shorter than an order's deadline, or the worker would refuse every late order.
+LATE_ORDER_DELAY = timedelta(milliseconds=700)
 
 
 class Work(NamedTuple):
-    """How a task behaves: for how long, and how it ends.
+    """How a task behaves: how long it runs and how it ends.
 
-    :param startup: a task that lasts is at work, at 100 percent, after so long;
-        ``None`` for one that works towards its end.
-    :param crash_after: the life of its worker ends so long after the start, ``None``
-        for one that harms nobody.
+    :param startup: time after which a long-running task reports 100 percent;
+        ``None`` for a task whose percentage is its share of ``duration``.
+    :param crash_after: time after the start at which the task crashes its worker's
+        incarnation; ``None`` for a task that does not crash it.
     """
 
     duration: timedelta = timedelta(seconds=1)
@@ -66,18 +66,19 @@
 
 class _Running(NamedTuple):
     attempt: int
-    began: timedelta
+    started_at: timedelta
     work: Work
     payload: str
 
 
 class StandinWorker:
-    """One life of a worker, as the platform's pages describe it.
+    """One incarnation of a worker, as the platform's documentation describes it.
 
-    :param behave: tells how a task's attempt behaves.
-    :ivar hangs: its tasks stand still.
-    :ivar slowness: its tasks take so many times as long.
-    :ivar on_crash: called when one of its tasks ends its life.
+    :param behave: returns how an attempt of a task behaves.
+    :param max_lease: longest time from now for which a call extends the lease.
+    :ivar is_hung: whether its tasks make no progress and never end.
+    :ivar slowdown: factor by which its tasks take longer.
+    :ivar on_crash: called when one of its tasks crashes it.
     """
 
     def __init__(
@@ -85,79 +86,82 @@
         info: PoolWorker,
         clock: Clock,
         behave: Callable[[TaskName, int], Work],
-        lease_longest: timedelta,
+        max_lease: timedelta,
     ) -> None:
         self.info = info
         self.faults = Faults()
         self.is_up = True
-        self.hangs = False
-        self.slowness = 1.0
+        self.is_hung = False
+        self.slowdown = 1.0
         self.on_crash: Callable[[], None] = self.kill
-        self.token = 0
-        self.lease_ends = timedelta()
+        self.highest_epoch = 0
+        self.lease_expires_at = timedelta()
         self.running: dict[TaskName, _Running] = {}
         self.ends: list[EndedTask] = []
         self.starts: list[tuple[timedelta, TaskName, int, int]] = []
         self.history: list[tuple[TaskName, int, EndKind, timedelta, timedelta]] = []
-        # Ends that nobody took note of before this life or its lease was over.
+        # Ends that were lost: this incarnation ended before they were observed, or
+        # they were observed only after the lease had lapsed.
         self.lost: set[tuple[TaskName, int]] = set()
         self._lapsed_at = timedelta(-1)
         self._end_times: dict[int, timedelta] = {}
         self._clock = clock
         self._behave = behave
-        self._lease_longest = lease_longest
-        self._barred: dict[TaskName, int] = {}
-        self._numbers = itertools.count(1)
+        self._max_lease = max_lease
+        self._barred_attempts: dict[TaskName, int] = {}
+        self._end_numbers = itertools.count(1)
         self._ended = asyncio.Event()
 
     def _now(self) -> timedelta:
         return self._clock.monotonic()
 
     def settle(self) -> None:
-        """Let what has come to its end by now end."""
+        """End the tasks whose lease or duration is over by now."""
         now = self._now()
-        if self.lease_ends <= now:
-            self._lapsed_at = self.lease_ends
+        if self.lease_expires_at <= now:
+            self._lapsed_at = self.lease_expires_at
             for task in list(self.running):
-                self._end(task, EndKind.LAPSED, self.lease_ends)
-        if self.hangs:
+                self._end(task, EndKind.LAPSED, self.lease_expires_at)
+        if self.is_hung:
             return
         for task, run in list(self.running.items()):
-            if run.began + run.work.duration <= now:
-                self._end(task, run.work.kind, run.began + run.work.duration)
+            if run.started_at + run.work.duration <= now:
+                self._end(task, run.work.kind, run.started_at + run.work.duration)
 
     def _end(self, task: TaskName, kind: EndKind, at: timedelta) -> None:
         run = self.running.pop(task)
-        self._barred[task] = max(self._barred.get(task, 0), run.attempt)
-        end = EndedTask(next(self._numbers), task, run.attempt, kind, "")
+        self._barred_attempts[task] = max(
+            self._barred_attempts.get(task, 0), run.attempt
+        )
+        end = EndedTask(next(self._end_numbers), task, run.attempt, kind, "")
         self.ends.append(end)
         self._end_times[end.number] = at
-        self.history.append((task, run.attempt, kind, run.began, at))
+        self.history.append((task, run.attempt, kind, run.started_at, at))
         self._ended.set()
         self._ended = asyncio.Event()
 
     def kill(self) -> None:
-        """Let the life end: everything is gone."""
+        """End this incarnation; its tasks and unobserved ends are lost."""
         self.settle()
         now = self._now()
         for task, run in self.running.items():
-            row = (task, run.attempt, EndKind.LAPSED, run.began, now)
+            row = (task, run.attempt, EndKind.LAPSED, run.started_at, now)
             self.history.append(row)
         self.running.clear()
         self.lost.update((end.task, end.attempt) for end in self.ends)
         self.is_up = False
 
-    def _fence(self, epoch: int) -> Declined | None:
-        if epoch < self.token:
+    def _check_epoch(self, epoch: int) -> Declined | None:
+        if epoch < self.highest_epoch:
             return Declined(RefusalCode.STALE_EPOCH, self._now())
-        self.token = epoch
+        self.highest_epoch = epoch
         return None
 
     def start(self, epoch: int, order: TaskStart) -> Done | Declined:
-        """Carry out an order to start."""
+        """Execute an order to start a task."""
         self.settle()
         now = self._now()
-        refusal = self._fence(epoch)
+        refusal = self._check_epoch(epoch)
         if refusal is not None:
             return refusal
         if order.deadline <= now:
@@ -166,17 +170,19 @@
         current = self.running.get(order.task)
         if current is not None and current.attempt == order.attempt:
             return Done(now)
-        if current is not None or order.attempt <= self._barred.get(order.task, 0):
+        if current is not None or order.attempt <= self._barred_attempts.get(
+            order.task, 0
+        ):
             return Declined(RefusalCode.STALE_ATTEMPT, now)
         work = self._behave(order.task, order.attempt)
-        work = work._replace(duration=work.duration * self.slowness)
+        work = work._replace(duration=work.duration * self.slowdown)
         self.running[order.task] = _Running(order.attempt, now, work, order.payload)
         self.starts.append((now, order.task, order.attempt, epoch))
         if work.crash_after is not None:
-            self._crash_later(order.task, order.attempt, work.crash_after)
+            self._schedule_crash(order.task, order.attempt, work.crash_after)
         return Done(now)
 
-    def _crash_later(self, task: TaskName, attempt: int, delay: timedelta) -> None:
+    def _schedule_crash(self, task: TaskName, attempt: int, delay: timedelta) -> None:
         def crash() -> None:
             run = self.running.get(task)
             if self.is_up and run is not None and run.attempt == attempt:
@@ -185,27 +191,27 @@
         asyncio.get_running_loop().call_later(delay.total_seconds(), crash)
 
     def stop(self, epoch: int, task: TaskName, attempt: int) -> Done | Declined:
-        """Carry out an order to stop."""
+        """Execute an order to stop a task."""
         self.settle()
-        refusal = self._fence(epoch)
+        refusal = self._check_epoch(epoch)
         if refusal is not None:
             return refusal
-        self._barred[task] = max(self._barred.get(task, 0), attempt)
+        self._barred_attempts[task] = max(self._barred_attempts.get(task, 0), attempt)
         run = self.running.get(task)
         if run is not None and run.attempt == attempt:
             self._end(task, EndKind.STOPPED, self._now())
         return Done(self._now())
 
     def _extend(self, deadline: timedelta) -> None:
-        longest = self._now() + self._lease_longest
-        self.lease_ends = max(self.lease_ends, min(deadline, longest))
+        longest = self._now() + self._max_lease
+        self.lease_expires_at = max(self.lease_expires_at, min(deadline, longest))
 
     async def poll(
         self, epoch: int, observed: int, deadline: timedelta | None, wait: timedelta
     ) -> WorkerTasks | Declined:
-        """Extend the lease, wait for an end and list everything."""
+        """Extend the lease, wait for a task to end and list all tasks."""
         self.settle()
-        refusal = self._fence(epoch)
+        refusal = self._check_epoch(epoch)
         if refusal is not None:
             return refusal
         self.lost.update(
@@ -216,85 +222,86 @@
         if deadline is not None:
             self._extend(deadline)
         self.ends = [end for end in self.ends if end.number > observed]
-        ends = self._now() + wait
-        while not self.ends and self._now() < ends:
+        poll_until = self._now() + wait
+        while not self.ends and self._now() < poll_until:
             await self._clock.sleep(timedelta(milliseconds=10))
             self.settle()
         rows = tuple(
-            RunningTask(task, run.attempt, "", self._measure(run))
+            RunningTask(task, run.attempt, "", self._compute_percent(run))
             for task, run in self.running.items()
         )
         return WorkerTasks(self._now(), rows, tuple(self.ends))
 
-    def _measure(self, run: _Running) -> int:
-        if self.hangs:
+    def _compute_percent(self, run: _Running) -> int:
+        if self.is_hung:
             return 30
         if run.work.startup is not None:
-            done = (self._now() - run.began) / run.work.startup
+            done = (self._now() - run.started_at) / run.work.startup
             return min(100, int(100 * done))
-        done = (self._now() - run.began) / run.work.duration
+        done = (self._now() - run.started_at) / run.work.duration
         return min(99, int(100 * done))
 
 
 class WorkersClient:
-    """One daemon's way to the workers.
+    """One daemon's client of the workers; implements the port ``PoolWorkers``.
 
-    :ivar cut_off: identifiers of workers that this daemon can't reach.
-    :ivar late: orders that meet ``LOSE_ANSWER`` are carried out late.
+    :ivar cut_off: identifiers of the workers that this daemon cannot reach.
+    :ivar executes_late: whether orders with the fault ``LOSE_ANSWER`` are executed
+        late instead of at once.
     """
 
     def __init__(self, workers: dict[str, StandinWorker], clock: Clock) -> None:
         self.cut_off: set[str] = set()
         self.faults = Faults()
-        self.late = False
+        self.executes_late = False
         self._workers = workers
         self._clock = clock
-        self._later: set[asyncio.Task[None]] = set()
+        self._late_orders: set[asyncio.Task[None]] = set()
 
-    async def _reach(
+    async def _find_reachable(
         self, info: PoolWorker
     ) -> StandinWorker | Replaced | Rejected | Lost:
         if info.identifier in self.cut_off:
-            await self._clock.sleep(LOSS_WAIT)
+            await self._clock.sleep(LOST_CALL_DELAY)
             return Lost("timeout")
         await self._clock.sleep(timedelta(milliseconds=1))
         living = {w.info.address: w for w in self._workers.values() if w.is_up}
         worker = living.get(info.address)
         if worker is None:
-            await self._clock.sleep(LOSS_WAIT)
+            await self._clock.sleep(LOST_CALL_DELAY)
             return Lost("timeout")
         return worker if worker.info.identifier == info.identifier else Replaced()
 
     async def start(self, worker: PoolWorker, epoch: int, order: TaskStart):
-        """Order a start."""
-        found = await self._reach(worker)
+        """Send an order to start a task."""
+        found = await self._find_reachable(worker)
         if not isinstance(found, StandinWorker):
             return found
         kind = self.faults.take("start")
         if kind is FaultKind.REFUSE:
             return Declined(RefusalCode.UNHEALTHY)
         if kind is FaultKind.LOSE_ANSWER:
-            if self.late:
-                self._do_later(found, lambda: found.start(epoch, order))
+            if self.executes_late:
+                self._execute_late(found, lambda: found.start(epoch, order))
             else:
                 found.start(epoch, order)
-            await self._clock.sleep(LOSS_WAIT)
+            await self._clock.sleep(LOST_CALL_DELAY)
             return Lost("timeout")
         return found.start(epoch, order)
 
-    def _do_later(self, worker: StandinWorker, order: Callable[[], object]) -> None:
+    def _execute_late(self, worker: StandinWorker, order: Callable[[], object]) -> None:
         async def wait() -> None:
-            await self._clock.sleep(ORDER_LATE_BY)
+            await self._clock.sleep(LATE_ORDER_DELAY)
             if worker.is_up:
                 order()
 
         task = asyncio.ensure_future(wait())
-        self._later.add(task)
-        task.add_done_callback(self._later.discard)
+        self._late_orders.add(task)
+        task.add_done_callback(self._late_orders.discard)
 
     async def stop(self, worker: PoolWorker, epoch: int, task: TaskName, attempt: int):
-        """Order a stop."""
-        found = await self._reach(worker)
+        """Send an order to stop a task."""
+        found = await self._find_reachable(worker)
         if not isinstance(found, StandinWorker):
             return found
         return found.stop(epoch, task, attempt)
@@ -307,17 +314,20 @@
         deadline: timedelta | None,
         wait: timedelta,
     ):
-        """Hold a worker's lease."""
-        found = await self._reach(worker)
+        """Extend a worker's lease and list its tasks."""
+        found = await self._find_reachable(worker)
         if not isinstance(found, StandinWorker):
             return found
         answer = await found.poll(epoch, observed, deadline, wait)
-        is_away = worker.identifier in self.cut_off or not found.is_up
-        return Lost("timeout") if is_away else answer
+        is_unreachable = worker.identifier in self.cut_off or not found.is_up
+        return Lost("timeout") if is_unreachable else answer
 
 
 class StandinRegistry:
-    """Where the stand-in workers are registered, below a prefix of the store."""
+    """The registry of the workers, below a prefix of the store.
+
+    It implements the port ``WorkerRegistry``.
+    """
 
     prefix = "workers/"
 
@@ -341,7 +351,7 @@
     async def follow_workers(
         self, revision: int, wait: timedelta
     ) -> RegistryChanges | RevisionTooOld | Rejected | Lost:
-        """Follow the registrations."""
+        """Return the changes after ``revision``, waiting up to ``wait`` for one."""
         found = await self._store.watch(self.prefix, revision, wait)
         if not isinstance(found, Events):
             return found
@@ -354,7 +364,12 @@
 
 
 class StandinAdvisor:
-    """Consents to the workers that ``allow`` names; one call at a time."""
+    """An advisor that consents to the workers that ``allow`` accepts.
+
+    It implements the port ``Advisor``.
+
+    :param allow: whether a step may run on a worker.
+    """
 
     def __init__(
         self, clock: Clock, allow: Callable[[str, str], bool] = lambda s, w: True
@@ -367,19 +382,22 @@
     async def ask(
         self, step: str, workers: tuple[str, ...], timeout: timedelta
     ) -> Advice | Rejected | Lost:
-        """Give tickets for the workers that may run a step."""
+        """Return tickets for the workers that may run a step."""
         self.calls.append((step, workers))
         await self._clock.sleep(timedelta(milliseconds=5))
         if self.faults.take("ask") is FaultKind.REFUSE:
             return Rejected("busy")
-        good = (w for w in workers if self._allow(step, w))
-        return Advice(tuple(Consent(w, f"ticket-{step}-{w}") for w in good))
+        consenting = (w for w in workers if self._allow(step, w))
+        return Advice(tuple(Consent(w, f"ticket-{step}-{w}") for w in consenting))
 
 
 class StandinQueues:
-    """The operators' document as one daemon finds it in the store.
+    """The operators' queue document as one daemon reads it from the store.
+
+    The store only holds the document's version. It implements the port
+    ``QueueSource``.
 
-    The store holds its version; what that says is in ``tables``.
+    :param tables: content of each version of the document.
     """
 
     key = "operator/queues"
@@ -389,7 +407,7 @@
         self._tables = tables
 
     async def read_queues(self, known: int = 0) -> DeclaredQueues | Rejected | Lost:
-        """Read the document."""
+        """Read the document, unless its revision is still ``known``."""
         found = await self._store.read_changed(self.key, known)
         if isinstance(found, Unchanged):
             return DeclaredQueues(None, found.revision, known)
@@ -398,14 +416,14 @@
         return self.decode(found.entry) if isinstance(found, Found) else found
 
     def decode(self, entry: Entry) -> DeclaredQueues:
-        """Return what the document's entry says."""
+        """Return the queues that the document's entry declares."""
         table = self._tables.get(int(entry.value))
         return DeclaredQueues(table, entry.revision, entry.revision)
 
     async def follow_queues(
         self, revision: int, wait: timedelta
     ) -> DeclaredQueues | RevisionTooOld | Rejected | Lost:
-        """Wait for a newer document."""
+        """Return the newest document after ``revision``, waiting for one."""
         found = await self._store.watch(self.key, revision, wait)
         if not isinstance(found, Events):
             return found
--- a/src/standins/requests.py
+++ b/src/standins/requests.py
@@ -1,4 +1,4 @@
-"""Entries, their ownership of targets, and targets, all in one process."""
+"""Daemons that accept requests (entries) and targets, all in one process."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,7 +23,7 @@
     MemoryTarget,
     ServiceTime,
     TargetsClient,
-    take_constant_time,
+    make_constant_time,
 )
 
 SERVICE = "orders"
@@ -32,7 +32,13 @@
 
 
 class Layout(NamedTuple):
-    """How large a deployment is; entries and targets are counted by zone."""
+    """The size of a deployment.
+
+    :param entries: number of daemons per zone.
+    :param targets: number of targets per zone.
+    :param slots: slots of each target.
+    :param connections: limit of connections of each target.
+    """
 
     zones: int = 1
     entries: int = 2
@@ -41,40 +47,45 @@
     connections: int = 64
 
 
-SMALL = Layout()
-STEADY = take_constant_time(timedelta(milliseconds=50))
+SMALL_LAYOUT = Layout()
+DEFAULT_SERVICE_TIME = make_constant_time(timedelta(milliseconds=50))
 
 
 class ZonedSwitch(PeerSwitch):
-    """Links that take longer between availability zones."""
+    """A switch whose links are slower between availability zones.
+
+    :ivar zones: zone of each daemon, by name.
+    """
 
     zones: dict[str, str]
 
-    async def carry(self, sender: str, receiver: str, size: int) -> bool:
-        """Take one message over a link; tell whether it arrived."""
+    async def transfer(self, sender: str, receiver: str, size: int) -> bool:
+        """Transfer one message over a link and return whether it arrived."""
         is_near = self.zones.get(sender) == self.zones.get(receiver)
         self.delay = NEAR_DELAY if is_near else FAR_DELAY
-        return await super().carry(sender, receiver, size)
+        return await super().transfer(sender, receiver, size)
 
     def is_cut(self, sender: str, receiver: str) -> bool:
-        """Tell whether what ``sender`` sends to ``receiver`` is lost."""
+        """Whether messages from ``sender`` to ``receiver`` are dropped."""
         return (sender, receiver) in self._cuts
 
 
 class RequestDeployment:
-    """Routers on entries of all zones, over targets that count what they run.
+    """Routers on the entries of all zones, and targets that count what they run.
 
-    Targets run to its end what they began, and by default don't refuse what is
-    too much, so that each overfill shows.
+    Targets complete every request that they start. By default they do not refuse
+    requests beyond their slots, so that each overfill is counted.
 
-    :param connect: gives an entry its way to the targets, in place of these.
+    :param keys: idempotency keys, shared by all routers.
+    :param connect: returns the client through which an entry calls the targets, to
+        replace the default one.
     """
 
     def __init__(
         self,
         clock: Clock,
-        layout: Layout = SMALL,
-        service_time: ServiceTime = STEADY,
+        layout: Layout = SMALL_LAYOUT,
+        service_time: ServiceTime = DEFAULT_SERVICE_TIME,
         keys: IdempotencyKeys | None = None,
         seed: int = 0,
         connect: Callable[[str], TargetPort] | None = None,
@@ -87,7 +98,7 @@
             target = MemoryTarget(instance, clock, self.log, service_time, number)
             target.refuses_when_full = False
             self.targets[instance.name] = target
-        self.fleet = ListedFleet(tuple(t.instance for t in self.targets.values()))
+        self.fleet = MemoryFleet(tuple(t.instance for t in self.targets.values()))
         self.table = OwnershipTable()
         self.members = MemberTable(clock, self.switch)
         self.switch.zones = {}
@@ -95,13 +106,13 @@
         self._connect = connect or self._connect_target
         self._keys = keys
         self._seed = seed
-        self._loops: dict[str, asyncio.Task[None]] = {}
+        self._router_tasks: dict[str, asyncio.Task[None]] = {}
         for zone in range(layout.zones):
             for number in range(layout.entries):
                 self.add_entry(f"entry-{zone}-{number}", f"zone-{zone}")
 
     def add_entry(self, name: str, zone: str) -> Router:
-        """Add a daemon, or put a new one in place of one of its name."""
+        """Add a daemon, or replace the one of the same name."""
         self.switch.zones[name] = zone
         self.members.dead.discard(name)
         for other in self.routers:
@@ -119,7 +130,7 @@
         return self.routers[name]
 
     async def start(self) -> None:
-        """Give each target an owner in its zone, in turn, and run all routers."""
+        """Assign each target to an owner in its zone, round-robin; run all routers."""
         for number, target in enumerate(self.targets.values()):
             zone = target.instance.zone
             names = [m.name for m in self.members.list_live(zone)]
@@ -131,19 +142,19 @@
             await self.clock.sleep(timedelta(milliseconds=1))
 
     def run_entry(self, name: str) -> None:
-        """Run the loops of a router afresh."""
+        """Start the loops of a router, stopping earlier ones."""
         self.stop_entry(name)
-        self._loops[name] = asyncio.ensure_future(self.routers[name].run())
+        self._router_tasks[name] = asyncio.ensure_future(self.routers[name].run())
 
     def stop_entry(self, name: str) -> None:
-        """End the loops of a router."""
-        if name in self._loops:
-            self._loops.pop(name).cancel()
+        """Stop the loops of a router."""
+        if name in self._router_tasks:
+            self._router_tasks.pop(name).cancel()
 
     def kill_entry(self, name: str) -> None:
-        """Let a daemon die: nobody hears of it any more."""
+        """Kill a daemon: it becomes unreachable for all others."""
         self.stop_entry(name)
-        self.table.views[name].held.clear()
+        self.table.views[name].owned.clear()
         self.switch.disconnect(name)
         for other in self.routers:
             self.switch.cut_both(name, other)
@@ -156,9 +167,10 @@
         handler: RequestHandler | None = None,
         **changes: Any,
     ) -> Outcome:
-        """Send a request to one entry; its body is its identifier.
+        """Send a request to one entry; the request's body is its identifier.
 
-        :param handler: answers in place of the entry's router.
+        :param handler: handles the request instead of the entry's router.
+        :param changes: fields of the request that differ from the defaults.
         """
         request = ServiceRequest(
             identifier, SERVICE, "team", identifier.encode(), timedelta(seconds=1)
@@ -170,7 +182,7 @@
         return TargetsClient(self.targets, name)
 
     def count_overfills(self) -> int:
-        """Return how often a target got more than its slots."""
+        """Return how often any target was sent a request when its slots were full."""
         return sum(t.slot_overfills for t in self.targets.values())
 
 
@@ -190,15 +202,15 @@
     ]
 
 
-class ListedFleet:
-    """An instance list that tests change at once."""
+class MemoryFleet:
+    """An instance list without lag, which tests modify directly."""
 
     def __init__(self, instances: tuple[Instance, ...]) -> None:
         self._instances = {instance.name: instance for instance in instances}
         self._handlers: list[Callable[..., None]] = []
 
     def list(self, role: InstanceRole, zone: str = "") -> tuple[Instance, ...]:
-        """List the instances of a role, of one zone or of all."""
+        """List the instances of a role, in one zone or in all."""
         return tuple(
             instance
             for instance in self._instances.values()
@@ -214,70 +226,70 @@
         self._handlers.append(handler)
 
     def put(self, instance: Instance) -> None:
-        """List an instance, in place of an earlier one of its name."""
+        """Add an instance, replacing an earlier one of the same name."""
         self._instances[instance.name] = instance
-        self._tell()
+        self._notify_handlers()
 
     def remove(self, name: str) -> None:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         del self._instances[name]
-        self._tell()
+        self._notify_handlers()
 
     def mark_leaving(self, name: str) -> None:
         """List an instance as leaving."""
         self.put(self._instances[name]._replace(state=InstanceState.LEAVING))
 
-    def _tell(self) -> None:
+    def _notify_handlers(self) -> None:
         for handler in self._handlers:
             handler()
 
 
 class OwnershipTable:
-    """Who owns what, as the platform's store would say."""
+    """The owners of all shards, as the platform's store would record them."""
 
     def __init__(self) -> None:
         self.owners: dict[str, Owner] = {}
         self.views: dict[str, OwnershipView] = {}
 
     def connect(self, instance: str) -> "OwnershipView":
-        """Return one daemon's view."""
+        """Return one daemon's view of the ownership."""
         view = self.views[instance] = OwnershipView(self, instance)
         return view
 
     async def assign(self, shard: str, instance: str) -> None:
-        """Give a thing to a daemon; the earlier owner isn't told."""
-        earlier = self.owners.get(shard, Owner("", 0))
-        self.owners[shard] = Owner(instance, earlier.epoch + 1)
-        if earlier.instance in self.views:
-            self.views[earlier.instance].held.discard(shard)
+        """Assign a shard to a daemon without notifying the previous owner."""
+        previous = self.owners.get(shard, Owner("", 0))
+        self.owners[shard] = Owner(instance, previous.epoch + 1)
+        if previous.instance in self.views:
+            self.views[previous.instance].owned.discard(shard)
         view = self.views[instance]
         for handler in view.gain_handlers:
-            await handler(shard, earlier.epoch + 1)
-        view.held.add(shard)
+            await handler(shard, previous.epoch + 1)
+        view.owned.add(shard)
 
     async def hand_over(self, shard: str, instance: str) -> None:
-        """Let the owner give a thing up, and then give it to a daemon."""
+        """Make the owner release a shard, and then assign it to a daemon."""
         await self.drop(shard)
         await self.assign(shard, instance)
 
     async def drop(self, shard: str) -> None:
-        """Let the owner of a thing learn that it has lost it."""
+        """Notify the owner of a shard that it has lost it."""
         owner = self.owners[shard]
         await self.lose(owner.instance, shard, owner.epoch)
 
     async def lose(self, instance: str, shard: str, epoch: int) -> None:
-        """Let a daemon learn that it has lost a thing, however late."""
+        """Notify a daemon that it has lost a shard, possibly long after the loss."""
         view = self.views[instance]
-        view.held.discard(shard)
+        view.owned.discard(shard)
         for handler in view.loss_handlers:
             await handler(shard, epoch)
 
 
 class OwnershipView:
-    """What one daemon may decide about; implements ``Ownership``."""
+    """The shards that one daemon owns; implements ``Ownership``."""
 
     def __init__(self, table: OwnershipTable, instance: str) -> None:
-        self.held: set[str] = set()
+        self.owned: set[str] = set()
         self.shards: dict[str, tuple[str, ...]] = {}
         self.gain_handlers: list[OwnershipHandler] = []
         self.loss_handlers: list[OwnershipHandler] = []
@@ -285,34 +297,34 @@
         self._instance = instance
 
     def get_epoch(self, shard: str) -> int | None:
-        """Return the epoch when this daemon may decide about ``shard`` now."""
-        return self._table.owners[shard].epoch if shard in self.held else None
+        """Return the epoch if this daemon owns ``shard`` now, else ``None``."""
+        return self._table.owners[shard].epoch if shard in self.owned else None
 
     def find_owner(self, shard: str) -> Owner | None:
         """Return the owner of ``shard``."""
         return self._table.owners.get(shard)
 
     def list_owned(self, scope: str) -> tuple[str, ...]:
-        """List the things of ``scope`` that this daemon may decide about."""
-        return tuple(t for t in sorted(self.held) if t.startswith(f"{scope}/"))
+        """List the shards of ``scope`` that this daemon owns."""
+        return tuple(t for t in sorted(self.owned) if t.startswith(f"{scope}/"))
 
     def set_shards(self, scope: str, names: tuple[str, ...]) -> None:
-        """Note which things of ``scope`` exist."""
+        """Record which shards of ``scope`` exist."""
         self.shards[scope] = names
 
     def on_gain(self, scope: str, handler: OwnershipHandler) -> None:
-        """Call ``handler(shard, epoch)`` once a thing was gained."""
+        """Call ``handler(shard, epoch)`` when a shard is gained."""
         self.gain_handlers.append(handler)
 
     def on_loss(self, scope: str, handler: OwnershipHandler) -> None:
-        """Call ``handler(shard, epoch)`` when a thing is lost or handed over."""
+        """Call ``handler(shard, epoch)`` when a shard is lost or handed over."""
         self.loss_handlers.append(handler)
 
 
 class MemberTable:
-    """Which daemons live; their reports arrive over links that aren't cut.
+    """The live daemons, and their reports, which only arrive over intact links.
 
-    As in the real membership, a report that says the same again isn't sent.
+    As in the real membership, a report that repeats the last one is not sent.
     """
 
     def __init__(self, clock: Clock, switch: ZonedSwitch) -> None:
@@ -323,22 +335,22 @@
         self._views: dict[str, MemberView] = {}
 
     def connect(self, name: str, zone: str) -> "MemberView":
-        """Return one daemon's view."""
+        """Return one daemon's view of the members."""
         self.members[name] = Member(name, zone, "region-1", "", "", "1")
         view = self._views[name] = MemberView(self, name)
         return view
 
-    def tell(self, name: str, topic: str, value: bytes) -> None:
-        """Bring a report of a member to all others."""
+    def deliver_report(self, name: str, topic: str, value: bytes) -> None:
+        """Deliver a report of a member to all members that its links reach."""
         report = Report(name, value, self.clock.monotonic())
         for other, view in self._views.items():
             known = view.reports.get((topic, name))
-            is_news = known is None or known.value != value
-            if is_news and not self._switch.is_cut(name, other):
+            is_changed = known is None or known.value != value
+            if is_changed and not self._switch.is_cut(name, other):
                 view.reports[topic, name] = report
 
-    def is_heard(self, name: str, other: str) -> bool:
-        """Tell whether a member lives and no link to or from it is cut."""
+    def is_reachable(self, name: str, other: str) -> bool:
+        """Whether a member is alive and its links with ``other`` are intact."""
         if name not in self.members or name in self.dead:
             return False
         cut = self._switch.is_cut
@@ -371,12 +383,12 @@
         return tuple(m for m in self._table.list_live(zone) if self.is_live(m.name))
 
     def is_live(self, name: str) -> bool:
-        """Tell whether a member lives."""
-        return self._table.is_heard(name, self._name)
+        """Whether a member is alive and reachable from this daemon."""
+        return self._table.is_reachable(name, self._name)
 
     def publish(self, topic: str, value: bytes) -> None:
-        """Show a report to the others at once."""
-        self._table.tell(self._name, topic, value)
+        """Deliver a report to the other members immediately."""
+        self._table.deliver_report(self._name, topic, value)
 
     def read_reports(self, topic: str) -> dict[str, Report]:
         """Return the latest report of each live member, by name."""
--- a/src/standins/runs.py
+++ b/src/standins/runs.py
@@ -1,4 +1,4 @@
-"""What ran where and when, over all workers, for tests to judge."""
+"""A record of all runs on all workers, which tests check for violations."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -21,16 +21,17 @@
 
 
 class Overlap(NamedTuple):
-    """A task that started while it was running elsewhere."""
+    """A task that was started while it was running elsewhere."""
 
     start: Start
     other: Start
 
 
 class Overfill(NamedTuple):
-    """A worker that was given more than it holds.
+    """A worker whose tasks exceed its capacity.
 
-    :param used: the sum of all that it runs.
+    :param used: total size of the tasks that it runs.
+    :param time: monotonic time.
     """
 
     worker: str
@@ -39,7 +40,7 @@
 
 
 class RunLog:
-    """Records each start and judges it; shared by all workers."""
+    """Records every start and the overlaps it causes; shared by all workers."""
 
     def __init__(self) -> None:
         self.starts: list[Start] = []
@@ -48,22 +49,22 @@
         self.counts: Counter[str] = Counter()
         self._active: dict[str, dict[Start, Callable[[], None]]] = {}
 
-    def begin(self, start: Start, bring_up: Callable[[], None]) -> None:
+    def begin(self, start: Start, refresh: Callable[[], None]) -> None:
         """Record a start.
 
-        :param bring_up: brings the worker's state up to the present time, so
-            that a run that has ended by now is no overlap.
+        :param refresh: updates the worker's state to the current time, so that a
+            run that has ended by now does not count as an overlap.
         """
-        for other, bring_other_up in list(self._active.get(start.task, {}).items()):
-            bring_other_up()
+        for other, refresh_other in list(self._active.get(start.task, {}).items()):
+            refresh_other()
             if other in self._active.get(start.task, {}):
                 self.overlaps.append(Overlap(start, other))
         self.starts.append(start)
         self.counts[start.task] += 1
-        self._active.setdefault(start.task, {})[start] = bring_up
+        self._active.setdefault(start.task, {})[start] = refresh
 
     def end(self, start: Start) -> None:
-        """Record that a run has ended."""
+        """Record the end of a run."""
         active = self._active.get(start.task, {})
         active.pop(start, None)
         if not active:
--- a/src/standins/store.py
+++ b/src/standins/store.py
@@ -1,4 +1,4 @@
-"""An in-memory key-value service with compare-and-swap, leases and watches."""
+"""An in-memory key-value store with compare-and-swap, leases and watches."""
 
 from bisect import bisect_left, insort
 from collections.abc import Callable
@@ -21,7 +21,7 @@
     RevisionTooOld,
     Written,
 )
-from standins.gateway import Gateway, Signal
+from standins.gateway import ChangeSignal, Gateway
 
 VALUE_LIMIT = 1_000_000
 HISTORY_LIMIT = 10_000
@@ -32,8 +32,8 @@
 class MemoryStore:
     """The store, shared by all clients; see :meth:`connect`.
 
-    :param clock: decides when leases lapse.
-    :param capacity: bytes of all values together; more is refused.
+    :param clock: clock by which leases lapse.
+    :param capacity: total size of all values in bytes; writes beyond it are refused.
     """
 
     def __init__(self, clock: Clock, capacity: int = 1 << 30) -> None:
@@ -47,19 +47,19 @@
         self._entries: dict[str, Entry] = {}
         self._keys: list[str] = []
         self._history: list[Event] = []
-        self._dropped = 0
+        self._compacted_revision = 0
         self._leases: dict[str, tuple[timedelta, timedelta]] = {}
         self._lease_count = 0
         self._size = 0
-        self.changed = Signal()
+        self.changed = ChangeSignal()
 
     def connect(self, client: str) -> "StoreClient":
-        """Return the store as one client sees it; it may be cut off alone."""
+        """Return a client of the store, which can be cut off on its own."""
         return StoreClient(self, client)
 
     @property
     def waiting_watches(self) -> int:
-        """How many watches wait for a change."""
+        """Number of watches that wait for a change."""
         return self.gateway.waiting
 
     @property
@@ -67,15 +67,15 @@
         """The revision of the last write."""
         return self._revision
 
-    def lapse_leases(self) -> None:
-        """Delete the keys of all leases whose time has passed."""
+    def expire_leases(self) -> None:
+        """End all leases that have lapsed by now, and delete their keys."""
         now = self.clock.monotonic()
         for lease, (deadline, _) in list(self._leases.items()):
             if deadline <= now:
                 self.end_lease(lease)
 
     def end_lease(self, lease: str) -> None:
-        """End a lease at once, as when it lapses behind its holder's back."""
+        """End a lease and delete its keys, as when it lapses unnoticed."""
         self._leases.pop(lease, None)
         for entry in [e for e in self._entries.values() if e.lease == lease]:
             self._remove(entry.key)
@@ -98,11 +98,16 @@
     def put(
         self, key: str, value: bytes, expected: int | None, lease: str
     ) -> Written | Conflict | Rejected:
-        """Write a key by compare-and-swap."""
+        """Write a key by compare-and-swap.
+
+        :param expected: revision that the key must have, 0 for a key that must not
+            exist, ``None`` for an unconditional write.
+        :param lease: lease with which the key is deleted, or an empty string.
+        """
         current = self._entries.get(key)
         if len(value) > VALUE_LIMIT:
             return Rejected("value_too_large", f"at most {VALUE_LIMIT} bytes")
-        if _differs(current, expected):
+        if _has_conflict(current, expected):
             return Conflict(current)
         growth = len(value) - (len(current.value) if current else 0)
         if self._size + growth > self.capacity:
@@ -121,21 +126,21 @@
     def delete(self, key: str, expected: int | None) -> Written | Conflict:
         """Delete a key by compare-and-swap."""
         current = self._entries.get(key)
-        if _differs(current, expected):
+        if _has_conflict(current, expected):
             return Conflict(current)
         if current is not None:
             self._remove(key)
         return Written(self._revision)
 
     def grant_lease(self, ttl: timedelta) -> Granted:
-        """Open a lease."""
+        """Grant a lease of duration ``ttl``."""
         self._lease_count += 1
         lease = f"lease-{self._lease_count}"
         self._leases[lease] = (self.clock.monotonic() + ttl, ttl)
         return Granted(lease, ttl)
 
     def renew_lease(self, lease: str) -> Granted | Lapsed:
-        """Renew a lease for its whole time."""
+        """Renew a lease for its full duration."""
         if lease not in self._leases:
             return Lapsed(lease)
         _, ttl = self._leases[lease]
@@ -143,22 +148,25 @@
         return Granted(lease, ttl)
 
     def revoke_lease(self, lease: str) -> Written | Lapsed:
-        """End a lease on its holder's word."""
+        """End a lease at its holder's request."""
         if lease not in self._leases:
             return Lapsed(lease)
         self.end_lease(lease)
         return Written(self._revision)
 
     def read_events(self, prefix: str, revision: int) -> Events | RevisionTooOld:
-        """Return the kept changes below ``prefix`` after ``revision``."""
-        if revision < self._dropped:
-            return RevisionTooOld(self._dropped)
+        """Return the changes below ``prefix`` after ``revision``.
+
+        :return: ``RevisionTooOld`` if changes after ``revision`` were compacted.
+        """
+        if revision < self._compacted_revision:
+            return RevisionTooOld(self._compacted_revision)
         start = bisect_left(self._history, revision + 1, key=lambda e: e.revision)
         found = [e for e in self._history[start:] if e.key.startswith(prefix)]
         return Events(tuple(found), max(revision, self._revision))
 
-    def find_next_lapse(self) -> timedelta | None:
-        """Return the monotonic time when the next lease lapses, if any."""
+    def find_next_expiry(self) -> timedelta | None:
+        """Return the monotonic time at which the next lease lapses, if any."""
         return min((deadline for deadline, _ in self._leases.values()), default=None)
 
     def _remove(self, key: str) -> None:
@@ -171,7 +179,7 @@
     def _record(self, event: Event) -> None:
         self._history.append(event)
         if len(self._history) > 2 * HISTORY_LIMIT:
-            self._dropped = self._history[-HISTORY_LIMIT - 1].revision
+            self._compacted_revision = self._history[-HISTORY_LIMIT - 1].revision
             del self._history[:-HISTORY_LIMIT]
         self.changed.wake()
 
@@ -179,7 +187,7 @@
 class StoreClient:
     """A client of a :class:`MemoryStore`; implements the port ``Store``.
 
-    :param client: name to cut this client off by.
+    :param client: name by which this client can be cut off.
     """
 
     def __init__(self, store: MemoryStore, client: str) -> None:
@@ -209,7 +217,7 @@
         return await self._call("delete", lambda: self._store.delete(key, expected))
 
     async def grant_lease(self, ttl: timedelta) -> Granted | Rejected | Lost:
-        """Open a lease."""
+        """Grant a lease of duration ``ttl``."""
         return await self._call("grant_lease", lambda: self._store.grant_lease(ttl))
 
     async def renew_lease(self, lease: str) -> Granted | Lapsed | Rejected | Lost:
@@ -234,24 +242,26 @@
             lambda answer: isinstance(answer, Events) and not answer.events,
             store.changed,
             wait,
-            store.find_next_lapse,
+            store.find_next_expiry,
         )
 
     def _read_events(self, prefix: str, revision: int) -> Events | RevisionTooOld:
-        self._store.lapse_leases()
+        self._store.expire_leases()
         return self._store.read_events(prefix, revision)
 
-    async def _call(self, operation: str, act: Callable[[], T]) -> T | Rejected | Lost:
+    async def _call(
+        self, operation: str, action: Callable[[], T]
+    ) -> T | Rejected | Lost:
         store = self._store
 
-        def act_now() -> T:
-            store.lapse_leases()
-            return act()
+        def perform() -> T:
+            store.expire_leases()
+            return action()
 
-        return await store.gateway.call(self._client, operation, act_now)
+        return await store.gateway.call(self._client, operation, perform)
 
 
-def _differs(current: Entry | None, expected: int | None) -> bool:
+def _has_conflict(current: Entry | None, expected: int | None) -> bool:
     if expected is None:
         return False
     return (current.revision if current else 0) != expected
--- a/src/standins/targets.py
+++ b/src/standins/targets.py
@@ -1,4 +1,4 @@
-"""In-memory targets that answer requests in their slots."""
+"""In-memory targets that run requests in their slots."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 
 class Execution(NamedTuple):
-    """A request that ran.
+    """One execution of a request.
 
     :param start: monotonic time.
     """
@@ -36,7 +36,7 @@
 
 
 class ExecutionLog:
-    """Records each execution; shared by all targets."""
+    """Records every execution; shared by all targets."""
 
     def __init__(self) -> None:
         self.executions: list[Execution] = []
@@ -47,36 +47,40 @@
         self.executions.append(execution)
         self.counts[execution.request] += 1
 
-    def list_doubles(self) -> tuple[str, ...]:
-        """List the requests that ran more than once."""
+    def list_duplicates(self) -> tuple[str, ...]:
+        """List the requests that were executed more than once."""
         return tuple(name for name, count in self.counts.items() if count > 1)
 
 
-def take_exponential_time(mean: timedelta) -> ServiceTime:
-    """Return a service time with an exponential distribution."""
+def make_exponential_time(mean: timedelta) -> ServiceTime:
+    """Return a service time that is exponentially distributed."""
     return lambda source: mean * source.expovariate(1.0)
 
 
-def take_no_time(source: random.Random) -> timedelta:
-    """Answer at once."""
+def draw_zero_time(source: random.Random) -> timedelta:
+    """Return a service time of zero."""
     return timedelta()
 
 
-def take_constant_time(time: timedelta) -> ServiceTime:
-    """Return a service time that is always the same."""
+def make_constant_time(time: timedelta) -> ServiceTime:
+    """Return a service time that is constant."""
     return lambda source: time
 
 
 def echo(call: TargetCall) -> bytes:
-    """Answer with the request's body."""
+    """Return the request's body."""
     return call.body
 
 
 class MemoryTarget:
-    """One target.
+    """One target, which counts what exceeds its slots and connections.
 
+    :param log: records the executions on all targets.
     :param service_time: draws how long a request runs.
-    :param seed: of the drawing.
+    :param seed: seed of the random source from which service times are drawn.
+    :ivar answer: returns the body of a successful answer.
+    :ivar refuses_when_full: whether requests beyond the slots are refused.
+    :ivar fails_everything: whether all requests end with :data:`FAILED_STATUS`.
     """
 
     def __init__(
@@ -84,7 +88,7 @@
         instance: Instance,
         clock: Clock,
         log: ExecutionLog,
-        service_time: ServiceTime = take_no_time,
+        service_time: ServiceTime = draw_zero_time,
         seed: int = 0,
     ) -> None:
         self.instance = instance
@@ -101,8 +105,8 @@
         self.fails_everything = False
         self.running = 0
         self.connections = 0
-        self.most_running = 0
-        self.most_connections = 0
+        self.peak_running = 0
+        self.peak_connections = 0
         self.slot_overfills = 0
         self.connection_overfills = 0
         self.refused_leaving = 0
@@ -110,7 +114,7 @@
         self._tasks: set[asyncio.Task[TargetAnswer]] = set()
 
     def begin(self, call: TargetCall) -> "asyncio.Task[TargetAnswer] | Rejected":
-        """Begin to run a request, unless it is refused."""
+        """Start to run a request, unless it is refused."""
         if self.is_leaving:
             self.refused_leaving += 1
             return Rejected("target_leaving")
@@ -119,7 +123,7 @@
         if is_full and self.refuses_when_full:
             return Rejected("target_full")
         self.running += 1
-        self.most_running = max(self.most_running, self.running)
+        self.peak_running = max(self.peak_running, self.running)
         now = self.clock.monotonic()
         name = self.instance.name
         self.log.record(Execution(call.request, call.attempt, name, now))
@@ -129,29 +133,29 @@
         return task
 
     def open_connection(self) -> None:
-        """Count a connection that a client opened."""
-        self.note_connections(self.connections + 1)
+        """Count a connection that a client has opened."""
+        self.record_connections(self.connections + 1)
 
     def close_connection(self) -> None:
-        """Count a connection that was closed."""
+        """Count a connection that a client has closed."""
         self.connections -= 1
 
-    def note_connections(self, count: int) -> None:
-        """Record how many connections are open."""
+    def record_connections(self, count: int) -> None:
+        """Record the number of open connections."""
         self.connections = count
-        self.most_connections = max(self.most_connections, count)
+        self.peak_connections = max(self.peak_connections, count)
         self.connection_overfills += count > self.instance.connections
 
     def pause(self) -> None:
-        """Freeze the instance: nothing is answered until :meth:`resume`."""
+        """Freeze the instance: it does not answer until :meth:`resume`."""
         self.faults.pause()
 
     def resume(self) -> None:
-        """Go on with what waits."""
+        """Unfreeze the instance and answer the calls that are held."""
         self.faults.resume()
 
     def die(self) -> None:
-        """Cut off what is in progress and answer nobody."""
+        """Fail: cancel the requests in progress and become unreachable."""
         self.is_dead = True
         self.faults.outage = True
         self.gateway.drop_calls()
@@ -159,7 +163,7 @@
             task.cancel()
 
     def replace(self) -> None:
-        """Come back as a new machine of the same name."""
+        """Restart as a new machine of the same name."""
         self.is_dead = False
         self.is_leaving = False
         self.faults.outage = False
@@ -177,10 +181,10 @@
 
 
 class TargetsClient:
-    """One client's way to all targets; implements the port ``TargetPort``.
+    """One client of all targets; implements the port ``TargetPort``.
 
-    :param targets: by name.
-    :param client: name to cut this client off by.
+    :param targets: all targets by name.
+    :param client: name by which this client can be cut off.
     """
 
     def __init__(self, targets: dict[str, MemoryTarget], client: str) -> None:
@@ -190,7 +194,7 @@
     async def send(
         self, target: Instance, call: TargetCall, timeout: timedelta
     ) -> TargetAnswer | Rejected | Lost:
-        """Send a request and wait for the whole answer."""
+        """Send a request over a new connection and wait for the complete answer."""
         stand_in = self._targets.get(target.name)
         if stand_in is None:
             return Rejected("unreachable")
@@ -203,7 +207,7 @@
     async def probe(
         self, target: Instance, timeout: timedelta
     ) -> Written | Rejected | Lost:
-        """Ask whether the target is alive."""
+        """Check whether the target is reachable."""
         stand_in = self._targets.get(target.name)
         if stand_in is None:
             return Rejected("unreachable")
@@ -214,7 +218,7 @@
     async def submit(
         self, stand_in: MemoryTarget, call: TargetCall, timeout: timedelta
     ) -> TargetAnswer | Rejected | Lost:
-        """Bring a request to a target over a connection that is open."""
+        """Send a request to a target over an open connection."""
         deadline = stand_in.clock.monotonic() + timeout
         begun = await stand_in.gateway.call(
             self._client, "send", lambda: stand_in.begin(call), timeout
--- a/src/standins/waiting.py
+++ b/src/standins/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for something that separate processes will make true."""
+"""Polling for a state that separate processes bring about."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,7 +12,10 @@
     is_reached: Callable[[Any], bool],
     limit_seconds: float = 20,
 ) -> Any:
-    """Read again and again until it is as wanted; return the last reading."""
+    """Call ``read`` until ``is_reached`` accepts its result; return the last result.
+
+    The last result is also returned after ``limit_seconds``, so callers must check it.
+    """
     loop = asyncio.get_running_loop()
     deadline = loop.time() + limit_seconds
     while True:
--- a/src/standins/wire.py
+++ b/src/standins/wire.py
@@ -1,7 +1,8 @@
-"""The platform's wire over HTTP, for tests of the adapter and of whole processes.
+"""The platform's HTTP interface, for tests of the adapter and of whole processes.
 
-Written from the platform's pages; behind it are the stand-ins of
-:mod:`standins.pools`. Faults are those of :class:`standins.faults.Faults`.
+It follows the platform's documentation and is backed by the stand-ins of
+:mod:`standins.pools`. Its faults are those of :class:`standins.faults.Faults`, with
+the path of a call as the operation.
 """
 
 import asyncio
@@ -31,13 +32,13 @@
 from standins.poolstore import PoolStore
 
 MILLISECOND = timedelta(milliseconds=1)
-HEARTBEAT = timedelta(milliseconds=1500)
-REASONS = {
+HEARTBEAT_INTERVAL = timedelta(milliseconds=1500)
+REFUSAL_REASONS = {
     RefusalCode.STALE_EPOCH: "fence",
     RefusalCode.STALE_ATTEMPT: "old",
     RefusalCode.LATE: "late",
 }
-ENDS = {
+END_KINDS = {
     EndKind.COMPLETED: "done",
     EndKind.FAILED: "failed",
     EndKind.STOPPED: "stopped",
@@ -50,8 +51,12 @@
 Handler = Callable[[str, str, dict[str, str], dict[str, str], Any], Awaitable[Answer]]
 
 
-class _Endpoint:
-    """One address that answers JSON with JSON."""
+class _JsonEndpoint:
+    """An address at which JSON requests are answered with JSON.
+
+    :param handler: function of method, path, query, headers and decoded body that
+        returns a status and a body; ``None`` is sent as an empty body.
+    """
 
     def __init__(self, handler: Handler, faults: Faults) -> None:
         self._handler = handler
@@ -59,7 +64,7 @@
         self.listener = Listener(self)
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one request, unless a fault is planned for its path."""
+        """Answer one request, with the fault planned for its path, if any."""
         body = b""
         while True:
             event = await receive()
@@ -81,7 +86,7 @@
             json.loads(body) if body else {},
         )
         if kind is FaultKind.LOSE_ANSWER:
-            scope["state"]["listener"].hang_up(scope)
+            scope["state"]["listener"].reset_connection(scope)
             return
         await _reply(send, status, answer)
 
@@ -93,7 +98,7 @@
     await send({"type": "http.response.body", "body": data})
 
 
-def _show_item(entry: Entry) -> dict[str, Any]:
+def _encode_item(entry: Entry) -> dict[str, Any]:
     return {
         "key": entry.key,
         "value": base64.b64encode(entry.value).decode(),
@@ -104,19 +109,22 @@
 
 
 class WireStore:
-    """The metadata store at one address."""
+    """The metadata store, served at one address.
+
+    :ivar calls: paths of all calls, in order.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self.store = PoolStore(clock)
         self.faults = Faults()
         self.calls: list[str] = []
-        self._endpoint = _Endpoint(self.answer, self.faults)
+        self._endpoint = _JsonEndpoint(self.answer, self.faults)
         self.listener = self._endpoint.listener
 
     async def answer(
         self, method: str, path: str, query: dict, headers: dict, body: Any
     ) -> Answer:
-        """Answer one call with a status and a body."""
+        """Return the status and the body of the answer to one call."""
         self.calls.append(path)
         store = self.store
         if path == "/kv-key":
@@ -124,10 +132,10 @@
             entry = store.entries.get(query["key"])
             if entry is None:
                 return 404, {"as_of": store.revision}
-            return 200, {**_show_item(entry), "as_of": store.revision}
+            return 200, {**_encode_item(entry), "as_of": store.revision}
         if path == "/kv-range":
             page = store.read_page(query["path_prefix"], query.get("after", ""))
-            items = [_show_item(entry) for entry in page.entries]
+            items = [_encode_item(entry) for entry in page.entries]
             has_more, as_of = page.has_more, page.revision
             return 200, {"items": items, "has_more": has_more, "as_of": as_of}
         if path == "/kv-watch":
@@ -160,7 +168,7 @@
         return 200, {"events": events, "as_of": found.revision}
 
     def _commit(self, body: Any) -> Answer:
-        done = self.store.commit(
+        result = self.store.commit(
             Transaction(
                 tuple((e["key"], e["revision"]) for e in body.get("expected", [])),
                 tuple(
@@ -174,15 +182,15 @@
                 tuple(body.get("remove", [])),
             )
         )
-        if isinstance(done, Mismatch):
-            return 412, {"items": [_show_item(entry) for entry in done.entries]}
-        if isinstance(done, Lapsed):
+        if isinstance(result, Mismatch):
+            return 412, {"items": [_encode_item(entry) for entry in result.entries]}
+        if isinstance(result, Lapsed):
             return 404, None
-        return 200, {"revision": done.revision}
+        return 200, {"revision": result.revision}
 
 
 class WireWorker:
-    """One life of a worker at an address of its own."""
+    """One incarnation of a worker, served at an address of its own."""
 
     def __init__(
         self,
@@ -192,14 +200,14 @@
         behave: Callable[[TaskName, int], Work],
     ) -> None:
         self.faults = Faults()
-        self._endpoint = _Endpoint(self._answer, self.faults)
+        self._endpoint = _JsonEndpoint(self._answer, self.faults)
         self.listener = self._endpoint.listener
         self.size = Size(4000, 8000, 0)
         info = PoolWorker(name, pool, self.listener.address, "z", self.size)
         self.worker = StandinWorker(info, clock, behave, timedelta(seconds=6))
 
     def describe(self) -> bytes:
-        """Return the registration."""
+        """Return the worker's registration as JSON."""
         info = self.worker.info
         return json.dumps(
             {
@@ -223,17 +231,17 @@
         epoch = body["fencing_token"]
         if path == "/run-start":
             order = TaskStart(
-                _read_task(body["task"]),
+                _parse_task_name(body["task"]),
                 body["run"],
                 body["spec"],
                 timedelta(milliseconds=body["deadline_ms"]),
                 body.get("checkpoint", ""),
                 body.get("ticket", ""),
             )
-            return _show_done(self.worker.start(epoch, order))
+            return _encode_result(self.worker.start(epoch, order))
         if path == "/run-stop":
-            task = _read_task(body["task"])
-            return _show_done(self.worker.stop(epoch, task, body["run"]))
+            task = _parse_task_name(body["task"])
+            return _encode_result(self.worker.stop(epoch, task, body["run"]))
         if path != "/hold":
             return 404, None
         deadline = body.get("deadline_ms")
@@ -244,61 +252,68 @@
             timedelta(milliseconds=body.get("wait_ms", 0)),
         )
         return (
-            _show_contents(found)
+            _encode_tasks(found)
             if isinstance(found, WorkerTasks)
-            else _show_done(found)
+            else _encode_result(found)
         )
 
 
-def _read_task(text: str) -> TaskName:
+def _parse_task_name(text: str) -> TaskName:
     job, occurrence, step, index = text.split(".")
     return TaskName(job, int(occurrence), int(step), int(index))
 
 
-def _show_task(task: TaskName) -> str:
+def _format_task_name(task: TaskName) -> str:
     return ".".join(map(str, task))
 
 
-def _show_done(done: Any) -> Answer:
-    clock = {"clock_ms": round(done.clock / MILLISECOND)} if done.clock else {}
-    if isinstance(done, Declined):
-        return 409, {**clock, "reason": REASONS[done.code]}
+def _encode_result(result: Any) -> Answer:
+    clock = {"clock_ms": round(result.clock / MILLISECOND)} if result.clock else {}
+    if isinstance(result, Declined):
+        return 409, {**clock, "reason": REFUSAL_REASONS[result.code]}
     return 200, clock
 
 
-def _show_contents(found: WorkerTasks) -> Answer:
+def _encode_tasks(found: WorkerTasks) -> Answer:
     return 200, {
         "clock_ms": round(found.clock / MILLISECOND),
         "running": [
-            [_show_task(r.task), r.attempt, r.checkpoint, r.percent]
+            [_format_task_name(r.task), r.attempt, r.checkpoint, r.percent]
             for r in found.running
         ],
         "finished": [
-            [e.number, _show_task(e.task), e.attempt, ENDS[e.kind], e.checkpoint]
+            [
+                e.number,
+                _format_task_name(e.task),
+                e.attempt,
+                END_KINDS[e.kind],
+                e.checkpoint,
+            ]
             for e in found.ended
         ],
     }
 
 
 class WireAdvisor:
-    """Consents to every worker that is named."""
+    """An advisor that consents to every worker in a request."""
 
     def __init__(self) -> None:
         self.faults = Faults()
-        self._endpoint = _Endpoint(self._answer, self.faults)
+        self._endpoint = _JsonEndpoint(self._answer, self.faults)
         self.listener = self._endpoint.listener
 
     async def _answer(
         self, method: str, path: str, query: dict, headers: dict, body: Any
     ) -> Answer:
-        good = [[worker, f"t-{worker}"] for worker in body["workers"]]
-        return 200, {"good": good, "valid_ms": 2500}
+        consents = [[worker, f"t-{worker}"] for worker in body["workers"]]
+        return 200, {"good": consents, "valid_ms": 2500}
 
 
 class WirePlatform:
-    """Store, workers and advisor, with an operator's document.
+    """The store, workers and advisor, and the operators' document.
 
-    :param behave: tells how a task's attempt behaves.
+    :param workers: number of workers.
+    :param behave: returns how an attempt of a task behaves.
     """
 
     def __init__(
@@ -308,7 +323,7 @@
         behave: Callable[[TaskName, int], Work] = lambda task, attempt: Work(),
     ) -> None:
         self._clock = clock
-        self._beats: asyncio.Task[None] | None = None
+        self._heartbeats: asyncio.Task[None] | None = None
         self.store = WireStore(clock)
         self.advisor = WireAdvisor()
         self.workers = [
@@ -316,18 +331,18 @@
         ]
 
     async def start(self) -> None:
-        """Listen, and register the workers."""
+        """Start all listeners and register the workers."""
         for part in (self.store, self.advisor, *self.workers):
             await part.listener.start()
-        self._beats = asyncio.ensure_future(self._beat())
+        self._heartbeats = asyncio.ensure_future(self._send_heartbeats())
 
-    async def _beat(self) -> None:
-        """Let the workers register, and anew with each heartbeat."""
+    async def _send_heartbeats(self) -> None:
+        """Write the workers' registrations now and again with each heartbeat."""
         while True:
             for worker in self.workers:
                 identifier = worker.worker.info.identifier
                 self.store.store.set(f"servers/{identifier}", worker.describe())
-            await self._clock.sleep(HEARTBEAT)
+            await self._clock.sleep(HEARTBEAT_INTERVAL)
 
     def declare(
         self,
@@ -335,9 +350,11 @@
         tenants: list[dict[str, Any]] | None = None,
         **changes: Any,
     ) -> None:
-        """Put a document with one queue, with advice, in force.
+        """Declare a document with one queue whose steps need advice.
 
-        :param tenants: client accounts, whose keys the queue then asks for.
+        :param version: version of the document.
+        :param tenants: client accounts, whose keys the queue then requires.
+        :param changes: fields of the queue's route that differ from the defaults.
         """
         route = {
             "name": "r-plans",
@@ -364,8 +381,8 @@
         self.store.store.set("op/config", json.dumps(document).encode())
 
     def close(self) -> None:
-        """Refuse everything from now on."""
-        if self._beats is not None:
-            self._beats.cancel()
+        """Stop heartbeats and close all listeners."""
+        if self._heartbeats is not None:
+            self._heartbeats.cancel()
         for part in (self.store, self.advisor, *self.workers):
             part.listener.close()
--- a/src/standins/workers.py
+++ b/src/standins/workers.py
@@ -19,7 +19,7 @@
     Usage,
 )
 from damaskdeck.protocol.sizes import ZERO_SIZE, Size, add_sizes, fits
-from standins.gateway import CALL_TIMEOUT, Gateway, Signal
+from standins.gateway import CALL_TIMEOUT, ChangeSignal, Gateway
 from standins.runs import Overfill, RunLog, Start
 
 DEFAULT_RUN_TIME = timedelta(seconds=1)
@@ -29,11 +29,11 @@
 
 
 class Work(NamedTuple):
-    """What a payload asks of a task.
+    """How a task runs, as described by its payload.
 
-    :param run_time: at full speed; ``None`` runs until it is stopped.
-    :param usage_factor: observed use over what the task was started with;
-        ``None`` for the worker's, and no report when that has none either.
+    :param run_time: duration at full speed; ``None`` runs until it is stopped.
+    :param usage_factor: ratio of observed usage to the task's size; ``None`` uses
+        the worker's factor, and without that, no usage is reported.
     """
 
     run_time: timedelta | None
@@ -43,11 +43,13 @@
 
 
 class Run:
-    """A task on a worker.
+    """A run of a task on a worker.
 
+    :param epoch: epoch under which the task was started.
     :param lease_end: monotonic time.
     :ivar updated: monotonic time up to which ``progress`` is counted.
-    :ivar limit: processors when throttled, in thousandths.
+    :ivar sequence: worker's sequence number of the last change of this run.
+    :ivar limit: processor limit in millicores when throttled, else ``None``.
     """
 
     def __init__(
@@ -77,7 +79,7 @@
 
     @property
     def speed(self) -> float:
-        """Share of full speed."""
+        """Fraction of full speed."""
         if self.limit is None or not self.order.size.millicores:
             return 1.0
         return min(1.0, self.limit / self.order.size.millicores)
@@ -87,14 +89,14 @@
         self.progress += (time - self.updated) * self.speed
         self.updated = time
 
-    def find_finish(self) -> timedelta | None:
-        """Return when it ends by itself, if ever."""
+    def predict_finish(self) -> timedelta | None:
+        """Return the monotonic time at which it will finish by itself, if ever."""
         if self.work.run_time is None or not self.speed:
             return None
         return self.updated + (self.work.run_time - self.progress) / self.speed
 
     def report(self) -> TaskReport:
-        """Return what the worker says of it."""
+        """Return the worker's report of this run."""
         return TaskReport(
             self.order.task,
             self.order.attempt,
@@ -107,9 +109,14 @@
 
 
 class MemoryWorker:
-    """One worker; its state follows the clock whenever it is looked at.
-
-    :param log: records what runs where, over all workers.
+    """One worker; each call first applies the time that has passed to its state.
+
+    :param log: records the runs on all workers.
+    :ivar checks_epochs: whether calls under an older epoch are refused.
+    :ivar fails_everything: whether every task fails at once.
+    :ivar usage_factor: ratio of observed usage to a task's size; ``None`` for no
+        usage reports.
+    :ivar usage_lag: age of the reported usage.
     """
 
     def __init__(self, instance: Instance, clock: Clock, log: RunLog) -> None:
@@ -125,19 +132,19 @@
         self.fails_everything = False
         self.usage_factor: float | None = None
         self.usage_lag = USAGE_LAG
-        self.most_used = ZERO_SIZE
+        self.peak_usage = ZERO_SIZE
         self.epoch = 0
-        self.changed = Signal()
+        self.changed = ChangeSignal()
         self._runs: dict[str, Run] = {}
         self._running: dict[str, Run] = {}
         self._sequence = 0
 
     def start(self, epoch: int, order: StartOrder) -> Accepted | Rejected:
-        """Start a task, even if there is no room for it: that is recorded."""
-        known = self._runs.get(order.task)
-        if known is not None and known.order.attempt == order.attempt:
-            return Accepted(known.report())
-        if known is not None and known.order.attempt > order.attempt:
+        """Start a task, even beyond the capacity, which is recorded as an overfill."""
+        existing = self._runs.get(order.task)
+        if existing is not None and existing.order.attempt == order.attempt:
+            return Accepted(existing.report())
+        if existing is not None and existing.order.attempt > order.attempt:
             return Rejected("stale_attempt")
         if order.task in self._running:
             return Rejected("already_running")
@@ -147,20 +154,20 @@
         start = Start(order.task, order.attempt, self.instance.name, now)
         run = Run(
             order=order,
-            work=self._read_work(order.payload),
+            work=self._decode_work(order.payload),
             epoch=epoch,
             start=start,
             state=TaskState.RUNNING,
             lease_end=now + order.lease,
-            progress=_read_checkpoint(order.checkpoint),
+            progress=_parse_checkpoint(order.checkpoint),
             updated=now,
             checkpoint=order.checkpoint,
         )
-        self.log.begin(start, self.bring_up)
+        self.log.begin(start, self.apply_elapsed_time)
         self._runs[order.task] = self._running[order.task] = run
-        self._mark(run)
-        self._record_use()
-        self.bring_up()
+        self._record_change(run)
+        self._record_usage()
+        self.apply_elapsed_time()
         return Accepted(run.report())
 
     def stop(self, task: str) -> Accepted | Rejected:
@@ -173,7 +180,7 @@
         return Accepted(run.report())
 
     def checkpoint(self, task: str) -> Accepted | Rejected:
-        """Save a task's progress in the reference itself and stop the task."""
+        """Stop a task and return a checkpoint reference that encodes its progress."""
         run = self._runs.get(task)
         if run is None:
             return Rejected("no_such_task")
@@ -184,18 +191,18 @@
         return Accepted(run.report())
 
     def throttle(self, task: str, millicores: int) -> Accepted | Rejected:
-        """Bound a task's processors; it gets slower in proportion."""
+        """Limit a task's processors, which slows it down in proportion."""
         run = self._runs.get(task)
         if run is None:
             return Rejected("no_such_task")
         if run.state is TaskState.RUNNING:
             run.advance(self.clock.monotonic())
             run.limit = millicores
-            self._mark(run)
+            self._record_change(run)
         return Accepted(run.report())
 
     def renew(self, tasks: tuple[str, ...], lease: timedelta) -> Inventory:
-        """Renew leases; tasks that don't run any more stay as they are."""
+        """Renew the leases of running tasks; ended tasks are left unchanged."""
         deadline = self.clock.monotonic() + lease
         for task in tasks:
             if task in self._running:
@@ -203,30 +210,30 @@
         return self.read_inventory()
 
     def read_inventory(self, after: int = 0) -> Inventory:
-        """List the tasks that changed after ``after``."""
+        """List the tasks that changed after sequence number ``after``."""
         tasks = [run for run in self._runs.values() if run.sequence > after]
         tasks.sort(key=lambda run: run.sequence)
         reports = tuple(run.report() for run in tasks)
         return Inventory(reports, self._read_usage(), self._sequence)
 
     def acknowledge(self, tasks: tuple[str, ...]) -> Inventory:
-        """Forget ended tasks; running ones stay."""
+        """Remove ended tasks; running ones are kept."""
         for task in tasks:
             if task not in self._running:
                 self._runs.pop(task, None)
         return self.read_inventory()
 
     def admit_epoch(self, epoch: int) -> bool:
-        """Fence off earlier owners; returns whether ``epoch`` may act."""
+        """Return whether ``epoch`` may act; from then on, lower epochs are refused."""
         if self.checks_epochs and epoch < self.epoch:
             return False
         self.epoch = max(self.epoch, epoch)
         return True
 
-    def bring_up(self) -> None:
-        """End what has finished or lapsed by now, in order of time.
+    def apply_elapsed_time(self) -> None:
+        """End the tasks that have finished or lapsed by now, in order of time.
 
-        A paused worker runs nothing, yet leases lapse meanwhile.
+        While a worker is paused its tasks make no progress, but their leases lapse.
         """
         now = self.clock.monotonic()
         ends = (self._find_end(run) for run in self._running.values())
@@ -234,25 +241,25 @@
             self._end(self._running[task], state, time)
 
     def find_next_end(self) -> timedelta | None:
-        """Return when the next task ends by the clock alone."""
+        """Return the monotonic time at which the next task ends by itself, if any."""
         ends = (self._find_end(run) for run in self._running.values())
         return min((end[0] for end in ends), default=None)
 
     def list_running(self) -> tuple[str, ...]:
         """List the tasks that run now."""
-        self.bring_up()
+        self.apply_elapsed_time()
         return tuple(self._running)
 
     def pause(self) -> None:
-        """Freeze the whole instance."""
-        self.bring_up()
+        """Freeze the instance and its tasks; their leases still lapse."""
+        self.apply_elapsed_time()
         for run in self._running.values():
             run.advance(self.clock.monotonic())
         self.faults.pause()
 
     def resume(self) -> None:
-        """Go on; tasks whose lease has lapsed meanwhile don't run on."""
-        self.bring_up()
+        """Unfreeze; tasks whose lease lapsed meanwhile have ended."""
+        self.apply_elapsed_time()
         now = self.clock.monotonic()
         for run in self._running.values():
             run.updated = now
@@ -260,8 +267,8 @@
         self.changed.wake()
 
     def die(self) -> None:
-        """Lose all tasks and answer nobody."""
-        self.bring_up()
+        """Fail: lose all tasks and become unreachable."""
+        self.apply_elapsed_time()
         for run in self._running.values():
             self.log.end(run.start)
         self._runs.clear()
@@ -272,21 +279,21 @@
         self.changed.wake()
 
     def replace(self) -> None:
-        """Come back as a new machine of the same name that knows nothing."""
+        """Restart as a new machine of the same name, without any state."""
         self.epoch = 0
         self._sequence = 0
         self.is_dead = False
         self.is_leaving = False
         self.faults.outage = False
 
-    def _read_work(self, payload: bytes) -> Work:
+    def _decode_work(self, payload: bytes) -> Work:
         if self.fails_everything:
             return Work(timedelta(), True, b"worker fault")
-        return _read_work(payload)
+        return _decode_work(payload)
 
     def _find_end(self, run: Run) -> tuple[timedelta, str, TaskState]:
         lapse = (run.lease_end, run.order.task, TaskState.LAPSED)
-        finish = None if self.faults.is_paused else run.find_finish()
+        finish = None if self.faults.is_paused else run.predict_finish()
         if finish is None or run.lease_end < finish:
             return lapse
         state = TaskState.FAILED if run.work.is_failing else TaskState.SUCCEEDED
@@ -299,18 +306,18 @@
             run.result = run.work.result
         del self._running[run.order.task]
         self.log.end(run.start)
-        self._mark(run)
+        self._record_change(run)
 
-    def _mark(self, run: Run) -> None:
+    def _record_change(self, run: Run) -> None:
         self._sequence += 1
         run.sequence = self._sequence
         self.changed.wake()
 
-    def _record_use(self) -> None:
+    def _record_usage(self) -> None:
         used = ZERO_SIZE
         for run in self._running.values():
             used = add_sizes(used, run.order.size)
-        self.most_used = Size(*map(max, used, self.most_used))
+        self.peak_usage = Size(*map(max, used, self.peak_usage))
         if not fits(used, self.instance.size):
             now = self.clock.monotonic()
             self.log.overfills.append(Overfill(self.instance.name, used, now))
@@ -318,13 +325,13 @@
     def _read_usage(self) -> tuple[Usage, ...]:
         settled = self.clock.monotonic() - self.usage_lag
         return tuple(
-            Usage(run.order.task, self._observe(run, factor), self.usage_lag)
+            Usage(run.order.task, self._scale_usage(run, factor), self.usage_lag)
             for run in self._running.values()
             if run.start.time <= settled
             and (factor := run.work.usage_factor or self.usage_factor)
         )
 
-    def _observe(self, run: Run, factor: float) -> Size:
+    def _scale_usage(self, run: Run, factor: float) -> Size:
         declared = run.order.size
         millicores = round(declared.millicores * factor)
         if run.limit is not None:
@@ -334,11 +341,11 @@
 
 
 class WorkersClient:
-    """One client's way to all workers; implements the port ``WorkerPort``.
+    """One client of all workers; implements the port ``WorkerPort``.
 
-    :param workers: by name.
-    :param client: name to cut this client off by.
-    :param timeout: how long it waits for an answer.
+    :param workers: all workers by name.
+    :param client: name by which this client can be cut off.
+    :param timeout: how long a call waits for its answer.
     """
 
     def __init__(
@@ -366,7 +373,7 @@
     async def checkpoint(
         self, worker: Instance, epoch: int, task: str
     ) -> Accepted | Rejected | Lost:
-        """Save a task's progress and stop it."""
+        """Save a task's progress and stop the task."""
         return await self._call(
             worker, "checkpoint", epoch, lambda w: w.checkpoint(task)
         )
@@ -374,7 +381,7 @@
     async def throttle(
         self, worker: Instance, epoch: int, task: str, millicores: int
     ) -> Accepted | Rejected | Lost:
-        """Bound a task's processors."""
+        """Limit a task's processors."""
         return await self._call(
             worker, "throttle", epoch, lambda w: w.throttle(task, millicores)
         )
@@ -396,7 +403,7 @@
     async def follow(
         self, worker: Instance, epoch: int, after: int, wait: timedelta
     ) -> Inventory | Rejected | Lost:
-        """Return tasks changed after ``after``, waiting up to ``wait`` for one."""
+        """Return the tasks changed after ``after``, waiting up to ``wait`` for one."""
         found = await self._call(
             worker, "follow", epoch, lambda w: w.read_inventory(after)
         )
@@ -405,7 +412,7 @@
         stand_in = self._workers[worker.name]
 
         def read() -> Inventory:
-            stand_in.bring_up()
+            stand_in.apply_elapsed_time()
             return stand_in.read_inventory(after)
 
         return await stand_in.gateway.poll(
@@ -420,7 +427,7 @@
     async def acknowledge(
         self, worker: Instance, epoch: int, tasks: tuple[str, ...]
     ) -> Inventory | Rejected | Lost:
-        """Let the worker forget ended tasks."""
+        """Remove ended tasks from the worker."""
         return await self._call(
             worker, "acknowledge", epoch, lambda w: w.acknowledge(tasks)
         )
@@ -430,27 +437,27 @@
         worker: Instance,
         operation: str,
         epoch: int,
-        act: Callable[[MemoryWorker], T],
+        action: Callable[[MemoryWorker], T],
     ) -> T | Rejected | Lost:
         stand_in = self._workers.get(worker.name)
         if stand_in is None:
             return Rejected("unreachable")
 
-        def act_now() -> T | Rejected:
-            stand_in.bring_up()
+        def perform() -> T | Rejected:
+            stand_in.apply_elapsed_time()
             if not stand_in.admit_epoch(epoch):
                 return Rejected("stale_epoch")
-            return act(stand_in)
+            return action(stand_in)
 
         return await stand_in.gateway.call(
-            self._client, operation, act_now, self._timeout
+            self._client, operation, perform, self._timeout
         )
 
 
-def _read_work(payload: bytes) -> Work:
+def _decode_work(payload: bytes) -> Work:
     if not payload:
         return Work(None, False, b"")
-    fields = _decode(payload)
+    fields = _decode_fields(payload)
     if fields is None:
         return Work(timedelta(), True, b"bad payload")
     run_time = DEFAULT_RUN_TIME
@@ -460,13 +467,13 @@
     return Work(run_time, bool(fields.get("fail")), result, fields.get("usage"))
 
 
-def _decode(payload: bytes) -> dict[str, Any] | None:
+def _decode_fields(payload: bytes) -> dict[str, Any] | None:
     try:
         return msgspec.json.decode(payload, type=dict[str, Any])
     except msgspec.DecodeError:
         return None
 
 
-def _read_checkpoint(reference: str) -> timedelta:
+def _parse_checkpoint(reference: str) -> timedelta:
     _, _, progress = reference.rpartition("@")
     return timedelta(seconds=float(progress)) if progress else timedelta()
--- a/tests/poolcluster.py
+++ b/tests/poolcluster.py
@@ -504,7 +504,7 @@
                     kind = EndKind.LAPSED
                 spans.setdefault(task, []).append((began, ended, kind, name))
             for task, run in worker.running.items():
-                row = (run.began, timedelta.max, EndKind.COMPLETED, name)
+                row = (run.started_at, timedelta.max, EndKind.COMPLETED, name)
                 spans.setdefault(task, []).append(row)
         for task, rows in spans.items():
             rows.sort()
@@ -520,7 +520,9 @@
         broken = []
         for name, worker in self.workers.items():
             spans = [(row[3], row[4], row[0]) for row in worker.history]
-            spans += [(r.began, timedelta.max, t) for t, r in worker.running.items()]
+            spans += [
+                (r.started_at, timedelta.max, t) for t, r in worker.running.items()
+            ]
             for at, task, _, _ in worker.starts:
                 there = [t for began, ended, t in spans if began <= at < ended]
                 used = functools.reduce(add_sizes, map(self._find_size, there), Size())
--- a/tests/test_adapters.py
+++ b/tests/test_adapters.py
@@ -385,7 +385,7 @@
     async def test_connections_are_kept_and_reused(self):
         for number in range(5):
             await self._send(f"r-{number}")
-        self.assertEqual(self.target.most_connections, 1)
+        self.assertEqual(self.target.peak_connections, 1)
 
 
 class TestInstanceListInProcess(InstanceContract, unittest.IsolatedAsyncioTestCase):
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,7 +12,7 @@
 from damaskdeck.protocol.resources import Urgency
 from standins.loops import run_virtual
 from standins.requests import Layout
-from standins.targets import take_exponential_time
+from standins.targets import make_exponential_time
 from tests.test_routing import SECOND, play
 
 ZERO = timedelta()
@@ -160,7 +160,7 @@
             return {e.request: e.start for e in deployment.log.executions}
 
         mean = timedelta(milliseconds=50)
-        starts = play(scenario, Layout(), service_time=take_exponential_time(mean))
+        starts = play(scenario, Layout(), service_time=make_exponential_time(mean))
         return times, starts
 
     def test_goodput_at_three_times_the_load_stays_near_the_maximum(self):
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -86,7 +86,7 @@
         cluster, worker = await self.silence_a_worker()
         await asyncio.sleep(2.5)
         owner = cluster.find_owner()
-        ends = cluster.workers[worker].lease_ends
+        ends = cluster.workers[worker].lease_expires_at
         for daemon in cluster.daemons.values():
             daemon.store.faults.outage = True
             daemon.workers.cut_off.clear()
@@ -94,7 +94,7 @@
         contact = owner.owner.contacts[worker]
         self.assertTrue(contact.is_synchronized)
         self.assertFalse(contact.is_usable(contact._now()))
-        self.assertEqual(cluster.workers[worker].lease_ends, ends)
+        self.assertEqual(cluster.workers[worker].lease_expires_at, ends)
         self.end()
 
     @virtual
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -209,7 +209,7 @@
         found = await self.store.watch("w/", base, SECOND)
         self.assertIsInstance(found, Events)
         self.assertEqual([e.value for e in found.events], [b"1", None])
-        self.platform.store.store.forget_history()
+        self.platform.store.store.discard_history()
         self.assertIsInstance(
             await self.store.watch("w/", base, SECOND), RevisionTooOld
         )
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -81,7 +81,7 @@
         cluster = await self.begin()
         daemon = cluster.daemons["d1"]
         for each in cluster.daemons.values():
-            each.store.late = True
+            each.store.executes_late = True
             each.store.faults.plan("commit", *[FaultKind.LOSE_ANSWER] * 50)
         done = await daemon.frontend.submit(make_queue(), "j1", make_job())
         self.assertIsInstance(done, JobUnconfirmed)
--- a/tests/test_pools_chaos.py
+++ b/tests/test_pools_chaos.py
@@ -190,7 +190,7 @@
             daemon.store.faults.planned.clear()
             daemon.workers.faults.planned.clear()
             daemon.workers.cut_off.clear()
-            daemon.store.late = daemon.workers.late = False
+            daemon.store.executes_late = daemon.workers.executes_late = False
 
     async def watch_room(self) -> None:
         """Look again and again whether a worker holds more than it can."""
@@ -330,7 +330,7 @@
 def lose_commits(chaos: Chaos) -> None:
     """Let commits be done, or done late, without an answer."""
     for daemon in chaos.cluster.daemons.values():
-        daemon.store.late = chaos.random.random() < 0.5
+        daemon.store.executes_late = chaos.random.random() < 0.5
         count = chaos.random.randint(1, 4)
         daemon.store.faults.plan("commit", *[FaultKind.LOSE_ANSWER] * count)
 
@@ -339,7 +339,7 @@
 def lose_starts(chaos: Chaos) -> None:
     """Let orders be carried out, or carried out late, without an answer."""
     daemon = chaos.pick_daemon()
-    daemon.workers.late = chaos.random.random() < 0.6
+    daemon.workers.executes_late = chaos.random.random() < 0.6
     count = chaos.random.randint(1, 5)
     daemon.workers.faults.plan("start", *[FaultKind.LOSE_ANSWER] * count)
 
@@ -392,7 +392,7 @@
 @fault
 def forget_history(chaos: Chaos) -> None:
     """Let the store drop its history."""
-    chaos.cluster.store.forget_history()
+    chaos.cluster.store.discard_history()
 
 
 def cut_zone(chaos: Chaos) -> None:
--- a/tests/test_pools_overload.py
+++ b/tests/test_pools_overload.py
@@ -56,7 +56,7 @@
         await cluster.run_first_job()
         cluster.epochs.clear()
         for name in cluster.daemons:
-            cluster.switch.work[name] = WORK
+            cluster.switch.processing_times[name] = WORK
         return cluster
 
     @virtual
--- a/tests/test_pools_workers.py
+++ b/tests/test_pools_workers.py
@@ -36,7 +36,7 @@
     async def test_an_order_that_is_carried_out_late_runs_nothing_twice(self):
         cluster = await self.begin()
         owner = cluster.find_owner()
-        owner.workers.late = True
+        owner.workers.executes_late = True
         owner.workers.faults.plan("start", *[FaultKind.LOSE_ANSWER] * 3)
         await cluster.submit("j1", make_job(StepSpec(3, SMALL, SECOND)))
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=8)
@@ -88,11 +88,11 @@
     @virtual
     async def test_history_that_is_gone_is_read_anew(self):
         cluster = await self.begin()
-        cluster.store.forget_history()
+        cluster.store.discard_history()
         await cluster.submit("j1", make_job(), cluster.find_other_daemon().name)
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         cluster.add_worker("w9", "10.0.0.9:1")
-        cluster.store.forget_history()
+        cluster.store.discard_history()
         await cluster.submit("j2", make_job(StepSpec(30, SMALL, SECOND)))
         await cluster.wait_for_state("j2", QueueJobState.COMPLETED)
         self.assertTrue(cluster.workers["w9"].starts)
@@ -185,7 +185,7 @@
     async def test_tasks_on_a_worker_that_stands_still_start_elsewhere(self):
         cluster = await self.begin()
         for worker in cluster.workers.values():
-            worker.hangs = worker.info.identifier == "w0"
+            worker.is_hung = worker.info.identifier == "w0"
         await cluster.submit("j1", make_job(StepSpec(8, SMALL, SECOND)))
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=5)
         stopped = [row[2] for row in cluster.workers["w0"].history]
@@ -199,7 +199,7 @@
             workers=1, behave=lambda t, a: Work(timedelta(seconds=4))
         )
         worker = cluster.workers["w0"]
-        worker._measure = lambda run: 100
+        worker._compute_percent = lambda run: 100
         await cluster.submit("j1", make_job())
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.assertEqual(len(cluster.list_starts()), 1)
@@ -213,9 +213,9 @@
         long = StepSpec(1, SMALL, timedelta(seconds=8))
         await cluster.submit("j1", make_job(long))
         await asyncio.sleep(4)
-        cluster.workers["w0"].hangs = True
+        cluster.workers["w0"].is_hung = True
         await asyncio.sleep(1.5)
-        cluster.workers["w0"].hangs = False
+        cluster.workers["w0"].is_hung = False
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.assertEqual(len(cluster.list_starts()), 1)
         self.end()
@@ -232,7 +232,7 @@
         )
         await cluster.submit("first", make_job(StepSpec(8, SMALL, 2 * SECOND)))
         await cluster.wait_for_state("first", QueueJobState.COMPLETED)
-        cluster.workers["w0"].slowness = 8.0
+        cluster.workers["w0"].slowdown = 8.0
         for number in range(jobs):
             await cluster.submit(f"j{number}", make_job(step))
         for number in range(jobs):
@@ -251,7 +251,7 @@
     @virtual
     async def test_a_slow_worker_gets_tasks_last(self):
         cluster = await self.begin(behave=lambda t, a: Work(timedelta(seconds=9)))
-        cluster.workers["w0"].slowness = 8.0
+        cluster.workers["w0"].slowdown = 8.0
         wide = StepSpec(8, SMALL, timedelta(seconds=9), spread=2)
         await cluster.submit("wide", make_job(wide))
         await asyncio.sleep(2.5)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -277,7 +277,7 @@
         await self.cluster.pass_time(1)
         for daemon in self.cluster.daemons.values():
             daemon.store.old = old
-        self.cluster.store._dropped = self.cluster.store.revision + 5
+        self.cluster.store._compacted_revision = self.cluster.store.revision + 5
         await self.cluster.pass_time(90)
         self.assert_all(2.0)
         self.assert_never_lower()
--- a/tests/test_request_plane.py
+++ b/tests/test_request_plane.py
@@ -20,7 +20,7 @@
     ExecutionLog,
     MemoryTarget,
     TargetsClient,
-    take_constant_time,
+    make_constant_time,
 )
 
 SECOND = timedelta(seconds=1)
@@ -75,7 +75,7 @@
                 connections=64,
             )
             self.instances.put(instance)
-            time = take_constant_time(SECOND / 2)
+            time = make_constant_time(SECOND / 2)
             target = MemoryTarget(instance, self.clock, self.log, time)
             target.refuses_when_full = False
             self.targets[name] = target
--- a/tests/test_requests_model.py
+++ b/tests/test_requests_model.py
@@ -12,7 +12,7 @@
 from damaskdeck.protocol.outcomes import Completed, Outcome, Refused
 from standins.faults import FaultKind
 from standins.requests import Layout, RequestDeployment
-from standins.targets import TargetsClient, take_exponential_time
+from standins.targets import TargetsClient, make_exponential_time
 from tests.naive_router import NaiveRouter
 from tests.test_routing import play
 
@@ -217,7 +217,7 @@
         await game.play(plan)
         return game
 
-    return play(scenario, LAYOUT, service_time=take_exponential_time(MEAN))
+    return play(scenario, LAYOUT, service_time=make_exponential_time(MEAN))
 
 
 def play_naive(plan: list[tuple[int, Ask | Event]]) -> Game:
@@ -236,7 +236,7 @@
         await game.play(plan)
         return game
 
-    return play(scenario, LAYOUT, service_time=take_exponential_time(MEAN))
+    return play(scenario, LAYOUT, service_time=make_exponential_time(MEAN))
 
 
 class TestPromises(unittest.TestCase):
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -19,7 +19,7 @@
 from standins.faults import FaultKind
 from standins.loops import LoopClock, run_virtual
 from standins.requests import SERVICE, Layout, RequestDeployment
-from standins.targets import take_constant_time
+from standins.targets import make_constant_time
 
 SECOND = timedelta(seconds=1)
 
@@ -53,7 +53,7 @@
         async def scenario(deployment):
             asks = [deployment.ask("entry-0-0", f"r{i}") for i in range(4)]
             outcomes = await asyncio.gather(*asks)
-            peaks = [t.most_running for t in deployment.targets.values()]
+            peaks = [t.peak_running for t in deployment.targets.values()]
             return outcomes, peaks
 
         outcomes, peaks = play(scenario)
@@ -86,11 +86,11 @@
                 *(deployment.ask("entry-0-0", f"a{i}") for i in range(4))
             )
             far = [t for n, t in deployment.targets.items() if "-1-" in n]
-            before = sum(t.most_running for t in far)
+            before = sum(t.peak_running for t in far)
             second = await asyncio.gather(
                 *(deployment.ask("entry-0-0", f"b{i}") for i in range(8))
             )
-            return first + second, before, sum(t.most_running for t in far)
+            return first + second, before, sum(t.peak_running for t in far)
 
         outcomes, before, after = play(scenario, Layout(zones=2, slots=2))
         self.assertEqual({type(o) for o in outcomes}, {Completed})
@@ -118,7 +118,7 @@
             return notified
 
         layout = Layout(zones=12, entries=1, targets=1, slots=1)
-        slow = take_constant_time(timedelta(seconds=0.2))
+        slow = make_constant_time(timedelta(seconds=0.2))
         self.assertEqual(len(play(scenario, layout, service_time=slow)), 11)
 
 
@@ -227,7 +227,7 @@
 
             owned._targets.probe = probe
             await asyncio.sleep(10)
-            return len(probed), deployment._loops["entry-0-0"].done()
+            return len(probed), deployment._router_tasks["entry-0-0"].done()
 
         count, has_ended = play(scenario)
         self.assertFalse(has_ended)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -11,11 +11,11 @@
 from standins.clock import ManualClock
 from standins.faults import FaultKind
 from standins.requests import Layout, RequestDeployment
-from standins.targets import take_constant_time
+from standins.targets import make_constant_time
 from tests.test_routing import play
 
 ONE = Layout(entries=3, targets=1, slots=2)
-SLOW = take_constant_time(timedelta(seconds=5))
+SLOW = make_constant_time(timedelta(seconds=5))
 TARGET = "target/target-0-0"
 LONG = timedelta(seconds=9.5)
 
@@ -137,7 +137,7 @@
         async def scenario(deployment):
             view = deployment.table.views["entry-0-0"]
             place = self.ask(deployment, "entry-0-0", "r")
-            view.held.clear()
+            view.owned.clear()
             return await place, deployment.log.counts["r"]
 
         outcome, runs = self.play(scenario)
--- a/tests/test_wide_documents.py
+++ b/tests/test_wide_documents.py
@@ -14,8 +14,8 @@
 from damaskdeck.coordination.pools.times import PoolBounds, derive_times
 from damaskdeck.platform import PlatformQueues, PlatformStore
 from damaskdeck.protocol.callresults import CallRejected, CallRejectionCode
+from standins.bandwidth import BandwidthLimitedClient
 from standins.loops import LoopClock
-from standins.narrow import NarrowClient
 from standins.wire import WireStore
 from tests.poolcluster import make_job
 from tests.virtual import virtual
@@ -75,7 +75,7 @@
     def __init__(self, rate: float = NARROW_RATE) -> None:
         self.clock = LoopClock()
         self.wire = WireStore(self.clock)
-        self.client = NarrowClient(self.wire, self.clock, rate)
+        self.client = BandwidthLimitedClient(self.wire, self.clock, rate)
         self.store = MonitoredStore(PlatformStore(self.client, "store"), self.clock)
         self.times = derive_times(BOUNDS)
         self.declarations = self._build_declarations()
@@ -241,7 +241,9 @@
     async def test_a_daemon_continues_when_every_other_answer_is_lost(self):
         daemon = await self.begin(FEW_QUEUES)
         numbers = itertools.count()
-        daemon.client.loses = lambda path: path == "/kv-txn" and next(numbers) % 2 == 0
+        daemon.client.loses_reply = lambda path: (
+            path == "/kv-txn" and next(numbers) % 2 == 0
+        )
         for _ in range(300):
             await asyncio.sleep(0.1)
             self.assertIsInstance(daemon.authorize(1), AuthorizedCall)
@@ -250,9 +252,9 @@
     @virtual
     async def test_a_daemon_recovers_from_minutes_without_an_answer(self):
         daemon = await self.begin(FEW_QUEUES)
-        daemon.client.loses = lambda path: True
+        daemon.client.loses_reply = lambda path: True
         await asyncio.sleep(300)
-        daemon.client.loses = lambda path: False
+        daemon.client.loses_reply = lambda path: False
         daemon.write(2, FEW_QUEUES)
         await asyncio.sleep(2)
         self.assertEqual(daemon.version, 2)
--- a/tests/usage.py
+++ b/tests/usage.py
@@ -44,7 +44,7 @@
         spans = [
             (task, started, ended) for task, _, _, started, ended in worker.history
         ]
-        spans += [(task, run.began, None) for task, run in worker.running.items()]
+        spans += [(task, run.started_at, None) for task, run in worker.running.items()]
         for task, started, ended in spans:
             account, size = find_size(task)
             # A run that ends frees its capacity for one that starts at the same time.
