--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""Passes over the failures that KNOWN-RED.txt lists, and over no others.
+"""A nose2 plugin that tolerates the failures listed in KNOWN-RED.txt, and no others.
 
-A test that is listed there runs like all others: it is printed with what it showed,
-and its failure doesn't fail the run. One that is listed and passes fails the run, so
-that its line is taken off with the mend.
+A listed test runs like all others: its outcome is printed, and its failure does not
+fail the run. A listed test that passes does fail the run, so that the commit that
+fixes it also removes its entry.
 """
 
 import re
@@ -12,16 +12,16 @@
 
 from nose2.events import Plugin
 
-LIST = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-# An entry begins with the name of its test; indented lines tell of it.
+KNOWN_FAILURES_PATH = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
+# An entry starts with the name of its test; indented lines describe the failure.
 _NAME = re.compile(r"^(tests\.[\w.]+):")
 _PASSED, _FAILED = "passed", "failed"
 
 
 class Outcome(NamedTuple):
-    """What a run of a listed test counts as.
+    """The outcome to report for a listed test.
 
-    :param is_expected: whether the run may go on to pass.
+    :param is_expected: whether the whole run can still pass.
     """
 
     outcome: str
@@ -29,20 +29,20 @@
 
 
 def read_names(text: str) -> frozenset[str]:
-    """Return the names of the tests that a list of known failures holds."""
+    """Return the names of the tests in a list of known failures."""
     matches = (_NAME.match(line) for line in text.splitlines())
     return frozenset(match[1] for match in matches if match is not None)
 
 
-def judge(outcome: str, is_listed: bool) -> Outcome | None:
-    """Return what an outcome counts as, ``None`` where the list changes nothing."""
+def decide_outcome(outcome: str, is_listed: bool) -> Outcome | None:
+    """Return the outcome to report, or ``None`` to leave the outcome unchanged."""
     if not is_listed or outcome == "skipped":
         return None
     return Outcome(outcome, is_expected=outcome != _PASSED)
 
 
 def _make_failure(message: str) -> tuple:
-    """Return a failure as the runner's report wants it."""
+    """Return a failure as an ``exc_info`` tuple, which the runner's report expects."""
     try:
         raise AssertionError(message)
     except AssertionError:
@@ -50,28 +50,30 @@
 
 
 class KnownRed(Plugin):
-    """Judges the tests on the list by it."""
+    """Replaces the outcomes of the tests in KNOWN-RED.txt."""
 
     alwaysOn = True  # noqa: N815
     configSection = "known-red"  # noqa: N815
 
     def __init__(self) -> None:
-        text = LIST.read_text() if LIST.exists() else ""
+        text = KNOWN_FAILURES_PATH.read_text() if KNOWN_FAILURES_PATH.exists() else ""
         self._names = read_names(text)
-        self._seen: dict[str, str] = {}
+        self._outcomes: dict[str, str] = {}
 
     def setTestOutcome(self, event) -> None:  # noqa: N802
-        """Let a listed failure pass, and a listed pass fail."""
+        """Expect the failure of a listed test, and fail a listed test that passes."""
         name = event.test.id()
-        judged = judge(event.outcome, name in self._names)
-        if judged is None:
+        decision = decide_outcome(event.outcome, name in self._names)
+        if decision is None:
             return
-        self._seen[name] = event.outcome
-        event.outcome, event.expected = _FAILED, judged.is_expected
-        if not judged.is_expected:
-            event.exc_info = _make_failure("it passes: take it off KNOWN-RED.txt")
+        self._outcomes[name] = event.outcome
+        event.outcome, event.expected = _FAILED, decision.is_expected
+        if not decision.is_expected:
+            event.exc_info = _make_failure(
+                "the test passes: remove its entry from KNOWN-RED.txt"
+            )
 
     def afterSummaryReport(self, event) -> None:  # noqa: N802
-        """Print what was passed over."""
-        for name, outcome in sorted(self._seen.items()):
+        """Print the outcomes of the listed tests."""
+        for name, outcome in sorted(self._outcomes.items()):
             event.stream.writeln(f"known red: {name}: {outcome}")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page: its fits, and its tables from the committed figures."""
+"""Tests the fits behind the capacity page, and its tables against its figures."""
 
 import json
 import unittest
@@ -16,7 +16,7 @@
 
 
 class TestSlopes(unittest.TestCase):
-    """Lines through known points."""
+    """Lines fitted to known points."""
 
     @given(DRIVERS, NUMBERS, NUMBERS)
     @settings(derandomize=True, deadline=None, max_examples=50)
@@ -26,23 +26,23 @@
         self.assertAlmostEqual(line.at(500), intercept + slope * 500, 2)
         self.assertAlmostEqual(line.residual, 0, 5)
 
-    def test_the_residual_is_what_the_line_leaves_over(self):
+    def test_the_residual_is_the_deviation_from_the_line(self):
         line = fit_line([(0, 1), (0, 3), (2, 5), (2, 7)])
         self.assertEqual((line.slope, line.intercept, line.residual), (2, 2, 1))
 
-    def test_growth_that_is_no_line_shows_in_the_residual(self):
+    def test_nonlinear_growth_shows_in_the_residual(self):
         squares = fit_line([(x, x * x) for x in (0, 10, 20, 30)])
         self.assertGreater(squares.residual, 50)
 
-    def test_one_driver_gives_no_line(self):
+    def test_a_single_driver_value_is_refused(self):
         with self.assertRaises(ValueError):
             fit_line([(3, 1), (3, 2)])
 
 
 class TestMetrics(unittest.TestCase):
-    """Counters read from the Prometheus text."""
+    """Counters parsed from the Prometheus text format."""
 
-    def test_counters_are_told_by_their_labels(self):
+    def test_counters_are_distinguished_by_their_labels(self):
         text = (
             "# TYPE damaskdeck_refusals_total counter\n"
             'damaskdeck_refusals_total{code="no_room",otel_scope_name="damaskdeck",'
@@ -59,7 +59,7 @@
 
 
 class TestSizing(unittest.TestCase):
-    """Costs worked out from known slopes."""
+    """Costs computed from known slopes."""
 
     def make_slopes(self, keeper_owns: bool = False) -> Slopes:
         lines = {
@@ -82,10 +82,10 @@
         self.assertAlmostEqual(roles.peer.processor, 5 + 2)
         self.assertAlmostEqual(roles.idle.processor, 7 + 10 * 0.1)
         self.assertAlmostEqual(roles.owner.processor, 8 + 200 * 0.01 + 2 * 0.5)
-        kept = 400 * 0.001 + 4 * 0.4
-        self.assertAlmostEqual(roles.keeper.processor, 11 + kept)
+        ledger_cost = 400 * 0.001 + 4 * 0.4
+        self.assertAlmostEqual(roles.keeper.processor, 11 + ledger_cost)
 
-    def test_a_keeper_that_owned_workers_is_not_charged_for_them_twice(self):
+    def test_workers_of_a_ledger_owner_are_not_counted_twice(self):
         slopes = self.make_slopes(keeper_owns=True)
         self.assertAlmostEqual(slopes.measure_keeper("starts").processor, 0.4 - 0.25)
 
@@ -96,19 +96,19 @@
         self.assertAlmostEqual(calls.task_writes, 8 * 0.05)
         self.assertAlmostEqual(calls.reads, 4 * 2 * 4 / 6 + 4)
 
-    def test_all_bytes_count(self):
+    def test_all_kinds_of_bytes_are_counted(self):
         cost = Cost(peer_bytes=1, platform_bytes=2, worker_bytes=4)
         self.assertEqual(cost.plus(cost).all_bytes, 14)
 
 
 class TestPage(unittest.TestCase):
-    """docs/CAPACITY.md against docs/capacity.json."""
+    """The tables of docs/CAPACITY.md against the figures of docs/capacity.json."""
 
     def test_the_tables_follow_from_the_committed_figures(self):
         text = pages.PAGE.read_text()
         self.assertEqual(pages.fill_page(text, pages.read_slopes()), text)
 
-    def test_every_table_stands_on_the_page(self):
+    def test_every_table_is_on_the_page_once(self):
         text = pages.PAGE.read_text()
         for name in pages.list_tables():
             self.assertEqual(text.count(f"<!-- begin {name} -->\n| "), 1, name)
@@ -123,7 +123,7 @@
                 limit = 1e-5 * abs(expected) + 1e-9
                 self.assertAlmostEqual(line[part], expected, delta=limit, msg=name)
 
-    def test_what_is_over_budget_is_shown_so(self):
+    def test_values_over_budget_are_marked(self):
         row = pages._judge(1.3, 1.0)
         self.assertIn("**1.30**", row)
         self.assertIn("over", row)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Pages that agree with the code and with each other."""
+"""Tests that the documentation agrees with the code and with itself."""
 
 import re
 import typing
@@ -46,7 +46,7 @@
 
 
 class TestPages(unittest.TestCase):
-    """Links between pages."""
+    """Links between pages, and the glossary."""
 
     def test_every_relative_link_leads_to_a_file(self):
         pages = [*ROOT.glob("*.md"), *DOCS.rglob("*.md")]
@@ -63,7 +63,7 @@
         pages = (DOCS / "operations").glob("*.md")
         self.assertEqual(sorted(listed), sorted(f"operations/{p.name}" for p in pages))
 
-    def test_each_word_of_the_glossary_has_one_row(self):
+    def test_each_term_of_the_glossary_has_one_row(self):
         page = (DOCS / "GLOSSARY.md").read_text()
         rows = re.findall(r"^\| ([a-z][^|]*) \| ([^|]*) \|", page, re.MULTILINE)
         words = [word for word, meaning in rows if word != "word"]
@@ -73,7 +73,7 @@
 
 
 class TestSettingsPage(unittest.TestCase):
-    """The table of settings in the page of the daemon."""
+    """The table of settings and the example on the page of the daemon."""
 
     def setUp(self):
         self.page = DOCS / "operations" / "daemon.md"
@@ -87,21 +87,23 @@
         for name in LimitsSection.__annotations__:
             default = Settings._field_defaults[LIMIT_FIELDS.get(name, name)]
             seconds = getattr(default, "total_seconds", lambda value=default: value)()
-            told = self.rows[f"limits.{name}"][1].replace(",", "")
-            self.assertEqual(float(told), seconds, name)
+            documented = self.rows[f"limits.{name}"][1].replace(",", "")
+            self.assertEqual(float(documented), seconds, name)
 
-    def test_the_example_is_a_good_settings_file(self):
+    def test_the_example_is_a_valid_settings_file(self):
         lines = self.page.read_text().splitlines()
         example = "\n".join(line[4:] for line in lines if line.startswith("    "))
         self.assertEqual(read_settings(yaml.safe_load(example)).name, "entry-1")
 
 
 class TestApiPage(unittest.TestCase):
-    """The table of codes in the page of the API."""
+    """The table of error codes on the page of the API."""
 
     maxDiff = None
 
     def test_the_codes_and_statuses_are_those_of_the_api(self):
         rows = read_table(DOCS / "operations" / "api.md", "code")
-        told = {CODE.findall(row[0])[0]: int(row[1]) for row in rows}
-        self.assertEqual(told, {name: code.status for name, code in CODES.items()})
+        documented = {CODE.findall(row[0])[0]: int(row[1]) for row in rows}
+        self.assertEqual(
+            documented, {name: code.status for name, code in CODES.items()}
+        )
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports point downwards between the layers."""
+"""Tests that each layer only imports from the layers below it."""
 
 import ast
 import unittest
@@ -7,10 +7,10 @@
 
 PACKAGE = Path(__file__).parents[1] / "src" / "damaskdeck"
 LAYERS = ("transport", "coordination", "state", "protocol")
-# The adapter to the users' platform stands beside transport.
+# The adapter to the users' platform is on the same level as transport.
 ADAPTERS = ("transport", "platform")
 EDGES = ("__main__", "daemon", "pooldaemon", "cli")
-# The groups of coordination, and the ones below that each may import.
+# The groups of coordination, and the groups below from which each may import.
 GROUPS = {
     "members": frozenset(),
     "configuration": frozenset(),
@@ -21,7 +21,7 @@
     "jobs": frozenset({"queues", "places", "workers"}),
     "pools": frozenset({"places"}),
 }
-# What only the platform's pages call things so.
+# Names that only the platform's interface uses.
 WIRE_NAMES = (
     "fencing_token",
     "run-start",
@@ -39,7 +39,7 @@
 
 
 def list_modules(path: Path) -> Iterator[str]:
-    """Yield the names that a module imports."""
+    """Yield the full names that a module imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         names = []
         if isinstance(node, ast.ImportFrom) and node.module:
@@ -50,7 +50,7 @@
 
 
 def list_imports(path: Path) -> Iterator[str]:
-    """Yield the first part below the package of each import in a module."""
+    """Yield the layer or root module of each import in a module, or ``standins``."""
     for name in list_modules(path):
         if name.startswith("damaskdeck."):
             yield name.split(".")[1]
@@ -59,14 +59,14 @@
 
 
 def list_groups(path: Path) -> Iterator[str]:
-    """Yield the groups of coordination that a module imports from."""
+    """Yield the groups of coordination from which a module imports."""
     for name in list_modules(path):
         if name.startswith("damaskdeck.coordination."):
             yield name.split(".")[2]
 
 
 class TestLayers(unittest.TestCase):
-    """The order of the layers, highest first, is transport to protocol."""
+    """The layers from highest to lowest are those of ``LAYERS``."""
 
     def test_no_layer_imports_a_higher_one(self):
         for depth, layer in enumerate(LAYERS):
@@ -79,7 +79,7 @@
                 found = forbidden.intersection(list_imports(path))
                 self.assertEqual(found, set(), path.name)
 
-    def test_groups_of_coordination_import_only_what_stands_below(self):
+    def test_groups_of_coordination_only_import_from_groups_below(self):
         folder = PACKAGE / "coordination"
         self.assertEqual([p.name for p in folder.glob("*.py")], ["__init__.py"])
         found = {p.name for p in folder.iterdir() if p.name in GROUPS}
@@ -89,18 +89,18 @@
                 others = set(list_groups(path)) - {group} - allowed
                 self.assertEqual(others, set(), path.name)
 
-    def test_layers_below_coordination_know_no_adapter(self):
+    def test_root_modules_import_no_adapter(self):
         for path in PACKAGE.glob("*.py"):
             if path.stem not in EDGES:
                 found = set(list_imports(path)).intersection(ADAPTERS)
                 self.assertEqual(found, set(), path.name)
 
-    def test_the_platform_adapter_knows_no_other_adapter(self):
+    def test_the_platform_adapter_imports_no_other_adapter(self):
         for path in (PACKAGE / "platform").glob("*.py"):
             found = set(list_imports(path)).intersection({"transport", *EDGES})
             self.assertEqual(found, set(), path.name)
 
-    def test_names_of_the_wire_stand_in_the_adapter_alone(self):
+    def test_names_of_the_platform_interface_are_only_in_its_adapter(self):
         for path in PACKAGE.rglob("*.py"):
             if (PACKAGE / "platform") in path.parents:
                 continue
@@ -108,7 +108,7 @@
             found = [name for name in WIRE_NAMES if name in text]
             self.assertEqual(found, [], path.name)
 
-    def test_a_store_call_is_counted_in_the_adapter_alone(self):
+    def test_store_calls_are_only_counted_in_the_adapters(self):
         callers = [
             path.relative_to(PACKAGE).as_posix()
             for path in sorted(PACKAGE.rglob("*.py"))
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -1,4 +1,4 @@
-"""The page of proofs names tests that exist."""
+"""Tests that the classes named on the page of proofs exist."""
 
 import importlib
 import re
@@ -10,7 +10,7 @@
 
 
 class TestProofs(unittest.TestCase):
-    """Every test that the page names can be run."""
+    """Every test class that the page names can be loaded and has tests."""
 
     def test_each_named_class_exists_and_has_tests(self):
         named = NAMED_TEST.findall(PAGE.read_text())
