--- a/src/damaskdeck/coordination/places/__init__.py
+++ b/src/damaskdeck/coordination/places/__init__.py
@@ -1,1 +1,1 @@
-"""Where tasks go: filters, scores, room, quarantine."""
+"""Placement of tasks: filters, scores, capacity, preemption and quarantine."""
--- a/src/damaskdeck/coordination/places/allocator.py
+++ b/src/damaskdeck/coordination/places/allocator.py
@@ -1,4 +1,7 @@
-"""Room on the workers of one owner: placement, holds, preemption, quarantine."""
+"""Allocation of the capacity of one owner's workers.
+
+It combines placement, holds, preemption, gang reservations and quarantine.
+"""
 
 from collections.abc import Callable, Collection, Iterable, Mapping
 from datetime import timedelta
@@ -8,7 +11,7 @@
 from damaskdeck.coordination.places.estimates import Estimates
 from damaskdeck.coordination.places.failures import FailureHistory
 from damaskdeck.coordination.places.filters import Predicate
-from damaskdeck.coordination.places.gangrooms import GangRooms
+from damaskdeck.coordination.places.gangreservations import GangReservations
 from damaskdeck.coordination.places.placement import Impossible, Placed, Placer
 from damaskdeck.coordination.places.preemption import (
     CLAIMED,
@@ -17,7 +20,7 @@
     Victims,
 )
 from damaskdeck.coordination.places.quarantine import Quarantine
-from damaskdeck.coordination.places.relief import Relief
+from damaskdeck.coordination.places.relief import PressureRelief
 from damaskdeck.coordination.queues.pressure import PressureAction
 from damaskdeck.metrics import count_refusal
 from damaskdeck.protocol.jobs import ReservationRequest, SizeData, TaskAttempt
@@ -32,32 +35,32 @@
     WorkerAccounts,
 )
 
-HOLD_LIMIT = timedelta(seconds=10)
-CLAIM_LIMIT = timedelta(seconds=5)
-# What a task is reckoned to run when neither learnt nor declared.
-UNKNOWN_RUN_TIME = timedelta(minutes=30)
-# Tasks of services don't end.
-ENDLESS = timedelta(days=366)
+HOLD_TTL = timedelta(seconds=10)
+CLAIM_TTL = timedelta(seconds=5)
+# Assumed run time of a task if none has been learned or declared.
+DEFAULT_RUN_TIME = timedelta(minutes=30)
+# Tasks of services don't end by themselves.
+SERVICE_RUN_TIME = timedelta(days=366)
 
-Stop = Callable[[str, str, bool], None]
+StopTask = Callable[[str, str, bool], None]
 
 
 class Hold(NamedTuple):
-    """Room was set aside on ``worker``."""
+    """Capacity is held for an attempt on ``worker``."""
 
     worker: str
 
 
 class CapacityAllocator:
-    """Decides who gets room on the workers that this daemon owns.
+    """Assigns the capacity of the workers that this daemon owns to tasks.
 
-    Promise: "No instance is given more work than its processors, memory, or
+    It upholds "No instance is given more work than its processors, memory, or
     accelerators can hold."
 
-    :param stop: ``stop(worker, task, checkpoint)`` stops a task to make room.
+    :param stop: ``stop(worker, task, checkpoint)`` preempts a task.
     """
 
-    def __init__(self, accounts: WorkerAccounts, clock: Clock, stop: Stop) -> None:
+    def __init__(self, accounts: WorkerAccounts, clock: Clock, stop: StopTask) -> None:
         self._accounts = accounts
         self._clock = clock
         self._stop = stop
@@ -67,112 +70,124 @@
             accounts, clock, self._budget, find_refusal=self._placer.find_refusal
         )
         self._estimates = Estimates()
-        self._relief = Relief(accounts)
+        self._relief = PressureRelief(accounts)
         self._quarantine = Quarantine(clock, FailureHistory())
         self._claims: dict[str, timedelta] = {}
-        self._begun: dict[str, timedelta] = {}
-        self._gangs = GangRooms(
+        self._confirmed_at: dict[str, timedelta] = {}
+        self._gang_reservations = GangReservations(
             accounts, clock, self._estimate_run_time, self._placer.find_refusal
         )
         self._placer.add_filter(CLAIMED, self._preemptor.prepare_claims)
         self._placer.add_filter("quarantined", self._prepare_quarantine)
-        self._placer.add_filter("planned", self._gangs.prepare)
+        self._placer.add_filter("planned", self._gang_reservations.prepare)
 
     def set_weights(self, weights: Mapping[str, float]) -> None:
-        """Place by other weights of the scores from now on."""
+        """Replace the weights of the scores."""
         self._placer.set_weights(weights)
 
     def hold(self, request: ReservationRequest) -> Hold | str:
-        """Set room aside for an attempt, or return why not.
+        """Hold capacity for an attempt, or return the code of the refusal.
 
-        A hold that was asked for before is given up: its answer was lost.
+        An earlier hold of the task is released first, because its answer must have
+        been lost.
         """
-        self._give_up(request["task"])
+        self._release_hold(request["task"])
         need = self._make_need(request)
         gang = request.get("gang")
         if gang is not None and not gang["index"]:
-            self._gangs.ask(need, gang)
-        found = self._placer.place(need)
-        if isinstance(found, Impossible):
+            self._gang_reservations.reserve(need, gang)
+        placement = self._placer.place(need)
+        if isinstance(placement, Impossible):
             need = need._replace(size=read_size(request["size"]))
-            found = self._placer.place(need)
-        if not isinstance(found, Placed) and need.avoid and request.get("is_pressed"):
-            found = self._placer.place(need._replace(avoid=frozenset()))
-        if not isinstance(found, Placed):
-            code = self._make_room(need)
-            is_kept = gang is not None and self._gangs.covers(need.task, gang)
-            return "room_kept" if is_kept and code == "no_room" else code
-        deadline = self._clock.monotonic() + HOLD_LIMIT
-        outcome = self._accounts.reserve(need, found.worker, deadline)
+            placement = self._placer.place(need)
+        if (
+            not isinstance(placement, Placed)
+            and need.avoid
+            and request.get("is_pressed")
+        ):
+            placement = self._placer.place(need._replace(avoid=frozenset()))
+        if not isinstance(placement, Placed):
+            code = self._preempt_for(need)
+            is_reserved = gang is not None and self._gang_reservations.covers(
+                need.task, gang
+            )
+            return "room_kept" if is_reserved and code == "no_room" else code
+        deadline = self._clock.monotonic() + HOLD_TTL
+        outcome = self._accounts.reserve(need, placement.worker, deadline)
         if not isinstance(outcome, Reserved):
             return "already_reserved"
         self._drop_claim(need.task)
-        self._quarantine.record_start(found.worker, need.task)
-        self._gangs.record_start(need, found.worker)
-        return Hold(found.worker)
+        self._quarantine.record_start(placement.worker, need.task)
+        self._gang_reservations.record_start(need, placement.worker)
+        return Hold(placement.worker)
 
     def confirm(self, task: str, worker: str) -> bool:
-        """Turn a hold into a lasting reservation; false once it has ended."""
-        isolated = self._accounts.find(task)
-        if isolated is None or isolated.worker != worker:
+        """Turn a hold into a permanent reservation.
+
+        :returns: ``False`` if the hold has expired or is on another worker.
+        """
+        reservation = self._accounts.find(task)
+        if reservation is None or reservation.worker != worker:
             return False
         now = self._clock.monotonic()
         if not self._accounts.confirm(task, now):
             return False
-        self._begun[task] = now
-        self._gangs.drop(task)
+        self._confirmed_at[task] = now
+        self._gang_reservations.release(task)
         return True
 
     def release_hold(self, task: str) -> None:
-        """Let go of a hold, or of room that is kept for the task's gang.
+        """Release a hold, or the reservation of the task's gang.
 
-        What was started keeps its room.
+        A task that was started keeps its capacity.
         """
         if self._accounts.find(task) is None:
-            self._gangs.drop(task)
-        self._give_up(task)
+            self._gang_reservations.release(task)
+        self._release_hold(task)
 
-    def _give_up(self, task: str) -> None:
-        isolated = self._accounts.find(task)
-        if isolated is not None and isolated.deadline is not None:
+    def _release_hold(self, task: str) -> None:
+        reservation = self._accounts.find(task)
+        if reservation is not None and reservation.deadline is not None:
             self._accounts.release(task)
-            self._quarantine.record_end(isolated.worker, "", "", task, None)
+            self._quarantine.record_end(reservation.worker, "", "", task, None)
 
     def expire(self) -> None:
-        """End holds, claims and kept room whose time has come."""
+        """End the holds, claims and gang reservations that have expired."""
         now = self._clock.monotonic()
-        self._gangs.expire()
-        for isolated in self._accounts.expire(now):
+        self._gang_reservations.expire()
+        for reservation in self._accounts.expire(now):
             self._quarantine.record_end(
-                isolated.worker, "", "", isolated.need.task, None
+                reservation.worker, "", "", reservation.need.task, None
             )
         for task in [task for task, until in self._claims.items() if until <= now]:
             self._drop_claim(task)
 
     def find_reserved_gang(self) -> str:
-        """Return the job of the gang that room is kept for, else nothing."""
-        return self._gangs.job
+        """Return the job of the gang that capacity is reserved for, or ``""``."""
+        return self._gang_reservations.job
 
     def set_workers(self, workers: Iterable[str]) -> None:
-        """Note which workers are owned."""
+        """Set the owned workers."""
         self._quarantine.set_fleet(frozenset(workers))
 
     def observe(self, worker: str, usage: Collection[Usage]) -> list[PressureAction]:
-        """Learn from what tasks were seen to use, and choose what to relieve."""
+        """Record the reported usage of tasks and choose actions against pressure."""
         for item in usage:
             workload = parse_workload_name(item.task)
             self._estimates.observe_use(workload, item.task, item.size)
         return self._relief.choose(worker, usage)
 
     def list_movable(self, worker: str) -> list[tuple[str, bool]]:
-        """List tasks that lose nothing by moving: checkpointable ones, services.
+        """Return the tasks that lose no work when moved.
 
-        :returns: each with whether it can be checkpointed.
+        These are checkpointable tasks and idempotent replicas of services.
+
+        :returns: each task with whether it can be checkpointed.
         """
         account = self._accounts.workers.get(worker)
         if account is None:
             return []
-        needs = [isolated.need for isolated in account.reservations.values()]
+        needs = [reservation.need for reservation in account.reservations.values()]
         return [
             (need.task, need.checkpoint)
             for need in needs
@@ -180,32 +195,36 @@
         ]
 
     def record_end(self, worker: str, task: str, state: str) -> None:
-        """Note that an attempt has ended, and learn from it."""
+        """Record the end of an attempt and update the estimates and quarantine."""
         self._preemptor.record_end(task)
-        self._relief.forget(task)
+        self._relief.discard(task)
         workload = parse_workload_name(task)
-        begun = self._begun.pop(task, None)
-        is_whole = begun is not None and state == "succeeded"
-        run_time = self._clock.monotonic() - begun if is_whole else None
+        confirmed_at = self._confirmed_at.pop(task, None)
+        is_complete = confirmed_at is not None and state == "succeeded"
+        run_time = self._clock.monotonic() - confirmed_at if is_complete else None
         self._estimates.observe_end(workload, task, run_time)
         succeeded = {"succeeded": True, "failed": False}.get(state)
         job = parse_job_name(task)
         self._quarantine.record_end(worker, workload, job, task, succeeded)
 
     def update_adopted(self, item: TaskAttempt) -> None:
-        """Take over what a keeper says of a task that was adopted."""
-        isolated = self._accounts.find(item["task"])
-        if isolated is None or isolated.deadline is not None or "urgency" not in item:
+        """Update an adopted task by the description from its ledger owner."""
+        reservation = self._accounts.find(item["task"])
+        if (
+            reservation is None
+            or reservation.deadline is not None
+            or "urgency" not in item
+        ):
             return
-        need = isolated.need._replace(
+        need = reservation.need._replace(
             group=item.get("group", ""),
             urgency=Urgency(item["urgency"]),
             idempotent=item.get("idempotent", False),
             checkpoint=item.get("checkpoint", False),
         )
-        if need != isolated.need:
+        if need != reservation.need:
             self._accounts.release(need.task)
-            self._accounts.adopt(need, isolated.worker)
+            self._accounts.adopt(need, reservation.worker)
 
     def _make_need(self, request: ReservationRequest) -> TaskNeed:
         declared = read_size(request["size"])
@@ -225,13 +244,16 @@
 
     def _estimate_run_time(self, need: TaskNeed) -> timedelta:
         if need.group:
-            return ENDLESS
+            return SERVICE_RUN_TIME
         workload = parse_workload_name(need.task)
-        declared = need.run_time or UNKNOWN_RUN_TIME
+        declared = need.run_time or DEFAULT_RUN_TIME
         return self._estimates.estimate_run_time(workload, declared)
 
-    def _make_room(self, need: TaskNeed) -> str:
-        """Stop less urgent tasks for ``need``; it is to ask again."""
+    def _preempt_for(self, need: TaskNeed) -> str:
+        """Preempt less urgent tasks for ``need`` and return the code of the refusal.
+
+        With ``making_room``, the ledger owner is expected to repeat the request.
+        """
         victims = self._preemptor.choose(need)
         if not isinstance(victims, Victims):
             return "no_room"
@@ -242,7 +264,7 @@
         if victims.checkpointed or victims.stopped:
             count = len(victims.checkpointed) + len(victims.stopped)
             count_refusal("workers", "preempted", count)
-        self._claims[need.task] = self._clock.monotonic() + CLAIM_LIMIT
+        self._claims[need.task] = self._clock.monotonic() + CLAIM_TTL
         return "making_room"
 
     def _drop_claim(self, task: str) -> None:
@@ -260,5 +282,5 @@
 
 
 def read_size(size: SizeData) -> Size:
-    """Turn data of a message into a size."""
+    """Convert the size data of a message to a size."""
     return Size(size["millicores"], size["memory"], size["accelerators"])
--- a/src/damaskdeck/coordination/places/failures.py
+++ b/src/damaskdeck/coordination/places/failures.py
@@ -1,26 +1,32 @@
-"""Tells workers that fail everything from workloads that fail everywhere."""
+"""Distinguishes workers that fail every task from workloads that fail everywhere."""
 
 from collections import Counter, OrderedDict
 from datetime import timedelta
 from typing import TypeVar
 
-# Workers on which a workload fails, with no success since, until it is blamed.
-WORKLOAD_LIMIT = 3
-# Jobs that fail on a worker, with no success since, until it is blamed.
-JOB_LIMIT = 4
-# How long a success of a workload on another worker is held against a worker.
-SUCCESS_DURATION = timedelta(minutes=30)
-_JOBS_KEPT = 32
-_WORKERS_KEPT = 16
-_RECORDS_KEPT = 4096
+# A workload counts as failing once it has failed on this many workers without a
+# success since.
+FAILING_WORKER_LIMIT = 3
+# A worker counts as failing once this many jobs have failed on it. Each success
+# on the worker halves the count.
+FAILED_JOB_LIMIT = 4
+# How long a success of a workload on another worker counts as evidence against a
+# worker on which it fails.
+SUCCESS_MAX_AGE = timedelta(minutes=30)
+_MAX_JOBS_PER_WORKER = 32
+_MAX_WORKERS_PER_WORKLOAD = 16
+_MAX_RECORDS = 4096
 
 V = TypeVar("V")
 
 
 class _WorkloadRecord:
-    """Where a workload failed since its last success, and where it ran well.
+    """The workers on which a workload failed or succeeded.
 
-    ``failed_on`` tells of each worker whether it ran something well since.
+    :ivar failed_on: the workers on which it failed since its last success, each
+        with whether the worker has completed any task since.
+    :ivar succeeded_on: the workers on which it succeeded, each with the monotonic
+        time of the last success.
     """
 
     __slots__ = ("failed_on", "succeeded_on")
@@ -31,7 +37,7 @@
 
 
 class _WorkerRecord:
-    """The jobs that failed on a worker, and how many of each workload."""
+    """The jobs that failed on a worker, and their number by workload."""
 
     __slots__ = ("_jobs", "counts")
 
@@ -46,16 +52,16 @@
             return
         self._jobs[job] = workload
         self.counts[workload] += 1
-        if len(self._jobs) > _JOBS_KEPT:
-            self._drop_first()
+        if len(self._jobs) > _MAX_JOBS_PER_WORKER:
+            self._discard_oldest()
 
-    def halve(self) -> bool:
-        """Forget the older half; returns whether nothing is left."""
+    def discard_older_half(self) -> bool:
+        """Discard the older half; return whether no job is left."""
         for _ in range((len(self._jobs) + 1) // 2):
-            self._drop_first()
+            self._discard_oldest()
         return not self._jobs
 
-    def _drop_first(self) -> None:
+    def _discard_oldest(self) -> None:
         _, workload = self._jobs.popitem(last=False)
         self.counts[workload] -= 1
         if not self.counts[workload]:
@@ -63,87 +69,88 @@
 
 
 class FailureHistory:
-    """Remembers which jobs failed on which workers, in bounded memory.
+    """Records which jobs failed on which workers, in bounded memory.
 
-    A success anywhere clears its workload; a success on a worker takes away
-    half of what is held against that worker.
+    A success on any worker clears the failures of its workload. It also discards
+    the older half of the jobs that failed on its worker.
     """
 
     def __init__(self) -> None:
         self._workloads: OrderedDict[str, _WorkloadRecord] = OrderedDict()
         self._workers: OrderedDict[str, _WorkerRecord] = OrderedDict()
 
-    def note_failure(self, worker: str, workload: str, job: str) -> None:
-        """Count that a task of ``job`` failed on ``worker``."""
+    def record_failure(self, worker: str, workload: str, job: str) -> None:
+        """Record that a task of ``job`` failed on ``worker``."""
         failed_on = self._get_workload(workload).failed_on
-        _touch(failed_on, worker, failed_on.get(worker, False))
-        _trim(failed_on, _WORKERS_KEPT)
+        _move_to_end(failed_on, worker, failed_on.get(worker, False))
+        _evict_oldest(failed_on, _MAX_WORKERS_PER_WORKLOAD)
         record = self._workers.get(worker) or _WorkerRecord()
         record.add(job, workload)
-        _touch(self._workers, worker, record)
-        _trim(self._workers, _RECORDS_KEPT)
+        _move_to_end(self._workers, worker, record)
+        _evict_oldest(self._workers, _MAX_RECORDS)
 
-    def note_success(self, worker: str, workload: str, now: timedelta) -> None:
-        """Count that a task of ``workload`` ended well on ``worker``."""
+    def record_success(self, worker: str, workload: str, now: timedelta) -> None:
+        """Record that a task of ``workload`` succeeded on ``worker``."""
         record = self._get_workload(workload)
         record.failed_on.clear()
-        _touch(record.succeeded_on, worker, now)
-        _trim(record.succeeded_on, _WORKERS_KEPT)
+        _move_to_end(record.succeeded_on, worker, now)
+        _evict_oldest(record.succeeded_on, _MAX_WORKERS_PER_WORKLOAD)
         failed = self._workers.get(worker)
         if failed is None:
             return
         for other in failed.counts:
             if other in self._workloads and worker in self._workloads[other].failed_on:
                 self._workloads[other].failed_on[worker] = True
-        if failed.halve():
+        if failed.discard_older_half():
             del self._workers[worker]
 
     def is_workload_failing(
-        self, workload: str, doubted: frozenset[str] = frozenset()
+        self, workload: str, suspects: frozenset[str] = frozenset()
     ) -> bool:
-        """Tell whether a workload fails wherever it runs.
+        """Return whether a workload fails wherever it runs.
 
-        Failures on a worker that fails other workloads too, and ran nothing well
-        since, don't count.
+        Failures don't count on a worker that also fails other workloads and has
+        not completed any task since.
 
-        :param doubted: workers whose failures prove nothing, as those in
-            quarantine.
+        :param suspects: workers whose failures are no evidence against a
+            workload, for example those in quarantine.
         """
         record = self._workloads.get(workload)
-        if record is None or len(record.failed_on) < WORKLOAD_LIMIT:
+        if record is None or len(record.failed_on) < FAILING_WORKER_LIMIT:
             return False
-        proofs = (
-            worker not in doubted and (is_proved or self._fails_only(worker, workload))
-            for worker, is_proved in record.failed_on.items()
+        evidence = (
+            worker not in suspects
+            and (has_succeeded or self._fails_only(worker, workload))
+            for worker, has_succeeded in record.failed_on.items()
         )
-        return sum(proofs) >= WORKLOAD_LIMIT
+        return sum(evidence) >= FAILING_WORKER_LIMIT
 
     def count_evidence(
-        self, worker: str, now: timedelta, doubted: frozenset[str] = frozenset()
+        self, worker: str, now: timedelta, suspects: frozenset[str] = frozenset()
     ) -> int:
-        """Count the failed jobs that speak against a worker.
+        """Return the number of failed jobs that are evidence against a worker.
 
-        Jobs of a workload that fails everywhere don't count. Where it isn't
-        known to run well on other workers, its jobs count as one.
+        Jobs of a workload that fails everywhere don't count. If the workload is
+        not known to succeed on other workers, its jobs count as one.
         """
         record = self._workers.get(worker)
         if record is None:
             return 0
         evidence = 0
         for workload, count in record.counts.items():
-            if not self.is_workload_failing(workload, doubted):
-                proved = self._ran_elsewhere(workload, worker, now)
-                evidence += count if proved else 1
+            if not self.is_workload_failing(workload, suspects):
+                ran_elsewhere = self._ran_elsewhere(workload, worker, now)
+                evidence += count if ran_elsewhere else 1
         return evidence
 
     def is_worker_failing(
-        self, worker: str, now: timedelta, doubted: frozenset[str] = frozenset()
+        self, worker: str, now: timedelta, suspects: frozenset[str] = frozenset()
     ) -> bool:
-        """Tell whether a worker fails whatever it starts."""
-        return self.count_evidence(worker, now, doubted) >= JOB_LIMIT
+        """Return whether a worker fails every task that it starts."""
+        return self.count_evidence(worker, now, suspects) >= FAILED_JOB_LIMIT
 
-    def forget_worker(self, worker: str) -> None:
-        """Forget what is held against a worker."""
+    def clear_worker(self, worker: str) -> None:
+        """Remove the evidence against a worker."""
         self._workers.pop(worker, None)
 
     def _fails_only(self, worker: str, workload: str) -> bool:
@@ -155,24 +162,24 @@
         if record is None:
             return False
         return any(
-            other != worker and now - time <= SUCCESS_DURATION
+            other != worker and now - time <= SUCCESS_MAX_AGE
             for other, time in record.succeeded_on.items()
         )
 
     def _get_workload(self, workload: str) -> _WorkloadRecord:
         record = self._workloads.get(workload) or _WorkloadRecord()
-        _touch(self._workloads, workload, record)
-        _trim(self._workloads, _RECORDS_KEPT)
+        _move_to_end(self._workloads, workload, record)
+        _evict_oldest(self._workloads, _MAX_RECORDS)
         return record
 
 
-def _touch(memory: OrderedDict[str, V], key: str, value: V) -> None:
-    """Put ``key`` last."""
-    memory[key] = value
-    memory.move_to_end(key)
+def _move_to_end(entries: OrderedDict[str, V], key: str, value: V) -> None:
+    """Store ``value`` under ``key`` as the most recent entry."""
+    entries[key] = value
+    entries.move_to_end(key)
 
 
-def _trim(memory: OrderedDict[str, V], limit: int) -> None:
-    """Drop the first ones above ``limit``."""
-    while len(memory) > limit:
-        memory.popitem(last=False)
+def _evict_oldest(entries: OrderedDict[str, V], limit: int) -> None:
+    """Evict the oldest entries above ``limit``."""
+    while len(entries) > limit:
+        entries.popitem(last=False)
--- a/src/damaskdeck/coordination/places/filters.py
+++ b/src/damaskdeck/coordination/places/filters.py
@@ -1,4 +1,4 @@
-"""Filters: which workers may take a task at all."""
+"""Filters, which decide whether a worker may run a task at all."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -13,9 +13,10 @@
 class Filter(NamedTuple):
     """A registered filter.
 
-    :param prepare: returns the predicate for a need, or ``None`` when the
-        filter has nothing to say about it.
-    :param is_indexed: whether the index yields only workers that pass.
+    :param name: the code that a refusal by this filter carries.
+    :param prepare: returns the predicate for a need, or ``None`` if the filter
+        doesn't apply to it.
+    :param is_indexed: whether the worker index yields only workers that pass.
     """
 
     name: str
@@ -26,8 +27,11 @@
 _filters: dict[str, Filter] = {}
 
 
-def filter_(name: str, indexed: bool = False) -> Callable[[Prepare], Prepare]:
-    """Register a filter under the code that a refusal by it carries."""
+def register_filter(name: str, indexed: bool = False) -> Callable[[Prepare], Prepare]:
+    """Register a filter under the code that its refusals carry.
+
+    :raises ValueError: if the name is already registered.
+    """
 
     def register(prepare: Prepare) -> Prepare:
         if name in _filters:
@@ -39,7 +43,7 @@
 
 
 def list_filters() -> tuple[Filter, ...]:
-    """List all filters in the order in which they were registered."""
+    """Return all filters in the order of their registration."""
     return tuple(_filters.values())
 
 
@@ -52,34 +56,34 @@
     return None
 
 
-@filter_("leaving", indexed=True)
+@register_filter("leaving", indexed=True)
 def prepare_leaving(need: TaskNeed) -> Predicate | None:
     """Refuse workers that are leaving."""
     return lambda account: account.closed != "leaving"
 
 
-@filter_("quarantined", indexed=True)
+@register_filter("quarantined", indexed=True)
 def prepare_quarantined(need: TaskNeed) -> Predicate | None:
-    """Refuse workers closed for any other reason, as being quarantined."""
+    """Refuse workers closed for any other reason, such as quarantine."""
     return lambda account: account.closed in ("", "leaving")
 
 
-@filter_("zone", indexed=True)
+@register_filter("zone", indexed=True)
 def prepare_zone(need: TaskNeed) -> Predicate | None:
     """Refuse workers outside the allowed availability zones."""
     zones = need.zones
     return (lambda account: account.instance.zone in zones) if zones else None
 
 
-@filter_("avoided")
+@register_filter("avoided")
 def prepare_avoided(need: TaskNeed) -> Predicate | None:
-    """Refuse workers on which the task was seen failing."""
+    """Refuse workers on which the task has failed."""
     avoid = need.avoid
     return (lambda account: account.name not in avoid) if avoid else None
 
 
-@filter_("fits", indexed=True)
+@register_filter("fits", indexed=True)
 def prepare_fits(need: TaskNeed) -> Predicate | None:
-    """Refuse workers without room in some dimension."""
+    """Refuse workers without enough free capacity in some dimension."""
     size = need.size
     return lambda account: fits(size, account.free)
--- a/src/damaskdeck/coordination/places/index.py
+++ b/src/damaskdeck/coordination/places/index.py
@@ -1,9 +1,9 @@
-"""An index of workers by what they have free, so that best fit needs no scan.
+"""An index of workers by free capacity, so that best fit needs no full scan.
 
-Workers stand in cells of a grid: free processors by free memory, in steps of
-about a quarter of an octave, one grid for each number of free accelerators. Bit
-masks tell which cells are in use, so that the search for the tightest cells
-costs the same whatever the number of workers.
+Workers are stored in the cells of a grid, free processors by free memory, in
+steps of about a quarter of an octave. There is one grid for each number of free
+accelerators. Bit masks mark the cells in use, so the cost of finding the tightest
+cells doesn't depend on the number of workers.
 """
 
 from collections.abc import Iterable, Iterator, Sequence
@@ -15,15 +15,17 @@
 from damaskdeck.state.workeraccounts import TaskNeed, WorkerAccount, WorkerAccounts
 
 ANY_ZONE = ""
-_CELL_SAMPLE = 4
-_ROWS_AT_ONCE = 5
-_RACK_SAMPLE = 2
-_RACK_SCAN = 64
-# A group's next task is offered workers of so many zones.
+_WORKERS_PER_CELL = 4
+_ROWS_PER_BATCH = 5
+_WORKERS_PER_RACK = 2
+_RACK_SCAN_LIMIT = 64
+# Number of availability zones considered for the next task of a group.
 _SPREAD_ZONES = 2
 
 
-class _Place(NamedTuple):
+class _GridPosition(NamedTuple):
+    """The grid and the cell that hold a worker."""
+
     zone: str
     is_accelerated: bool
     accelerators: int
@@ -32,7 +34,13 @@
 
 
 class _Grid:
-    """Workers with the same number of free accelerators."""
+    """Workers with the same number of free accelerators.
+
+    :ivar cells: workers by row and column, that is by the levels of their free
+        processors and memory.
+    :ivar columns: by row, a bit mask of the columns in use.
+    :ivar rows: a bit mask of the rows in use.
+    """
 
     __slots__ = ("cells", "columns", "rows")
 
@@ -63,18 +71,20 @@
     def iterate_cells(
         self, row: int, column: int, is_thorough: bool
     ) -> Iterator[tuple[int, int]]:
-        """Yield cells from ``row`` and ``column`` on, the tightest of some rows first.
+        """Yield cells from ``row`` and ``column`` on, the tightest of a batch first.
 
-        :param is_thorough: whether to yield all cells, not only those of a row up
-            to the first in which every worker has room.
+        :param is_thorough: whether to yield all cells. Otherwise, each row ends
+            with its first cell in which every worker has enough capacity.
         """
         rows = self.rows >> row << row
         while rows:
             found = []
-            for _ in range(_ROWS_AT_ONCE):
-                low = rows & -rows
-                rows ^= low
-                found += self._list_row(low.bit_length() - 1, row, column, is_thorough)
+            for _ in range(_ROWS_PER_BATCH):
+                lowest = rows & -rows
+                rows ^= lowest
+                found += self._list_row(
+                    lowest.bit_length() - 1, row, column, is_thorough
+                )
                 if not rows:
                     break
             found.sort()
@@ -87,9 +97,9 @@
         found = []
         columns = self.columns[at] >> column << column
         while columns:
-            low = columns & -columns
-            columns ^= low
-            cell_column = low.bit_length() - 1
+            lowest = columns & -columns
+            columns ^= lowest
+            cell_column = lowest.bit_length() - 1
             found.append((at + cell_column, at, cell_column))
             if at > row and cell_column > column and not is_thorough:
                 break
@@ -97,32 +107,33 @@
 
 
 class WorkerIndex:
-    """The open workers of some accounts, by zone and free size.
+    """The open workers of some accounts, by availability zone and free capacity.
 
-    :param accounts: followed from now on.
+    :param accounts: the index subscribes to their changes.
     """
 
     def __init__(self, accounts: WorkerAccounts) -> None:
         self._grids: dict[str, tuple[dict[int, _Grid], dict[int, _Grid]]] = {}
-        self._places: dict[str, _Place] = {}
-        self._shapes: dict[tuple[str, Size], int] = {}
-        self._shape_of: dict[str, tuple[str, Size]] = {}
+        self._positions: dict[str, _GridPosition] = {}
+        self._shape_counts: dict[tuple[str, Size], int] = {}
+        self._worker_shapes: dict[str, tuple[str, Size]] = {}
         self._accounts = accounts
-        accounts.subscribe(self._update)
+        accounts.subscribe(self._handle_account)
 
     def find_candidates(
         self,
         need: TaskNeed,
         limit: int,
         predicates: Sequence[Predicate] = (),
-        mix_classes: bool = False,
+        include_accelerated: bool = False,
     ) -> list[WorkerAccount]:
-        """List open workers that can hold ``need``, roughly the tightest first.
+        """Return open workers that can hold ``need``, roughly the tightest first.
 
-        :param limit: about how many workers to list of each class and zone.
-        :param predicates: that workers must pass besides.
-        :param mix_classes: for needs without accelerators, list workers that
-            have some even when there are others.
+        :param limit: approximate number of workers from each zone, separately for
+            workers with and without accelerators.
+        :param predicates: additional conditions that workers must meet.
+        :param include_accelerated: for needs without accelerators, include workers
+            with accelerators even if there are others.
         """
         found: list[WorkerAccount] = []
         found_zones = 0
@@ -133,15 +144,15 @@
             before = len(found)
             for is_accelerated in (True,) if need.size[2] else (False, True):
                 found += self._search(classes[is_accelerated], need, limit, predicates)
-                if len(found) > before and not mix_classes:
+                if len(found) > before and not include_accelerated:
                     break
             found_zones += len(found) > before
             if found_zones == _SPREAD_ZONES:
                 break
         return found
 
-    def name_lack(self, need: TaskNeed) -> str:
-        """Name a dimension that all open workers allowed to ``need`` lack."""
+    def find_lacking_dimension(self, need: TaskNeed) -> str:
+        """Return a dimension that is short on all open workers allowed for ``need``."""
         lack = "accelerators" if need.size[2] else "workers"
         row = get_level(need.size[0])
         for zone in self._list_zones(need):
@@ -156,12 +167,12 @@
         return lack
 
     def find_impossible_dimension(self, need: TaskNeed) -> str | None:
-        """Name the dimension for which no worker, even if empty, holds ``need``.
+        """Return the dimension in which ``need`` exceeds every worker, even if empty.
 
-        :returns: ``None`` when some worker could, or when none is known.
+        :returns: ``None`` if some worker could hold it or no worker is known.
         """
         shortfalls = []
-        for zone, size in self._shapes:
+        for zone, size in self._shape_counts:
             if need.zones and zone not in need.zones:
                 continue
             shortfall = find_exceeded_dimension(need.size, size)
@@ -169,14 +180,14 @@
                 return None
             shortfalls.append((size, shortfall))
         if not shortfalls:
-            return "zone" if self._shapes else None
+            return "zone" if self._shape_counts else None
         for index, name in enumerate(Size._fields):
             if all(need.size[index] > size[index] for size, _ in shortfalls):
                 return name
         return max(shortfalls)[1]
 
     def _list_zones(self, need: TaskNeed) -> Iterable[str]:
-        """List zones to search, those that spread and affinity prefer first."""
+        """Return the zones to search, those preferred by affinity and spread first."""
         if not (need.zones or need.group or need.near):
             return (ANY_ZONE,)
         zones = need.zones or self._grids.keys() - {ANY_ZONE}
@@ -192,26 +203,28 @@
         limit: int,
         predicates: Sequence[Predicate],
     ) -> list[WorkerAccount]:
-        """List workers of one class; a group's from as many racks as possible."""
+        """Search workers with or without accelerators; for a group, over many racks."""
         if not need.group:
-            return _search_cells(grids, need.size, limit, predicates, _CELL_SAMPLE)
-        found = _search_cells(grids, need.size, _RACK_SCAN, predicates, None)
+            return _search_cells(grids, need.size, limit, predicates, _WORKERS_PER_CELL)
+        found = _search_cells(grids, need.size, _RACK_SCAN_LIMIT, predicates, None)
         return list(islice(_limit_racks(found), limit))
 
-    def _update(self, account: WorkerAccount, is_present: bool) -> None:
-        place = (
-            self._choose_route(account) if is_present and not account.closed else None
+    def _handle_account(self, account: WorkerAccount, is_present: bool) -> None:
+        position = (
+            self._compute_position(account)
+            if is_present and not account.closed
+            else None
         )
-        former = self._places.get(account.name)
-        if place != former:
-            self._move(account, former, place)
-        shape = self._shape_of.get(account.name)
+        previous = self._positions.get(account.name)
+        if position != previous:
+            self._move_worker(account, previous, position)
+        shape = self._worker_shapes.get(account.name)
         if not is_present or shape != (account.instance.zone, account.size):
-            self._change_shape(account, is_present)
+            self._update_shape(account, is_present)
 
-    def _choose_route(self, account: WorkerAccount) -> _Place:
+    def _compute_position(self, account: WorkerAccount) -> _GridPosition:
         millicores, memory, accelerators = account.free
-        return _Place(
+        return _GridPosition(
             account.instance.zone,
             account.size[2] > 0,
             accelerators,
@@ -219,34 +232,37 @@
             get_level(memory),
         )
 
-    def _move(
-        self, account: WorkerAccount, former: _Place | None, place: _Place | None
+    def _move_worker(
+        self,
+        account: WorkerAccount,
+        previous: _GridPosition | None,
+        position: _GridPosition | None,
     ) -> None:
-        if former is not None:
-            for zone in (ANY_ZONE, former.zone):
-                grids = self._grids[zone][former.is_accelerated]
-                grid = grids[former.accelerators]
-                grid.remove(former.row, former.column, account.name)
+        if previous is not None:
+            for zone in (ANY_ZONE, previous.zone):
+                grids = self._grids[zone][previous.is_accelerated]
+                grid = grids[previous.accelerators]
+                grid.remove(previous.row, previous.column, account.name)
                 if not grid.rows:
-                    del grids[former.accelerators]
-            del self._places[account.name]
-        if place is not None:
-            for zone in (ANY_ZONE, place.zone):
-                grids = self._grids.setdefault(zone, ({}, {}))[place.is_accelerated]
-                grid = grids.setdefault(place.accelerators, _Grid())
-                grid.add(place.row, place.column, account)
-            self._places[account.name] = place
-
-    def _change_shape(self, account: WorkerAccount, is_present: bool) -> None:
-        former = self._shape_of.pop(account.name, None)
-        if former is not None:
-            self._shapes[former] -= 1
-            if not self._shapes[former]:
-                del self._shapes[former]
+                    del grids[previous.accelerators]
+            del self._positions[account.name]
+        if position is not None:
+            for zone in (ANY_ZONE, position.zone):
+                grids = self._grids.setdefault(zone, ({}, {}))[position.is_accelerated]
+                grid = grids.setdefault(position.accelerators, _Grid())
+                grid.add(position.row, position.column, account)
+            self._positions[account.name] = position
+
+    def _update_shape(self, account: WorkerAccount, is_present: bool) -> None:
+        previous = self._worker_shapes.pop(account.name, None)
+        if previous is not None:
+            self._shape_counts[previous] -= 1
+            if not self._shape_counts[previous]:
+                del self._shape_counts[previous]
         if is_present:
             shape = (account.instance.zone, account.size)
-            self._shapes[shape] = self._shapes.get(shape, 0) + 1
-            self._shape_of[account.name] = shape
+            self._shape_counts[shape] = self._shape_counts.get(shape, 0) + 1
+            self._worker_shapes[account.name] = shape
 
 
 def _search_cells(
@@ -254,11 +270,12 @@
     size: Size,
     limit: int,
     predicates: Sequence[Predicate],
-    sample: int | None,
+    cell_limit: int | None,
 ) -> list[WorkerAccount]:
     row, column = get_level(size[0]), get_level(size[1])
     found: list[WorkerAccount] = []
-    # Filters seldom refuse all of the nearest cells; only then look at the rest.
+    # Filters rarely refuse all workers of the nearest cells. The other cells are
+    # searched only in that case.
     for is_thorough in (False, True) if predicates else (False,):
         for accelerators in sorted(grids):
             if accelerators < size[2]:
@@ -267,9 +284,11 @@
             for cell in grid.iterate_cells(row, column, is_thorough):
                 accounts = grid.cells[cell].values()
                 if predicates or cell[0] == row or cell[1] == column:
-                    found += islice(_pick(accounts, size, predicates), sample)
+                    found += islice(
+                        _select_fitting(accounts, size, predicates), cell_limit
+                    )
                 else:
-                    found += islice(accounts, sample)
+                    found += islice(accounts, cell_limit)
                 if len(found) >= limit:
                     return found
         if found:
@@ -277,7 +296,7 @@
     return found
 
 
-def _pick(
+def _select_fitting(
     accounts: Iterable[WorkerAccount], size: Size, predicates: Sequence[Predicate]
 ) -> Iterator[WorkerAccount]:
     millicores, memory, _ = size
@@ -293,16 +312,16 @@
 
 
 def _limit_racks(accounts: Iterable[WorkerAccount]) -> Iterator[WorkerAccount]:
-    seen: dict[str, int] = {}
+    counts: dict[str, int] = {}
     for account in accounts:
         rack = account.instance.rack
-        seen[rack] = seen.get(rack, 0) + 1
-        if seen[rack] <= _RACK_SAMPLE:
+        counts[rack] = counts.get(rack, 0) + 1
+        if counts[rack] <= _WORKERS_PER_RACK:
             yield account
 
 
 def get_level(amount: int) -> int:
-    """Return the step of ``amount`` on a scale with four steps for each octave."""
+    """Return the level of ``amount`` on a scale with four levels for each octave."""
     length = amount.bit_length()
     if length < 3:
         return amount
--- a/src/damaskdeck/coordination/places/preemption.py
+++ b/src/damaskdeck/coordination/places/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: which running tasks make room for more urgent work."""
+"""Preemption: chooses running tasks to stop in favor of more urgent ones."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Sequence
@@ -20,13 +20,13 @@
 
 RANKS = {urgency: rank for rank, urgency in enumerate(Urgency)}
 
-# Core-seconds that a checkpoint is reckoned to lose.
-_CHECKPOINT_LOSS = 1.0
-# How many workers are looked at for one task, and how many that would do.
-_LOOKED_AT = 64
-_ENOUGH = 8
+# Estimated loss of work by a checkpoint, in seconds of each core of the task.
+_CHECKPOINT_LOSS_SECONDS = 1.0
+# Limits of the search for one task: workers examined, and suitable workers found.
+_MAX_WORKERS_SCANNED = 64
+_MAX_CANDIDATES = 8
 
-# Name of the filter that keeps claimed room, in a placer.
+# Name of the filter that protects claimed capacity, in a placer.
 CLAIMED = "claimed"
 
 FindRefusal = Callable[[TaskNeed, WorkerAccount], str | None]
@@ -34,11 +34,11 @@
 
 
 class Victims(NamedTuple):
-    """Tasks of a worker whose end makes room.
+    """Tasks of one worker to preempt.
 
-    :param checkpointed: to be checkpointed and stopped.
-    :param stopped: to be stopped; they are idempotent and run again.
-    :param lost: work lost by it, in core-seconds.
+    :param checkpointed: tasks to checkpoint and stop.
+    :param stopped: tasks to stop; they are idempotent and run again later.
+    :param lost: the work lost by stopping them, in core-seconds.
     """
 
     worker: str
@@ -48,25 +48,30 @@
 
 
 class NoVictims(NamedTuple):
-    """No worker can be cleared; ``code`` says why."""
+    """No tasks can be preempted.
+
+    :param code: the reason, ``no_victims`` or ``budget``.
+    """
 
     code: str
 
 
 class Claim(NamedTuple):
-    """A part of a worker that is claimed, or will be free."""
+    """Capacity of a worker that is claimed for a task, or that a victim will free."""
 
     worker: str
     size: Size
 
 
 class PreemptionBudget:
-    """Bounds preemption, so that it never spreads from task to task.
+    """Limits preemption, so that it doesn't cascade from task to task.
+
+    This is a token bucket.
 
-    :param clock: refills the budget.
-    :param limit: most tasks preempted in each ``interval``, in the long run;
-        so many can also go at once.
-    :param per_task: how often one task may be preempted at all.
+    :param clock: refills the budget over time.
+    :param limit: maximum number of tasks preempted in each ``interval`` in the
+        long run, and also the maximum at once.
+    :param per_task: how many times a single task may be preempted.
     """
 
     def __init__(
@@ -80,52 +85,53 @@
         self._limit = limit
         self._interval = interval
         self._per_task = per_task
-        self._left = float(limit)
+        self._available = float(limit)
         self._refilled = clock.monotonic()
         self._counts: Counter[str] = Counter()
 
     def may_preempt(self, task: str) -> bool:
-        """Tell whether ``task`` hasn't been preempted too often."""
+        """Return whether ``task`` may be preempted once more."""
         return self._counts[task] < self._per_task
 
-    def has_left(self, amount: int) -> bool:
-        """Tell whether ``amount`` tasks may be preempted now."""
+    def is_available(self, amount: int) -> bool:
+        """Return whether the budget allows ``amount`` preemptions now."""
         now = self._clock.monotonic()
-        gained = self._limit * ((now - self._refilled) / self._interval)
-        self._left = min(self._limit, self._left + gained)
+        refill = self._limit * ((now - self._refilled) / self._interval)
+        self._available = min(self._limit, self._available + refill)
         self._refilled = now
-        return self._left >= amount
+        return self._available >= amount
 
     def spend(self, tasks: Iterable[str]) -> None:
-        """Note that ``tasks`` were preempted."""
+        """Charge the budget for ``tasks`` that are preempted."""
         for task in tasks:
             self._counts[task] += 1
-            self._left -= 1
+            self._available -= 1
 
     def refund(self, tasks: Iterable[str]) -> None:
-        """Note that ``tasks`` were not preempted after all."""
+        """Return the charge for ``tasks`` that are not preempted after all."""
         for task in tasks:
             self._counts[task] -= 1
-            self._left += 1
+            self._available += 1
 
-    def forget(self, task: str) -> None:
-        """Drop what is remembered of a task that has ended for good."""
+    def discard(self, task: str) -> None:
+        """Discard the count of a task that has ended for good."""
         self._counts.pop(task, None)
 
 
 class Preemptor:
-    """Chooses the worker that is cleared with the least work lost.
+    """Chooses the worker on which preemption loses the least work.
 
-    Checkpointable tasks go first, then idempotent ones, which are stopped; only
-    the most urgent class has tasks stopped that can't be checkpointed. A
-    non-idempotent task that can't be checkpointed is never chosen, nor one of
-    equal or higher urgency. Work for each choice is bounded: at most 64
-    workers are looked at, from another place each time.
+    Checkpointable tasks are chosen first, then idempotent ones, which are stopped.
+    Only tasks of the most urgent class may stop tasks that can't be checkpointed.
+    A task that is neither idempotent nor checkpointable is never chosen, nor is
+    one of equal or higher urgency. The work for each choice is bounded: at most
+    64 workers are examined, starting at a different one each time.
 
-    :param accounts: the workers and what runs on them.
+    :param accounts: the workers and the tasks that run on them.
     :param may_stop: ``may_stop(need, running)`` replaces :func:`may_preempt`,
-        as when a team's quota is taken back.
-    :param find_refusal: names the filter that keeps a task off a worker.
+        for example when a team's quota is taken back.
+    :param find_refusal: returns the name of the filter that refuses a worker for
+        a task, or ``None``.
     """
 
     def __init__(
@@ -141,52 +147,53 @@
         self._budget = budget
         self._may_stop = may_stop or may_preempt
         self._find_refusal = find_refusal
-        self._next = 0
+        self._next_start = 0
         self._claims: dict[str, Claim] = {}
-        self._leaving: dict[str, Claim] = {}
+        self._victims: dict[str, Claim] = {}
         self._claimed: dict[str, Size] = {}
-        accounts.subscribe(self._follow)
+        accounts.subscribe(self._handle_account)
 
     def choose(self, need: TaskNeed) -> Victims | NoVictims:
-        """Choose victims that make room for ``need`` and claim it for it.
+        """Choose victims for ``need`` and claim their capacity for it.
 
-        They count as leaving until :meth:`record_end`; nothing is stopped here.
+        Nothing is stopped here. The victims count as being stopped until
+        :meth:`record_end` is called for them.
         """
         outcome = self.choose_all((need,))
         return outcome if isinstance(outcome, NoVictims) else outcome[0]
 
     def choose_all(self, needs: Sequence[TaskNeed]) -> tuple[Victims, ...] | NoVictims:
-        """Choose victims for all tasks of a gang, or none."""
+        """Choose victims for all tasks of a gang, or for none of them."""
         chosen: list[Victims] = []
         for need in needs:
             victims = self._choose(need)
             if isinstance(victims, NoVictims):
-                self._undo(needs, chosen)
+                self._roll_back(needs, chosen)
                 return victims
             chosen.append(victims)
         return tuple(chosen)
 
     def _choose(self, need: TaskNeed) -> Victims | NoVictims:
         claim = self._claims.get(need.task)
-        if claim is not None and self._holds(claim):
+        if claim is not None and self._is_claim_valid(claim):
             return Victims(claim.worker, (), (), 0.0)
         self.drop_claim(need.task)
         best = self._find_best(need)
         if best is None:
             return self._refuse("no_victims")
         tasks = best.checkpointed + best.stopped
-        if not self._budget.has_left(len(tasks)):
+        if not self._budget.is_available(len(tasks)):
             return self._refuse("budget")
         self._budget.spend(tasks)
         reservations = self._accounts.workers[best.worker].reservations
         for task in tasks:
-            self._leaving[task] = Claim(best.worker, reservations[task].need.size)
-            self._change(self._leaving[task], -1)
+            self._victims[task] = Claim(best.worker, reservations[task].need.size)
+            self._adjust_claimed(self._victims[task], -1)
         self._claims[need.task] = Claim(best.worker, need.size)
-        self._change(self._claims[need.task], 1)
+        self._adjust_claimed(self._claims[need.task], 1)
         return best
 
-    def _undo(self, needs: Sequence[TaskNeed], chosen: Iterable[Victims]) -> None:
+    def _roll_back(self, needs: Sequence[TaskNeed], chosen: Iterable[Victims]) -> None:
         for need in needs:
             self.drop_claim(need.task)
         for victims in chosen:
@@ -195,56 +202,61 @@
             for task in tasks:
                 self.record_end(task)
 
-    def _holds(self, claim: Claim) -> bool:
+    def _is_claim_valid(self, claim: Claim) -> bool:
         account = self._accounts.workers.get(claim.worker)
         if account is None or account.closed:
             return False
-        return fits(ZERO_SIZE, self.find_room(claim.worker))
+        return fits(ZERO_SIZE, self.find_free_capacity(claim.worker))
 
-    def find_room(self, worker: str) -> Size:
-        """Return what is free on a worker, or will be, and isn't claimed."""
+    def find_free_capacity(self, worker: str) -> Size:
+        """Return the capacity that is or will be free on a worker and isn't claimed.
+
+        :returns: a negative size if the worker is unknown.
+        """
         account = self._accounts.workers.get(worker)
         if account is None:
             return Size(-1, -1, -1)
         return subtract_sizes(account.free, self._claimed.get(worker, ZERO_SIZE))
 
     def find_claim(self, task: str) -> str | None:
-        """Return the worker on which room is claimed for a task."""
+        """Return the worker on which capacity is claimed for a task."""
         claim = self._claims.get(task)
         return claim.worker if claim else None
 
     def drop_claim(self, task: str) -> None:
-        """Note that ``task`` was placed, wherever, or needs no room any more."""
+        """Remove the claim of ``task``, which was placed or needs no capacity now."""
         claim = self._claims.pop(task, None)
         if claim is not None:
-            self._change(claim, -1)
+            self._adjust_claimed(claim, -1)
 
     def record_end(self, task: str) -> None:
-        """Note that a task no longer runs; a victim's room is free by now."""
-        claim = self._leaving.pop(task, None)
+        """Record that a task no longer runs; the capacity of a victim is now free."""
+        claim = self._victims.pop(task, None)
         if claim is not None:
-            self._change(claim, 1)
+            self._adjust_claimed(claim, 1)
 
-    def _follow(self, account: WorkerAccount, is_present: bool) -> None:
-        """Expect no room of victims whose worker has another owner or is gone."""
+    def _handle_account(self, account: WorkerAccount, is_present: bool) -> None:
+        """Remove the victims of a worker that has another owner or is gone."""
         if is_present:
             return
-        left = [t for t, c in self._leaving.items() if c.worker == account.name]
-        for task in left:
+        orphaned = [t for t, c in self._victims.items() if c.worker == account.name]
+        for task in orphaned:
             self.record_end(task)
 
     def prepare_claims(self, need: TaskNeed) -> Predicate | None:
-        """Keep others off claimed room; a filter for a :class:`Placer`."""
+        """Refuse claimed capacity to other tasks; a filter for a :class:`Placer`."""
         if not self._claimed:
             return None
         claim = self._claims.get(need.task)
         own = claim.worker if claim else ""
-        claimed, find_room = self._claimed, self.find_room
+        claimed, find_free_capacity = self._claimed, self.find_free_capacity
 
         def predicate(account: WorkerAccount) -> bool:
             name = account.name
             return (
-                name not in claimed or name == own or fits(need.size, find_room(name))
+                name not in claimed
+                or name == own
+                or fits(need.size, find_free_capacity(name))
             )
 
         return predicate
@@ -252,18 +264,18 @@
     def _find_best(self, need: TaskNeed) -> Victims | None:
         best: Victims | None = None
         found = 0
-        for account in islice(self._rotate(need), _LOOKED_AT):
+        for account in islice(self._iterate_workers(need), _MAX_WORKERS_SCANNED):
             victims = self._find_victims(need, account)
             if victims is None:
                 continue
             found += 1
             if best is None or victims.lost < best.lost:
                 best = victims
-            if found >= _ENOUGH or not best.lost:
+            if found >= _MAX_CANDIDATES or not best.lost:
                 break
         return best
 
-    def _change(self, claim: Claim, sign: int) -> None:
+    def _adjust_claimed(self, claim: Claim, sign: int) -> None:
         change = add_sizes if sign > 0 else subtract_sizes
         claimed = change(self._claimed.get(claim.worker, ZERO_SIZE), claim.size)
         if claimed == ZERO_SIZE:
@@ -271,9 +283,11 @@
         else:
             self._claimed[claim.worker] = claimed
 
-    def _rotate(self, need: TaskNeed) -> Iterable[WorkerAccount]:
+    def _iterate_workers(self, need: TaskNeed) -> Iterable[WorkerAccount]:
         names = tuple(self._accounts.workers)
-        start = self._next = (self._next + _LOOKED_AT) % max(1, len(names))
+        start = self._next_start = (self._next_start + _MAX_WORKERS_SCANNED) % max(
+            1, len(names)
+        )
         for name in names[start:] + names[:start]:
             account = self._accounts.workers[name]
             if fits(need.size, account.size) and not account.closed:
@@ -282,14 +296,14 @@
     def _find_victims(self, need: TaskNeed, account: WorkerAccount) -> Victims | None:
         if self._find_refusal(need, account) not in (None, "fits", CLAIMED):
             return None
-        lacking = subtract_sizes(need.size, self.find_room(account.name))
+        shortfall = subtract_sizes(need.size, self.find_free_capacity(account.name))
         now = self._clock.monotonic()
-        choices = sorted(
-            (rank_loss(held.need, now), task)
-            for task, held in account.reservations.items()
-            if self._is_choice(need, held)
+        candidates = sorted(
+            (rank_loss(reservation.need, now), task)
+            for task, reservation in account.reservations.items()
+            if self._may_choose(need, reservation)
         )
-        chosen = _cover(lacking, choices, account)
+        chosen = _select_covering(shortfall, candidates, account)
         if chosen is None:
             return None
         reservations = account.reservations
@@ -300,12 +314,12 @@
             sum(loss for (_, loss), _ in chosen),
         )
 
-    def _is_choice(self, need: TaskNeed, held: Reservation) -> bool:
-        running = held.need
+    def _may_choose(self, need: TaskNeed, reservation: Reservation) -> bool:
+        running = reservation.need
         return (
             (running.checkpoint or running.idempotent)
-            and held.deadline is None
-            and running.task not in self._leaving
+            and reservation.deadline is None
+            and running.task not in self._victims
             and self._may_stop(need, running)
             and self._budget.may_preempt(running.task)
         )
@@ -316,42 +330,47 @@
 
 
 def may_preempt(need: TaskNeed, running: TaskNeed) -> bool:
-    """Tell whether ``running`` may make room for ``need``."""
+    """Return whether ``running`` may be preempted for ``need``."""
     if RANKS[need.urgency] >= RANKS[running.urgency]:
         return False
     return running.checkpoint or need.urgency is Urgency.URGENT
 
 
 def rank_loss(running: TaskNeed, now: timedelta) -> tuple[bool, float]:
-    """Rank a task for preemption: checkpointable first, then by work lost."""
+    """Return the rank for preemption: checkpointable first, then by work lost."""
     if running.checkpoint:
-        return False, _CHECKPOINT_LOSS * running.size.millicores / 1000
-    ran = (now - running.started).total_seconds()
-    return True, ran * running.size.millicores / 1000
+        return False, _CHECKPOINT_LOSS_SECONDS * running.size.millicores / 1000
+    run_seconds = (now - running.started).total_seconds()
+    return True, run_seconds * running.size.millicores / 1000
+
 
+_Candidate = tuple[tuple[bool, float], str]
 
-Choice = tuple[tuple[bool, float], str]
 
+def _select_covering(
+    shortfall: Size, candidates: list[_Candidate], account: WorkerAccount
+) -> list[_Candidate] | None:
+    """Select candidates in order until they cover ``shortfall``.
 
-def _cover(
-    lacking: Size, choices: list[Choice], account: WorkerAccount
-) -> list[Choice] | None:
-    """Take choices in order until ``lacking`` is covered, then drop needless ones."""
+    Candidates that turn out to be unnecessary are removed again.
+
+    :returns: ``None`` if all of them together don't cover it.
+    """
     freed = ZERO_SIZE
-    chosen: list[Choice] = []
-    for choice in choices:
-        if fits(lacking, freed):
+    chosen: list[_Candidate] = []
+    for candidate in candidates:
+        if fits(shortfall, freed):
             break
-        size = account.reservations[choice[1]].need.size
-        if not any(lacking[i] > freed[i] and size[i] for i in range(3)):
+        size = account.reservations[candidate[1]].need.size
+        if not any(shortfall[i] > freed[i] and size[i] for i in range(3)):
             continue
-        chosen.append(choice)
+        chosen.append(candidate)
         freed = add_sizes(freed, size)
-    if not fits(lacking, freed):
+    if not fits(shortfall, freed):
         return None
-    for choice in reversed(chosen[:-1]):
-        rest = subtract_sizes(freed, account.reservations[choice[1]].need.size)
-        if fits(lacking, rest):
-            freed = rest
-            chosen.remove(choice)
+    for candidate in reversed(chosen[:-1]):
+        remaining = subtract_sizes(freed, account.reservations[candidate[1]].need.size)
+        if fits(shortfall, remaining):
+            freed = remaining
+            chosen.remove(candidate)
     return chosen
--- a/src/damaskdeck/coordination/places/quarantine.py
+++ b/src/damaskdeck/coordination/places/quarantine.py
@@ -1,4 +1,4 @@
-"""Quarantine of workers that fail whatever they start, capped, with slow return."""
+"""Quarantine of workers that fail every task, with a cap and a gradual release."""
 
 from datetime import timedelta
 from enum import StrEnum
@@ -8,48 +8,58 @@
 from damaskdeck.logs import get_logger
 from damaskdeck.metrics import count_refusal
 
-# Share of the fleet that may be held in quarantine or be on its way back.
+# Maximum share of the fleet that may be in quarantine or under probation.
 CAP_SHARE = 0.1
-# The first time in quarantine; each return to it doubles the time.
-PAUSE = timedelta(minutes=1)
-PAUSE_LIMIT = timedelta(hours=1)
-# Probes that must succeed before a worker is open again.
-PROBES = 3
-# How often held workers are looked at again, while workloads fail everywhere.
-ACQUITTAL_INTERVAL = timedelta(seconds=1)
+# Duration of the first quarantine of a worker; each further one lasts twice as
+# long, up to the maximum.
+INITIAL_PERIOD = timedelta(minutes=1)
+MAX_PERIOD = timedelta(hours=1)
+# Number of successful probes before a worker is released.
+REQUIRED_PROBES = 3
+# Minimum interval between reviews of isolated workers while workloads fail
+# everywhere.
+REVIEW_INTERVAL = timedelta(seconds=1)
 
 _log = get_logger("quarantine")
 
 
 class WorkerState(StrEnum):
-    """How far a worker is trusted."""
+    """The health of a worker as far as new tasks are concerned."""
 
     OPEN = "open"
     QUARANTINED = "quarantined"
     PROBING = "probing"
 
 
-class _Held:
-    """A worker in quarantine or on its way back."""
+class _IsolatedWorker:
+    """A worker in quarantine or, after ``until``, under probation.
 
-    __slots__ = ("passed", "pause", "probes", "until")
+    :ivar period: duration of this quarantine.
+    :ivar until: monotonic time when the quarantine ends and probing begins.
+    :ivar passed: number of successful probes in a row.
+    :ivar probes: tasks that run as probes now.
+    """
+
+    __slots__ = ("passed", "period", "probes", "until")
 
-    def __init__(self, pause: timedelta, until: timedelta) -> None:
-        self.pause = pause
+    def __init__(self, period: timedelta, until: timedelta) -> None:
+        self.period = period
         self.until = until
         self.passed = 0
         self.probes: set[str] = set()
 
 
 class Quarantine:
-    """Decides which workers get no work because they fail everything.
+    """Decides which workers get no tasks because they fail every task.
 
-    A worker waits for its pause, then gets idempotent tasks as probes: one,
-    then two, then four at a time. A failed probe sends it back for twice as
-    long; after ``probes`` good ones in a row it is open.
+    After its quarantine period, a worker gets idempotent tasks as probes: one,
+    then two, then four at a time. A failed probe returns it to quarantine for
+    twice as long. After ``probes`` successful probes in a row it is released.
 
-    :param failures: what is known of failed jobs.
-    :param cap_share: share of the fleet that may be held at a time.
+    :param failures: the history of failed jobs.
+    :param cap_share: maximum share of the fleet that may be isolated at a time.
+    :param period: duration of the first quarantine of a worker.
+    :param probes: number of successful probes before a release.
     """
 
     def __init__(
@@ -57,128 +67,130 @@
         clock: Clock,
         failures: FailureHistory,
         cap_share: float = CAP_SHARE,
-        pause: timedelta = PAUSE,
-        probes: int = PROBES,
+        period: timedelta = INITIAL_PERIOD,
+        probes: int = REQUIRED_PROBES,
     ) -> None:
         self._clock = clock
         self._failures = failures
         self._cap_share = cap_share
-        self._pause = pause
-        self._probes = probes
+        self._initial_period = period
+        self._required_probes = probes
         self._fleet: frozenset[str] = frozenset()
-        self._held: dict[str, _Held] = {}
-        self._pauses: dict[str, timedelta] = {}
-        self._acquitted = -ACQUITTAL_INTERVAL
+        self._isolated: dict[str, _IsolatedWorker] = {}
+        self._periods: dict[str, timedelta] = {}
+        self._reviewed_at = -REVIEW_INTERVAL
 
     @property
     def cap(self) -> int:
-        """How many workers may be held: one at least, unless it is the only one."""
+        """Maximum number of isolated workers: at least one, except of a single one."""
         count = len(self._fleet)
         return max(int(count * self._cap_share), min(1, count - 1), 0)
 
     @property
     def isolated(self) -> frozenset[str]:
-        """The workers in quarantine or on their way back."""
-        return frozenset(self._held)
+        """The workers in quarantine or under probation."""
+        return frozenset(self._isolated)
 
     def set_fleet(self, workers: frozenset[str]) -> None:
-        """Note which workers there are; a lower cap lets the latest held ones go."""
+        """Set the existing workers; a lower cap releases the latest isolated ones."""
         self._fleet = workers
-        for worker in [name for name in self._held if name not in workers]:
-            del self._held[worker]
-        for worker in [name for name in self._pauses if name not in workers]:
-            del self._pauses[worker]
-        while len(self._held) > self.cap:
-            self._release(next(reversed(self._held)), "cap")
+        for worker in [name for name in self._isolated if name not in workers]:
+            del self._isolated[worker]
+        for worker in [name for name in self._periods if name not in workers]:
+            del self._periods[worker]
+        while len(self._isolated) > self.cap:
+            self._release(next(reversed(self._isolated)), "cap")
 
     def find_state(self, worker: str) -> WorkerState:
-        """Return how far a worker is trusted now."""
-        isolated = self._held.get(worker)
-        if isolated is None:
+        """Return the current health of a worker."""
+        entry = self._isolated.get(worker)
+        if entry is None:
             return WorkerState.OPEN
-        if self._clock.monotonic() < isolated.until:
+        if self._clock.monotonic() < entry.until:
             return WorkerState.QUARANTINED
         return WorkerState.PROBING
 
     def may_start(self, worker: str, is_idempotent: bool) -> bool:
-        """Tell whether a task may start on a worker now."""
+        """Return whether a task may start on a worker now."""
         state = self.find_state(worker)
         if state is not WorkerState.PROBING:
             return state is WorkerState.OPEN
-        isolated = self._held[worker]
-        return is_idempotent and len(isolated.probes) < 2**isolated.passed
+        entry = self._isolated[worker]
+        return is_idempotent and len(entry.probes) < 2**entry.passed
 
     def record_start(self, worker: str, task: str) -> None:
-        """Note a start; on a worker on its way back it is a probe."""
+        """Record a start; on a worker under probation it is a probe."""
         if self.find_state(worker) is WorkerState.PROBING:
-            self._held[worker].probes.add(task)
+            self._isolated[worker].probes.add(task)
 
     def record_end(
         self, worker: str, workload: str, job: str, task: str, succeeded: bool | None
     ) -> None:
-        """Note the end of a task.
+        """Record the end of a task.
 
-        :param succeeded: ``None`` when the end says nothing, as a preemption.
+        :param succeeded: ``None`` if the end is no evidence, such as a preemption.
         """
-        isolated = self._held.get(worker)
-        is_probe = isolated is not None and task in isolated.probes
-        if isolated is not None:
-            isolated.probes.discard(task)
+        entry = self._isolated.get(worker)
+        is_probe = entry is not None and task in entry.probes
+        if entry is not None:
+            entry.probes.discard(task)
         if succeeded is None:
             return
         now = self._clock.monotonic()
         if succeeded:
-            self._failures.note_success(worker, workload, now)
+            self._failures.record_success(worker, workload, now)
         else:
-            self._failures.note_failure(worker, workload, job)
+            self._failures.record_failure(worker, workload, job)
         if is_probe:
-            self._judge_probe(worker, workload, isolated, succeeded)
-        elif isolated is None and not succeeded:
-            self._judge(worker, now)
+            self._decide_probe(worker, workload, entry, succeeded)
+        elif entry is None and not succeeded:
+            self._decide_isolation(worker, now)
         if not succeeded and self._failures.is_workload_failing(
             workload, self.isolated
         ):
-            self._acquit(now)
+            self._review_isolated(now)
 
-    def _judge(self, worker: str, now: timedelta) -> None:
+    def _decide_isolation(self, worker: str, now: timedelta) -> None:
         if worker not in self._fleet:
             return
         if not self._failures.is_worker_failing(worker, now, self.isolated):
             return
-        if len(self._held) >= self.cap:
+        if len(self._isolated) >= self.cap:
             count_refusal("quarantine", "cap_reached")
             return
-        self._hold(worker, self._pauses.get(worker, self._pause))
+        self._isolate(worker, self._periods.get(worker, self._initial_period))
 
-    def _judge_probe(
-        self, worker: str, workload: str, isolated: _Held, succeeded: bool
+    def _decide_probe(
+        self, worker: str, workload: str, entry: _IsolatedWorker, succeeded: bool
     ) -> None:
         if not succeeded:
             others = self.isolated - {worker}
             if not self._failures.is_workload_failing(workload, others):
-                self._hold(worker, min(isolated.pause * 2, PAUSE_LIMIT))
+                self._isolate(worker, min(entry.period * 2, MAX_PERIOD))
             return
-        isolated.passed += 1
-        if isolated.passed >= self._probes:
+        entry.passed += 1
+        if entry.passed >= self._required_probes:
             self._release(worker, "probes")
 
-    def _acquit(self, now: timedelta) -> None:
-        """Let go the workers that only failed what fails everywhere."""
-        if now - self._acquitted < ACQUITTAL_INTERVAL:
+    def _review_isolated(self, now: timedelta) -> None:
+        """Release the workers that failed only workloads that fail everywhere."""
+        if now - self._reviewed_at < REVIEW_INTERVAL:
             return
-        self._acquitted = now
-        for worker in tuple(self._held):
+        self._reviewed_at = now
+        for worker in tuple(self._isolated):
             others = self.isolated - {worker}
             if not self._failures.is_worker_failing(worker, now, others):
                 self._release(worker, "workload_failing")
 
-    def _hold(self, worker: str, pause: timedelta) -> None:
+    def _isolate(self, worker: str, period: timedelta) -> None:
         count_refusal("quarantine", "worker_failing")
-        _log.warn("A worker fails its tasks.", worker=worker, pause=pause)
-        self._held[worker] = _Held(pause, self._clock.monotonic() + pause)
-        self._pauses[worker] = min(pause * 2, PAUSE_LIMIT)
+        _log.warn("Quarantined a failing worker.", worker=worker, pause=period)
+        self._isolated[worker] = _IsolatedWorker(
+            period, self._clock.monotonic() + period
+        )
+        self._periods[worker] = min(period * 2, MAX_PERIOD)
 
     def _release(self, worker: str, reason: str) -> None:
-        _log.info("A worker is trusted again.", worker=worker, reason=reason)
-        del self._held[worker]
-        self._failures.forget_worker(worker)
+        _log.info("Released a worker from quarantine.", worker=worker, reason=reason)
+        del self._isolated[worker]
+        self._failures.clear_worker(worker)
--- a/src/damaskdeck/coordination/places/relief.py
+++ b/src/damaskdeck/coordination/places/relief.py
@@ -1,4 +1,4 @@
-"""Relief of workers whose observed use nears their size."""
+"""Relief of workers whose observed usage approaches their size."""
 
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
@@ -14,37 +14,39 @@
 from damaskdeck.protocol.sizes import Size
 from damaskdeck.state.workeraccounts import WorkerAccounts
 
-ACTION_LIMIT = 8
+MAX_ACTIONS = 8
 
 
-class _Seen(NamedTuple):
+class _LastReport(NamedTuple):
+    """The last reported usage of a task, and its memory growth before, in MiB."""
+
     use: Size
     growth: int
 
 
-class Relief:
-    """Chooses what to throttle, checkpoint or stop on the owned workers.
+class PressureRelief:
+    """Chooses tasks to throttle, checkpoint or stop on the owned workers.
 
-    Promise: "No instance is given more work than its processors, memory, or
-    accelerators can hold", also when declared sizes are far off.
+    It upholds "No instance is given more work than its processors, memory, or
+    accelerators can hold" even if declared sizes are far from the actual usage.
     """
 
     def __init__(self, accounts: WorkerAccounts) -> None:
         self._accounts = accounts
-        self._seen: dict[str, _Seen] = {}
+        self._last_reports: dict[str, _LastReport] = {}
         self._limits: dict[str, int] = {}
 
     def choose(self, worker: str, usage: Iterable[Usage]) -> list[PressureAction]:
-        """Choose actions for a worker by what its tasks were seen to use.
+        """Choose actions for a worker by the reported usage of its tasks.
 
-        :param usage: of the tasks that aren't being stopped already.
+        :param usage: reports of the tasks that aren't being stopped already.
         """
         account = self._accounts.workers.get(worker)
         if account is None:
             return []
         tasks = {task.task: task for task in self._observe(worker, usage)}
         actions: list[PressureAction] = []
-        while len(actions) < ACTION_LIMIT:
+        while len(actions) < MAX_ACTIONS:
             action = choose_pressure_action(account.size, tuple(tasks.values()))
             if action is None:
                 break
@@ -52,39 +54,42 @@
             actions.append(action)
             if isinstance(action, Throttle):
                 self._limits[action.task] = action.millicores
-                limited = tasks[action.task]._replace(limit=action.millicores)
-                tasks[action.task] = limited
+                throttled = tasks[action.task]._replace(limit=action.millicores)
+                tasks[action.task] = throttled
             else:
                 del tasks[action.task]
         return actions
 
-    def forget(self, task: str) -> None:
-        """Forget a task that has ended."""
-        self._seen.pop(task, None)
+    def discard(self, task: str) -> None:
+        """Discard a task that has ended."""
+        self._last_reports.pop(task, None)
         self._limits.pop(task, None)
 
     def _observe(self, worker: str, usage: Iterable[Usage]) -> Iterator[ObservedTask]:
         for item in usage:
-            held = self._accounts.find(item.task)
-            if held is None or held.worker != worker:
+            reservation = self._accounts.find(item.task)
+            if reservation is None or reservation.worker != worker:
                 continue
-            need = held.need
+            need = reservation.need
             yield ObservedTask(
                 task=item.task,
                 urgency=need.urgency,
                 reserved=need.size,
                 use=item.size,
                 started=need.started,
-                growth=self._note_growth(item),
+                growth=self._record_growth(item),
                 idempotent=need.idempotent,
                 checkpoint=need.checkpoint,
                 limit=self._limits.get(item.task),
             )
 
-    def _note_growth(self, item: Usage) -> int:
-        """Expect memory to grow as much as between the last two reports."""
-        seen = self._seen.get(item.task)
-        if seen is None or seen.use != item.size:
-            growth = max(0, item.size.memory - seen.use.memory) if seen else 0
-            seen = self._seen[item.task] = _Seen(item.size, growth)
-        return seen.growth
+    def _record_growth(self, item: Usage) -> int:
+        """Return the memory growth expected until the next report, in MiB.
+
+        It is the growth between the last two different reports of the task.
+        """
+        last = self._last_reports.get(item.task)
+        if last is None or last.use != item.size:
+            growth = max(0, item.size.memory - last.use.memory) if last else 0
+            last = self._last_reports[item.task] = _LastReport(item.size, growth)
+        return last.growth
--- a/src/damaskdeck/coordination/places/scores.py
+++ b/src/damaskdeck/coordination/places/scores.py
@@ -1,4 +1,4 @@
-"""Scores: which of the workers that may take a task should; higher is better."""
+"""Scores, which rank the workers that may run a task; higher is better."""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import NamedTuple
@@ -19,10 +19,11 @@
 _scores: dict[str, Prepare] = {}
 
 
-def score(name: str) -> Callable[[Prepare], Prepare]:
-    """Register a score; its measures lie between 0 and 1.
+def register_score(name: str) -> Callable[[Prepare], Prepare]:
+    """Register a score whose measures return values between 0 and 1.
 
-    :param name: its key among the weights of a policy.
+    :param name: the key of its weight in a policy.
+    :raises ValueError: if the name is already registered.
     """
 
     def register(prepare: Prepare) -> Prepare:
@@ -35,7 +36,7 @@
 
 
 def select_scores(weights: Mapping[str, float]) -> list[WeightedScore]:
-    """Select the scores that a policy gives a weight; unknown names are ignored."""
+    """Return the scores with a nonzero weight; unknown names are ignored."""
     return [
         WeightedScore(weight, _scores[name])
         for name, weight in weights.items()
@@ -46,7 +47,7 @@
 def prepare_measure(
     need: TaskNeed, accounts: WorkerAccounts, scores: Iterable[WeightedScore]
 ) -> Measure:
-    """Prepare the weighted sum of the scores that speak about a need."""
+    """Return a function for the weighted sum of the scores that apply to a need."""
     measures = []
     for weight, prepare in scores:
         measure = prepare(need, accounts)
@@ -56,49 +57,49 @@
         (weight_a, a), (weight_b, b) = measures
         return lambda account: weight_a * a(account) + weight_b * b(account)
 
-    def add_up(account: WorkerAccount) -> float:
+    def compute_sum(account: WorkerAccount) -> float:
         total = 0.0
         for weight, measure in measures:
             total += weight * measure(account)
         return total
 
-    return add_up
+    return compute_sum
 
 
-@score("best_fit")
+@register_score("best_fit")
 def prepare_best_fit(need: TaskNeed, accounts: WorkerAccounts) -> Measure:
-    """Prefer the worker that has least left over, as a share of its size."""
+    """Prefer the worker with the least capacity left, relative to its size."""
     millicores, memory, accelerators = need.size
 
     def measure(account: WorkerAccount) -> float:
         free, size = account.free, account.size
-        rest = (free[0] - millicores) / (size[0] or 1)
-        rest += (free[1] - memory) / (size[1] or 1)
+        remaining = (free[0] - millicores) / (size[0] or 1)
+        remaining += (free[1] - memory) / (size[1] or 1)
         if size[2]:
-            return 1 - (rest + (free[2] - accelerators) / size[2]) / 3
-        return 1 - rest / 2
+            return 1 - (remaining + (free[2] - accelerators) / size[2]) / 3
+        return 1 - remaining / 2
 
     return measure
 
 
-@score("balance")
+@register_score("balance")
 def prepare_balance(need: TaskNeed, accounts: WorkerAccounts) -> Measure:
-    """Prefer the worker whose processors and memory then run out together."""
+    """Prefer the worker whose processors and memory are then equally used."""
     millicores, memory, _ = need.size
 
     def measure(account: WorkerAccount) -> float:
         free, size = account.free, account.size
-        rest = (free[0] - millicores) / (size[0] or 1)
-        return 1 - abs(rest - (free[1] - memory) / (size[1] or 1))
+        remaining = (free[0] - millicores) / (size[0] or 1)
+        return 1 - abs(remaining - (free[1] - memory) / (size[1] or 1))
 
     return measure
 
 
-@score("keep_accelerators")
+@register_score("keep_accelerators")
 def prepare_keep_accelerators(
     need: TaskNeed, accounts: WorkerAccounts
 ) -> Measure | None:
-    """Leave workers with accelerators to those who need them."""
+    """Reserve workers with accelerators for the tasks that need them."""
     if need.size[2]:
         return None
 
@@ -109,9 +110,9 @@
     return measure
 
 
-@score("spread")
+@register_score("spread")
 def prepare_spread(need: TaskNeed, accounts: WorkerAccounts) -> Measure | None:
-    """Spread a group over zones, then racks, then workers."""
+    """Spread a group over availability zones, then racks, then workers."""
     counts = accounts.count_group(need.group) if need.group else None
     if not counts:
         return None
@@ -128,9 +129,9 @@
     return measure
 
 
-@score("affinity")
+@register_score("affinity")
 def prepare_affinity(need: TaskNeed, accounts: WorkerAccounts) -> Measure | None:
-    """Prefer the zones named as near, as those of the task's data."""
+    """Prefer the availability zones in ``near``, such as those of the data."""
     near = need.near
     if not near:
         return None
--- a/tests/naive_scheduler.py
+++ b/tests/naive_scheduler.py
@@ -1,4 +1,4 @@
-"""A naive scheduler to compare with: scans every worker, first fit, in order."""
+"""A naive reference scheduler: scans every worker in order, first fit."""
 
 from collections.abc import Iterable
 
@@ -8,7 +8,7 @@
 
 
 class NaiveScheduler:
-    """Knows the workers, what is free on each and what runs where."""
+    """Tracks the workers, the free capacity of each and the running tasks."""
 
     def __init__(self, workers: Iterable[Instance]) -> None:
         self.workers = {worker.name: worker for worker in workers}
@@ -16,7 +16,7 @@
         self.running: dict[str, tuple[str, Size]] = {}
 
     def can_hold(self, need: TaskNeed, worker: str) -> bool:
-        """Tell whether a worker may take the task now."""
+        """Return whether a worker may run the task now."""
         instance = self.workers[worker]
         return (
             fits(need.size, self.free[worker])
@@ -26,7 +26,7 @@
         )
 
     def place(self, need: TaskNeed) -> str | None:
-        """Return the first worker that may take the task."""
+        """Return the first worker that may run the task, else ``None``."""
         return next((name for name in self.workers if self.can_hold(need, name)), None)
 
     def place_all(self, needs: Iterable[TaskNeed]) -> dict[str, str] | None:
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -1,4 +1,4 @@
-"""What is learnt of sizes and run times, and what is done under pressure."""
+"""Estimates of sizes and run times, and decisions under pressure."""
 
 import math
 import random
@@ -38,7 +38,7 @@
         self.assertGreaterEqual(found, true * (1 - 1e-9))
         self.assertLessEqual(found, true * 2 ** (1 / 8) * (1 + 1e-9))
 
-    def test_old_values_fade(self):
+    def test_old_values_lose_weight(self):
         histogram = Histogram()
         for value in [1e6] * 400 + [10.0] * 5000:
             histogram.add(value)
@@ -46,8 +46,8 @@
         self.assertLess(histogram.total, 512)
 
 
-class Watched:
-    """Estimates of one workload whose tasks run one after the other."""
+class ObservedWorkload:
+    """Estimates of one workload whose tasks run one after another."""
 
     def __init__(self, declared=DECLARED):
         self.estimates = Estimates()
@@ -66,61 +66,61 @@
 
 
 class TestSizes(unittest.TestCase):
-    """Declared sizes are corrected."""
+    """Declared sizes are corrected by observed usage."""
 
     def test_sizes_settle_just_above_what_is_used_in_small_steps(self):
         for factor in (0.25, 4.0):
-            watched, rng = Watched(), random.Random(1)
+            workload, rng = ObservedWorkload(), random.Random(1)
             use = Size(round(1000 * factor), round(4096 * factor), 1)
             for _ in range(200):
                 noise = rng.uniform(0.9, 1.0)
-                watched.run(Size(round(use[0] * noise), round(use[1] * noise), 1))
+                workload.run(Size(round(use[0] * noise), round(use[1] * noise), 1))
             for index in (0, 1):
-                size = watched.sizes[-1][index]
+                size = workload.sizes[-1][index]
                 self.assertGreaterEqual(size, use[index] * 0.95 * (1 + MARGIN))
                 self.assertLessEqual(size, use[index] * 1.1 * (1 + MARGIN))
-                for old, new in zip(watched.sizes, watched.sizes[1:], strict=False):
+                for old, new in zip(workload.sizes, workload.sizes[1:], strict=False):
                     self.assertLessEqual(new[index], old[index] * 1.25 + 2)
                     self.assertGreaterEqual(new[index], old[index] * 0.85 - 1)
-            self.assertEqual(watched.sizes[-1].accelerators, 1)
+            self.assertEqual(workload.sizes[-1].accelerators, 1)
 
     def test_a_few_small_tasks_shrink_nothing(self):
-        watched = Watched()
+        workload = ObservedWorkload()
         for _ in range(7):
-            watched.run(Size(10, 10, 0))
-        self.assertEqual(watched.sizes[-1], DECLARED)
-        watched.estimates.observe_use("checks", "new", Size(10, 10, 0))
-        running = watched.estimates.estimate_running("checks", "new", DECLARED)
+            workload.run(Size(10, 10, 0))
+        self.assertEqual(workload.sizes[-1], DECLARED)
+        workload.estimates.observe_use("checks", "new", Size(10, 10, 0))
+        running = workload.estimates.estimate_running("checks", "new", DECLARED)
         self.assertEqual(running, DECLARED)
 
-    def test_the_use_of_a_task_that_has_ended_binds_no_longer(self):
-        watched = Watched()
-        watched.estimates.observe_use("checks", "big", Size(9000, 9000, 0))
-        watched.estimates.observe_use("checks", "small", Size(10, 5000, 0))
-        self.assertEqual(watched.estimate(), Size(9000, 9000, 1))
-        watched.estimates.observe_end("checks", "big", None)
-        self.assertEqual(watched.estimate(), Size(1000, 5000, 1))
+    def test_the_usage_of_an_ended_task_no_longer_counts(self):
+        workload = ObservedWorkload()
+        workload.estimates.observe_use("checks", "big", Size(9000, 9000, 0))
+        workload.estimates.observe_use("checks", "small", Size(10, 5000, 0))
+        self.assertEqual(workload.estimate(), Size(9000, 9000, 1))
+        workload.estimates.observe_end("checks", "big", None)
+        self.assertEqual(workload.estimate(), Size(1000, 5000, 1))
 
-    def test_a_failed_task_teaches_nothing(self):
-        watched = Watched()
+    def test_a_failed_task_changes_no_size(self):
+        workload = ObservedWorkload()
         for _ in range(100):
-            watched.run(Size(10, 10, 0), None)
-        self.assertEqual(watched.sizes[-1], DECLARED)
+            workload.run(Size(10, 10, 0), None)
+        self.assertEqual(workload.sizes[-1], DECLARED)
 
-    def test_a_changed_declaration_is_taken_up_at_once(self):
-        watched = Watched()
+    def test_a_changed_declaration_applies_at_once(self):
+        workload = ObservedWorkload()
         for _ in range(100):
-            watched.run(Size(100, 400, 0))
-        watched.declared = Size(3000, 8192, 0)
-        self.assertEqual(watched.estimate(), Size(3000, 8192, 0))
+            workload.run(Size(100, 400, 0))
+        workload.declared = Size(3000, 8192, 0)
+        self.assertEqual(workload.estimate(), Size(3000, 8192, 0))
 
-    def test_a_service_is_learnt_while_it_runs(self):
-        watched = Watched()
+    def test_a_service_is_observed_while_it_runs(self):
+        workload = ObservedWorkload()
         for task in range(4):
             for _ in range(64 * 8):
-                watched.estimates.observe_use("checks", f"s{task}", Size(100, 1000, 0))
-        self.assertLess(watched.estimate().memory, 2000)
-        shrunk = watched.estimates.estimate_running("checks", "s1", DECLARED)
+                workload.estimates.observe_use("checks", f"s{task}", Size(100, 1000, 0))
+        self.assertLess(workload.estimate().memory, 2000)
+        shrunk = workload.estimates.estimate_running("checks", "s1", DECLARED)
         self.assertEqual(shrunk, Size(115, 1150, 1))
 
     @settings(derandomize=True, deadline=None, max_examples=100)
@@ -166,17 +166,17 @@
 
 
 class TestRunTimes(unittest.TestCase):
-    """Declared run times are believed until enough tasks have run."""
+    """Declared run times are used until enough tasks have run."""
 
-    def test_run_times_are_learnt_as_a_quantile(self):
-        watched = Watched()
+    def test_run_times_are_estimated_by_a_quantile(self):
+        workload = ObservedWorkload()
         seconds = [timedelta(seconds=second) for second in range(1, 101)]
         for run_time in seconds[:7]:
-            watched.run(Size(), run_time)
-        estimate = watched.estimates.estimate_run_time
+            workload.run(Size(), run_time)
+        estimate = workload.estimates.estimate_run_time
         self.assertEqual(estimate("checks", HOUR), HOUR)
         for run_time in seconds[7:]:
-            watched.run(Size(), run_time)
+            workload.run(Size(), run_time)
         self.assertGreaterEqual(estimate("checks", HOUR), timedelta(seconds=90))
         self.assertLessEqual(estimate("checks", HOUR), timedelta(seconds=99))
         self.assertEqual(estimate("other", HOUR), HOUR)
@@ -192,7 +192,7 @@
 
     size = Size(4000, 4000, 0)
 
-    def test_nothing_happens_below_the_marks(self):
+    def test_nothing_happens_below_the_thresholds(self):
         tasks = [observe(str(number), use=(950, 890)) for number in range(4)]
         self.assertIsNone(choose_pressure_action(self.size, tasks))
 
@@ -239,7 +239,7 @@
         tasks = [observe("a", use=(0, 2000), growth=1700, checkpoint=True)]
         self.assertEqual(choose_pressure_action(self.size, tasks), Checkpoint("a"))
 
-    def test_what_may_not_be_stopped_is_slowed_down(self):
+    def test_tasks_that_may_not_be_stopped_are_throttled(self):
         tasks = [
             observe("a", use=(0, 2000), growth=10),
             observe("b", use=(0, 1800), growth=90),
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,11 +1,11 @@
-"""Gangs: planned room, and all tasks or none across owners."""
+"""Gangs: planned capacity, and reservations by the owners of workers."""
 
 import unittest
 from datetime import timedelta
 
 from damaskdeck.coordination.places.allocator import CapacityAllocator, Hold
 from damaskdeck.coordination.places.backfill import Backfill
-from damaskdeck.coordination.places.gangrooms import KEEP_LIMIT, REST_TIME
+from damaskdeck.coordination.places.gangreservations import COOLDOWN, RESERVATION_LIMIT
 from damaskdeck.coordination.places.placement import Placed, Placer
 from damaskdeck.protocol.jobs import GangRequest, ReservationRequest, SizeData
 from damaskdeck.protocol.resources import Urgency
@@ -19,7 +19,7 @@
 
 
 class TestBackfill(unittest.TestCase):
-    """Room is planned for a gang and other work may use it until then."""
+    """Capacity is planned for a gang, and other tasks may use it until then."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -56,14 +56,14 @@
         self.backfill.record_start(need, outcome.worker)
         return outcome.worker
 
-    def test_the_plan_takes_the_workers_that_are_free_first(self):
+    def test_the_plan_uses_the_workers_that_are_free_first(self):
         self.run_task("long", "w", SMALL, 100)
         self.run_task("short", "x", SMALL, 10)
         plan = self.plan_gang()
         self.assertEqual(plan.start, 10 * SECOND)
         self.assertEqual(set(plan.spare), {"x", "y"})
 
-    def test_only_what_ends_before_or_fits_beside_is_let_in(self):
+    def test_only_tasks_that_end_before_or_fit_beside_are_placed(self):
         self.run_task("long", "w", LARGE, 100)
         self.run_task("short", "x", SMALL, 10)
         self.plan_gang()
@@ -72,7 +72,7 @@
         urgent = self.make_need("urgent", SMALL, 99, Urgency.URGENT)
         self.assertIsNotNone(self.place(urgent))
 
-    def test_what_fits_beside_the_gang_is_let_in_once(self):
+    def test_a_task_beside_the_gang_is_placed_once(self):
         self.run_task("short", "w", Size(2, 2, 0), 10)
         for name in ("x", "y"):
             self.run_task(name, name, LARGE, 100)
@@ -85,7 +85,7 @@
         self.assertIsNone(self.place(self.make_need("again", SMALL, 99)))
         self.assertEqual(self.place(needs[0]), "w")
 
-    def test_small_work_that_keeps_coming_does_not_starve_the_gang(self):
+    def test_a_stream_of_small_tasks_does_not_starve_the_gang(self):
         for name in ("w", "x", "y"):
             self.run_task(name, name, SMALL, 10)
         self.plan_gang(3)
@@ -100,13 +100,13 @@
             free = [account.free == LARGE for account in self.accounts.workers.values()]
             if plan.start <= self.clock.monotonic() and all(free):
                 return
-            # Declared too short by four times.
+            # The declared run time is too short by a factor of four.
             need = self.make_need(f"small-{second}", SMALL, 5)
             if self.place(need):
                 running.append((second + 20, need.task))
         self.fail("the gang never fits")
 
-    def test_no_room_is_planned_behind_what_never_ends(self):
+    def test_nothing_is_planned_behind_tasks_that_never_end(self):
         for name in ("w", "x"):
             self.run_task(name, name, SMALL, 10**8)
         self.assertIsNone(self.plan_gang())
@@ -114,8 +114,8 @@
         self.assertIsNotNone(self.place(need))
 
 
-class TestGangRooms(unittest.TestCase):
-    """An owner keeps its room for the first gang, and not for ever."""
+class TestGangReservations(unittest.TestCase):
+    """An owner reserves capacity for the first gang, for a limited time."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -124,7 +124,7 @@
             self.accounts.set_worker(make_worker(name, LARGE))
         self.allocator = CapacityAllocator(self.accounts, self.clock, lambda *_: None)
 
-    def ask(self, job, size=LARGE, submitted=None, count=2, index=0):
+    def request_capacity(self, job, size=LARGE, submitted=None, count=2, index=0):
         task = f"{job}-{index}"
         request = ReservationRequest(
             task=task, attempt=1, size=SizeData(**size._asdict())
@@ -135,18 +135,18 @@
         return self.allocator.hold(request)
 
     def run_small(self, number):
-        """Hold and start a task of one workload; returns its worker."""
-        held = self.ask(f"small-00-{number}", SMALL)
-        if isinstance(held, Hold):
-            self.allocator.confirm(f"small-00-{number}-0", held.worker)
-        return held
+        """Hold capacity for a small task and start it; return the hold or a code."""
+        hold = self.request_capacity(f"small-00-{number}", SMALL)
+        if isinstance(hold, Hold):
+            self.allocator.confirm(f"small-00-{number}-0", hold.worker)
+        return hold
 
     def end_small(self, number):
-        held = self.accounts.release(f"small-00-{number}-0")
-        self.allocator.record_end(held.worker, held.need.task, "succeeded")
+        hold = self.accounts.release(f"small-00-{number}-0")
+        self.allocator.record_end(hold.worker, hold.need.task, "succeeded")
 
-    def learn(self):
-        """Let tasks of one workload be seen to run for ten seconds."""
+    def observe_short_tasks(self):
+        """Let the estimates observe tasks of one workload that run for 10 s."""
         for number in range(8):
             self.run_small(number)
         self.clock.move(10 * SECOND)
@@ -154,7 +154,7 @@
             self.end_small(number)
 
     def fill(self, seconds):
-        """Let a task run whose declared time is known, on each worker."""
+        """Run a task with a declared run time on each worker."""
         for name in ("w", "x"):
             need = TaskNeed(
                 f"long-00-{name}-0",
@@ -165,44 +165,46 @@
             )
             self.accounts.reserve(need, name)
 
-    def test_learnt_short_work_is_let_in_and_unknown_work_is_not(self):
-        self.learn()
+    def test_known_short_tasks_are_placed_and_unknown_tasks_are_not(self):
+        self.observe_short_tasks()
         self.fill(60)
-        self.assertEqual(self.ask("gang-00-a", submitted=1), "room_kept")
+        self.assertEqual(self.request_capacity("gang-00-a", submitted=1), "room_kept")
         self.assertIsInstance(self.run_small(20), Hold)
-        self.assertEqual(self.ask("other-00-a", SMALL), "no_room")
+        self.assertEqual(self.request_capacity("other-00-a", SMALL), "no_room")
 
-    def test_short_work_is_refused_once_it_would_delay_the_gang(self):
-        self.learn()
+    def test_short_tasks_are_refused_once_they_would_delay_the_gang(self):
+        self.observe_short_tasks()
         self.fill(60)
         for _ in range(14):
-            self.ask("gang-00-a", submitted=1)
+            self.request_capacity("gang-00-a", submitted=1)
             self.clock.move(4 * SECOND)
         self.assertEqual(self.allocator.find_reserved_gang(), "gang-00-a")
         self.assertEqual(self.run_small(20), "no_room")
 
-    def test_first_gang_goes_before_others_whoever_asks_first(self):
+    def test_the_first_submitted_gang_has_priority_in_any_order(self):
         self.fill(60)
-        self.assertEqual(self.ask("gang-00-b", submitted=2), "room_kept")
-        self.assertEqual(self.ask("gang-01-a", submitted=1), "room_kept")
-        self.assertEqual(self.ask("gang-00-b", submitted=2), "no_room")
+        self.assertEqual(self.request_capacity("gang-00-b", submitted=2), "room_kept")
+        self.assertEqual(self.request_capacity("gang-01-a", submitted=1), "room_kept")
+        self.assertEqual(self.request_capacity("gang-00-b", submitted=2), "no_room")
         self.assertEqual(self.allocator.find_reserved_gang(), "gang-01-a")
 
-    def test_room_is_kept_for_a_bounded_time(self):
+    def test_capacity_is_reserved_for_a_limited_time(self):
         self.fill(20 * 3600)
-        for _ in range(KEEP_LIMIT // (4 * SECOND)):
-            self.assertEqual(self.ask("gang-00-a", submitted=1), "room_kept")
+        for _ in range(RESERVATION_LIMIT // (4 * SECOND)):
+            self.assertEqual(
+                self.request_capacity("gang-00-a", submitted=1), "room_kept"
+            )
             self.clock.move(4 * SECOND)
-        self.assertEqual(self.ask("gang-00-a", submitted=1), "no_room")
-        self.assertIsInstance(self.ask("other-00-a", SMALL), Hold)
-        self.clock.move(REST_TIME)
+        self.assertEqual(self.request_capacity("gang-00-a", submitted=1), "no_room")
+        self.assertIsInstance(self.request_capacity("other-00-a", SMALL), Hold)
+        self.clock.move(COOLDOWN)
         self.allocator.expire()
-        self.assertEqual(self.ask("gang-00-a", submitted=1), "room_kept")
+        self.assertEqual(self.request_capacity("gang-00-a", submitted=1), "room_kept")
 
-    def test_room_ends_when_nobody_asks_again(self):
+    def test_a_reservation_expires_without_further_requests(self):
         self.fill(60)
-        self.ask("gang-00-a", submitted=1)
+        self.request_capacity("gang-00-a", submitted=1)
         self.clock.move(6 * SECOND)
         self.allocator.expire()
         self.assertEqual(self.allocator.find_reserved_gang(), "")
-        self.assertIsInstance(self.ask("other-00-a", SMALL), Hold)
+        self.assertIsInstance(self.request_capacity("other-00-a", SMALL), Hold)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement against a naive scheduler that scans every worker."""
+"""Placement compared with a naive scheduler that scans every worker."""
 
 import unittest
 
@@ -43,7 +43,7 @@
 
 
 class TestPlacer(unittest.TestCase):
-    """Fits where it says so, and says impossible only when it is."""
+    """Placements fit, and only tasks that can't fit are reported impossible."""
 
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(WORKERS, NEEDS)
@@ -111,7 +111,7 @@
         need = TaskNeed("t", Size(1000, 1000, 0), avoid=frozenset(NAMES))
         self.assertEqual(placer.place(need).worker, "fast")
 
-    def test_a_refused_cell_hides_no_looser_one(self):
+    def test_a_refused_cell_hides_no_larger_one(self):
         accounts = WorkerAccounts()
         placer = Placer(accounts)
         accounts.set_worker(make_worker("tight", Size(8000, 4000, 0)))
@@ -119,7 +119,7 @@
         need = TaskNeed("t", Size(1000, 1000, 0), avoid=frozenset({"tight"}))
         self.assertEqual(placer.place(need).worker, "loose")
 
-    def test_no_room_names_what_lacks_or_the_filter_that_refuses(self):
+    def test_no_room_names_the_dimension_or_the_filter(self):
         accounts = WorkerAccounts()
         placer = Placer(accounts)
         accounts.set_worker(make_worker("w", Size(8000, 8000, 2)))
@@ -156,7 +156,7 @@
 
 
 class TestScores(unittest.TestCase):
-    """Preferences among workers that all have room."""
+    """Preferences among workers that all have enough free capacity."""
 
     def setUp(self):
         self.accounts = WorkerAccounts()
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: only victims that may go, enough of them and no more than needed."""
+"""Preemption chooses only allowed victims, enough of them and no unneeded ones."""
 
 import unittest
 from datetime import timedelta
@@ -29,7 +29,7 @@
 
 
 def make_preemptor(workers, limit=100, per_task=3):
-    """Make accounts of workers and a preemptor over them."""
+    """Return accounts of workers, a clock and a preemptor that uses them."""
     accounts = WorkerAccounts()
     for worker in workers:
         accounts.set_worker(worker)
@@ -39,56 +39,64 @@
 
 
 class TestPreemptor(unittest.TestCase):
-    """Who has to go, and who never has to."""
+    """The choice of victims."""
 
     @settings(derandomize=True, deadline=None, max_examples=400)
     @given(st.lists(TASKS, max_size=10), SIZES, st.sampled_from(list(Urgency)))
-    def test_victims_may_go_suffice_and_are_all_needed(self, tasks, size, urgency):
+    def test_victims_are_allowed_sufficient_and_all_needed(self, tasks, size, urgency):
         workers = [make_worker(name, Size(6, 6, 1)) for name in ("w0", "w1")]
         accounts, clock, preemptor = make_preemptor(workers)
         clock.move(10 * SECOND)
-        for number, (held, rank, idempotent, checkpoint, start, worker) in enumerate(
-            tasks
-        ):
+        for number, (
+            task_size,
+            rank,
+            idempotent,
+            checkpoint,
+            start,
+            worker,
+        ) in enumerate(tasks):
             need = TaskNeed(
-                f"t{number}", held, "", rank, idempotent, checkpoint,
+                f"t{number}", task_size, "", rank, idempotent, checkpoint,
                 started=start * SECOND,
             )  # fmt: skip
             accounts.reserve(need, worker)
         need = TaskNeed("new", size, urgency=urgency)
-        rooms = {
-            name: self.find_most_room(accounts, name, need) for name in ("w0", "w1")
+        capacities = {
+            name: self.find_preemptible_capacity(accounts, name, need)
+            for name in ("w0", "w1")
         }
         victims = preemptor.choose(need)
         if isinstance(victims, NoVictims):
-            self.assertFalse(any(fits(size, room) for room in rooms.values()))
+            self.assertFalse(
+                any(fits(size, capacity) for capacity in capacities.values())
+            )
             return
         account = accounts.workers[victims.worker]
-        gone = [account.reservations[task].need for task in victims.checkpointed]
-        self.assertTrue(all(running.checkpoint for running in gone))
+        preempted = [account.reservations[task].need for task in victims.checkpointed]
+        self.assertTrue(all(running.checkpoint for running in preempted))
         stopped = [account.reservations[task].need for task in victims.stopped]
         self.assertTrue(all(running.idempotent for running in stopped))
         self.assertTrue(not stopped or urgency is Urgency.URGENT)
-        gone += stopped
-        for left_out in [*gone, None]:
-            room = account.free
-            for running in gone:
-                if running is not left_out:
-                    room = add_sizes(room, running.size)
+        preempted += stopped
+        for left_running in [*preempted, None]:
+            capacity = account.free
+            for running in preempted:
+                if running is not left_running:
+                    capacity = add_sizes(capacity, running.size)
                 self.assertLess(RANKS[urgency], RANKS[running.urgency])
-            self.assertEqual(fits(size, room), left_out is None)
+            self.assertEqual(fits(size, capacity), left_running is None)
 
-    def find_most_room(self, accounts, name, need):
+    def find_preemptible_capacity(self, accounts, name, need):
         account = accounts.workers[name]
-        room = account.free
-        for held in account.reservations.values():
-            running = held.need
-            may_go = running.checkpoint or (
+        capacity = account.free
+        for reservation in account.reservations.values():
+            running = reservation.need
+            may_preempt = running.checkpoint or (
                 running.idempotent and need.urgency is Urgency.URGENT
             )
-            if may_go and RANKS[need.urgency] < RANKS[running.urgency]:
-                room = add_sizes(room, running.size)
-        return room
+            if may_preempt and RANKS[need.urgency] < RANKS[running.urgency]:
+                capacity = add_sizes(capacity, running.size)
+        return capacity
 
     def test_checkpointable_tasks_go_before_others_that_lose_less(self):
         accounts, clock, preemptor = make_preemptor([make_worker("w", Size(2, 2, 0))])
@@ -102,7 +110,7 @@
         need = TaskNeed("urgent", Size(1, 1, 0), urgency=Urgency.URGENT)
         self.assertEqual(preemptor.choose(need).checkpointed, ("old",))
 
-    def test_the_worker_with_least_work_lost_is_cleared(self):
+    def test_the_worker_with_least_work_lost_is_chosen(self):
         workers = [make_worker(name, Size(1000, 1, 0)) for name in ("w", "x", "y")]
         accounts, clock, preemptor = make_preemptor(workers)
         clock.move(100 * SECOND)
@@ -113,7 +121,7 @@
         need = TaskNeed("urgent", size, urgency=Urgency.URGENT)
         self.assertEqual(preemptor.choose(need), Victims("x", (), ("x",), 10.0))
 
-    def test_a_cleared_room_is_kept_for_whom_it_was_cleared(self):
+    def test_freed_capacity_is_claimed_for_the_task_it_was_freed_for(self):
         accounts, _, preemptor = make_preemptor([make_worker("w", Size(4, 4, 0))])
         placer = Placer(accounts)
         placer.add_filter("claimed", preemptor.prepare_claims)
@@ -130,7 +138,7 @@
         preemptor.drop_claim("first")
         self.assertEqual(placer.place(other).worker, "w")
 
-    def test_the_same_room_is_not_cleared_for_two(self):
+    def test_the_same_capacity_is_not_freed_for_two_tasks(self):
         accounts, _, preemptor = make_preemptor([make_worker("w", Size(4, 4, 0))])
         for task in ("a", "b"):
             need = TaskNeed(task, Size(1, 1, 0), urgency=Urgency.LOW)
@@ -144,7 +152,7 @@
 
 
 class TestPreemptionBudget(unittest.TestCase):
-    """Preemption doesn't spread."""
+    """Preemption is limited for each task and in total."""
 
     def test_tasks_are_preempted_a_bounded_number_of_times(self):
         accounts, _, preemptor = make_preemptor(
@@ -160,13 +168,13 @@
             preemptor.drop_claim(f"u{number}")
         self.assertEqual(victims, NoVictims("no_victims"))
 
-    def test_victims_of_a_worker_that_was_lost_lend_it_no_room_later(self):
+    def test_victims_of_a_lost_worker_do_not_count_when_it_returns(self):
         for size in (Size(1, 1, 0), Size(2, 2, 0)):
             with self.subTest(size=size):
                 self.lose_worker(size)
 
     def lose_worker(self, size):
-        """Lose a worker whose task is a victim, and get it back without it."""
+        """Lose a worker with a victim, and get it back without the task."""
         worker = make_worker("w", Size(2, 2, 0))
         accounts, _, preemptor = make_preemptor([worker])
         low = TaskNeed("low", Size(2, 2, 0), urgency=Urgency.LOW, checkpoint=True)
@@ -176,7 +184,7 @@
         accounts.remove_worker("w")
         preemptor.drop_claim("u")
         accounts.set_worker(worker)
-        self.assertEqual(preemptor.find_room("w"), Size(2, 2, 0))
+        self.assertEqual(preemptor.find_free_capacity("w"), Size(2, 2, 0))
         accounts.reserve(low._replace(task="other"), "w")
         self.assertEqual(preemptor.choose(urgent).checkpointed, ("other",))
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Failing workers are told from failing workloads; quarantine is capped."""
+"""Failing workers are distinguished from failing workloads; quarantine is capped."""
 
 import random
 import unittest
@@ -9,8 +9,8 @@
 
 from damaskdeck.coordination.places.failures import FailureHistory
 from damaskdeck.coordination.places.quarantine import (
-    PAUSE,
-    PAUSE_LIMIT,
+    INITIAL_PERIOD,
+    MAX_PERIOD,
     Quarantine,
     WorkerState,
 )
@@ -20,7 +20,7 @@
 
 
 class Cell:
-    """A quarantine under tasks that end at once."""
+    """A quarantine with tasks that end at once."""
 
     def __init__(self, fleet=FLEET, **options):
         self.clock = ManualClock()
@@ -48,24 +48,24 @@
         return self.quarantine.find_state(worker)
 
 
-class TestBlame(unittest.TestCase):
-    """Who is at fault when a task fails."""
+class TestFaultAttribution(unittest.TestCase):
+    """Whether a worker or a workload is at fault when a task fails."""
 
-    def test_a_worker_that_fails_what_runs_well_elsewhere_is_held(self):
+    def test_a_worker_that_fails_what_runs_well_elsewhere_is_isolated(self):
         cell = Cell()
         cell.break_worker()
         self.assertEqual(cell.find_state(), WorkerState.QUARANTINED)
         self.assertFalse(cell.quarantine.may_start("w0", True))
         self.assertEqual(cell.quarantine.isolated, {"w0"})
 
-    def test_a_worker_is_held_for_many_jobs_not_for_one_that_is_retried(self):
+    def test_a_worker_is_isolated_for_many_jobs_not_for_one_retried(self):
         cell = Cell()
         cell.run("w1", "checks", True)
         for _ in range(10):
             cell.run("w0", "checks", False, job="poison")
         self.assertEqual(cell.quarantine.isolated, frozenset())
 
-    def test_a_workload_that_fails_everywhere_holds_no_worker(self):
+    def test_a_workload_that_fails_everywhere_isolates_no_worker(self):
         cell, rng = Cell(), random.Random(1)
         for worker in sorted(FLEET):
             cell.run(worker, "checks", True)
@@ -73,22 +73,22 @@
             cell.run(rng.choice(sorted(FLEET)), "broken", False)
         self.assertEqual(cell.quarantine.isolated, frozenset())
 
-    def test_a_workload_that_ran_nowhere_yet_speaks_once_against_a_worker(self):
+    def test_a_workload_that_never_ran_counts_once_against_a_worker(self):
         cell = Cell()
         for _ in range(10):
             cell.run("w0", "broken", False)
         self.assertEqual(cell.quarantine.isolated, frozenset())
 
-    def test_a_success_takes_the_blame_from_a_workload(self):
+    def test_a_success_clears_a_workload(self):
         failures = FailureHistory()
         for worker in ("w0", "w1", "w2"):
             self.assertFalse(failures.is_workload_failing("checks"))
-            failures.note_failure(worker, "checks", "job")
+            failures.record_failure(worker, "checks", "job")
         self.assertTrue(failures.is_workload_failing("checks"))
-        failures.note_success("w3", "checks", timedelta())
+        failures.record_success("w3", "checks", timedelta())
         self.assertFalse(failures.is_workload_failing("checks"))
 
-    def test_a_workload_that_breaks_after_running_well_frees_who_it_held(self):
+    def test_a_workload_that_breaks_later_releases_its_workers(self):
         cell = Cell()
         cell.run("w9", "checks", True)
         for _ in range(5):
@@ -98,7 +98,7 @@
             cell.run(worker, "checks", False)
         self.assertEqual(cell.quarantine.isolated, frozenset())
 
-    def test_several_broken_workloads_hold_no_worker_that_runs_others_well(self):
+    def test_several_broken_workloads_isolate_no_sound_worker(self):
         cell, rng = Cell(cap_share=1.0), random.Random(3)
         broken = ("fits", "plans", "routes", "sums")
         for _ in range(3000):
@@ -115,19 +115,19 @@
             cell.run(worker, rng.choice(workloads), worker not in failing)
         self.assertEqual(cell.quarantine.isolated, failing)
 
-    def test_an_outsider_is_never_held(self):
+    def test_an_unknown_worker_is_never_isolated(self):
         cell = Cell()
         cell.break_worker("gone")
         self.assertEqual(cell.quarantine.isolated, frozenset())
 
 
-class TestReturn(unittest.TestCase):
-    """A held worker comes back slowly."""
+class TestRelease(unittest.TestCase):
+    """A quarantined worker is released gradually."""
 
-    def test_a_held_worker_is_probed_by_idempotent_tasks_then_opened(self):
+    def test_an_isolated_worker_is_probed_by_idempotent_tasks(self):
         cell = Cell()
         cell.break_worker()
-        cell.clock.move(PAUSE)
+        cell.clock.move(INITIAL_PERIOD)
         quarantine = cell.quarantine
         self.assertEqual(cell.find_state(), WorkerState.PROBING)
         self.assertFalse(quarantine.may_start("w0", False))
@@ -143,22 +143,22 @@
         self.assertEqual(cell.find_state(), WorkerState.OPEN)
         self.assertTrue(quarantine.may_start("w0", False))
 
-    def test_each_failed_probe_doubles_the_pause_up_to_a_limit(self):
+    def test_each_failed_probe_doubles_the_period_up_to_a_limit(self):
         cell = Cell()
         cell.break_worker()
-        pause = PAUSE
+        period = INITIAL_PERIOD
         for _ in range(9):
-            cell.clock.move(pause - timedelta(milliseconds=1))
+            cell.clock.move(period - timedelta(milliseconds=1))
             self.assertEqual(cell.find_state(), WorkerState.QUARANTINED)
             cell.clock.move(timedelta(milliseconds=1))
             self.assertTrue(cell.run("w0", "checks", False))
-            pause = min(pause * 2, PAUSE_LIMIT)
-        self.assertEqual(pause, PAUSE_LIMIT)
+            period = min(period * 2, MAX_PERIOD)
+        self.assertEqual(period, MAX_PERIOD)
 
-    def test_a_late_end_of_old_work_is_no_probe(self):
+    def test_a_late_end_of_an_earlier_task_is_no_probe(self):
         cell = Cell()
         cell.break_worker()
-        cell.clock.move(PAUSE)
+        cell.clock.move(INITIAL_PERIOD)
         for number in range(5):
             cell.quarantine.record_end(
                 "w0", "checks", f"{number}", f"old-{number}", True
@@ -167,7 +167,7 @@
 
 
 class TestCap(unittest.TestCase):
-    """Quarantine never takes more than its share of the fleet."""
+    """Quarantine never isolates more than its share of the fleet."""
 
     @settings(derandomize=True, deadline=None, max_examples=60)
     @given(
@@ -181,7 +181,7 @@
         ),
         st.sampled_from((0.1, 0.25)),
     )
-    def test_held_workers_never_exceed_the_cap(self, steps, share):
+    def test_isolated_workers_never_exceed_the_cap(self, steps, share):
         cell = Cell(cap_share=share)
         count = len(FLEET)
         for kind, number, workload in steps:
@@ -190,7 +190,7 @@
                 count = number
                 cell.quarantine.set_fleet(frozenset(f"w{n}" for n in range(count)))
             elif kind == "wait":
-                cell.clock.move(PAUSE * number)
+                cell.clock.move(INITIAL_PERIOD * number)
             else:
                 cell.run(worker, f"load-{workload}", kind == "ok")
             most = max(int(count * share), 1 if count > 1 else 0)
@@ -199,7 +199,7 @@
                 all(int(name[1:]) < count for name in cell.quarantine.isolated)
             )
 
-    def test_a_smaller_fleet_lets_the_latest_held_go(self):
+    def test_a_smaller_fleet_releases_the_latest_isolated_workers(self):
         cell = Cell()
         cell.break_worker("w0")
         cell.break_worker("w2")
