--- a/tests/test_task_plane.py
+++ b/tests/test_task_plane.py
@@ -1,4 +1,4 @@
-"""Random faults against the task plane: its promises hold at every step."""
+"""Random faults in the task plane: its invariants hold at every step."""
 
 import asyncio
 import unittest
@@ -235,4 +235,64 @@
 
 
 class TestTaskPlane(TaskPlaneMachine.TestCase, unittest.TestCase):
-    """Deaths, pauses, lost answers, outages, lapsed leases, also two at once."""
+    """Deaths, pauses, lost answers, outages and lapsed leases, also combined."""
+
+
+class FixedChoice:
+    """Replaces the data of Hypothesis by one fixed choice."""
+
+    def __init__(self, name):
+        self.name = name
+
+    def draw(self, strategy):
+        return self.name
+
+
+class TestFoundSteps(unittest.TestCase):
+    """Steps of the state machine that have shown a fault."""
+
+    def test_replaced_worker_is_not_overfilled_under_a_taken_over_ledger(self):
+        """A replaced worker gets more tasks than it can hold.
+
+        The ledger and the worker change owners while the worker is replaced and
+        paused. It then runs tasks of 5,000 and later 6,000 millicores in total,
+        although its size is 4,000.
+        """
+        machine = TaskPlaneMachine()
+        self.check(machine)
+        for name, *arguments in (
+            ("take_over", "ledger/00", FixedChoice("d2")),
+            ("submit", "many", "d1", PAYLOAD),
+            ("submit", "gang", "d1", PAYLOAD),
+            ("replace_worker", "w1"),
+            ("replace_worker", "w1"),
+            ("take_over", "worker/w1", FixedChoice("d3")),
+            ("pause_worker", "w1", 9),
+            ("submit", "large", "d1", PAYLOAD),
+            ("replace_worker", "w3"),
+            ("replace_worker", "w2"),
+            ("pause_worker", "w1", 30),
+            ("take_over", "ledger/00", FixedChoice("d3")),
+            ("pause_worker", "w2", 9),
+            ("replace_worker", "w3"),
+            ("pause_worker", "w3", 30),
+            ("submit", "many", "d2", FAILING),
+            ("replace_worker", "w3"),
+            ("take_over", "ledger/00", FixedChoice("d2")),
+            ("submit", "large", "d2", PAYLOAD),
+            ("replace_worker", "w2"),
+            ("submit", "once", "d1", PAYLOAD),
+            ("replace_worker", "w1"),
+            ("take_over", "ledger/00", FixedChoice("d3")),
+            ("pause_worker", "w2", 30),
+            ("take_over", "worker/w2", FixedChoice("d3")),
+        ):
+            getattr(machine, name)(*arguments)
+            self.check(machine)
+        machine.teardown()
+
+    def check(self, machine):
+        """Check the invariants of the machine, as after each of its steps."""
+        machine.no_non_idempotent_task_starts_twice()
+        machine.no_task_runs_in_two_places()
+        machine.no_worker_holds_more_than_its_size()
