--- a/src/damaskdeck/coordination/jobs/__init__.py
+++ b/src/damaskdeck/coordination/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs from their submission to their end, kept in ledgers."""
+"""Jobs from submission to completion, stored in ledgers."""
--- a/src/damaskdeck/coordination/jobs/controllers.py
+++ b/src/damaskdeck/coordination/jobs/controllers.py
@@ -1,4 +1,4 @@
-"""Everything that the keeper of one ledger does, put together."""
+"""The controller of one owned ledger, which combines all of its components."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,12 +6,12 @@
 
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.jobs.dispatch import Dispatcher
-from damaskdeck.coordination.jobs.keys import Keys
+from damaskdeck.coordination.jobs.keys import KeyRegistry
 from damaskdeck.coordination.jobs.launches import Launcher
 from damaskdeck.coordination.jobs.ownedledger import OwnedLedger
 from damaskdeck.coordination.jobs.retention import Retention
 from damaskdeck.coordination.jobs.services import Services
-from damaskdeck.coordination.jobs.shapes import Shapes
+from damaskdeck.coordination.jobs.shapes import WorkerShapes
 from damaskdeck.coordination.jobs.submissions import Submissions
 from damaskdeck.coordination.jobs.tracker import TaskTracker
 from damaskdeck.coordination.queues.queueing import JobQueue
@@ -33,10 +33,11 @@
 
 
 class LedgerController:
-    """One kept ledger with its queue, its launches and its follow-ups.
+    """Runs one owned ledger with its queue, launches and task tracking.
 
-    :param ledger: not opened yet.
-    :param watch: called with the task that places once it has ended.
+    :param ledger: the ledger, which isn't open yet.
+    :param watch: called with the background task of the controller once it ends.
+    :param ledger_count: number of ledgers of the deployment.
     """
 
     def __init__(
@@ -52,13 +53,13 @@
     ) -> None:
         self.ledger = ledger
         self._watch = watch
-        self.shapes = Shapes()
+        self.shapes = WorkerShapes()
         self.quotas = Quotas()
-        self.keys = Keys(ledger)
+        self.keys = KeyRegistry(ledger)
         self.tracker = TaskTracker(
             ledger, ownership, peers, clock, lambda name: name in self.shapes.names
         )
-        launcher = Launcher(ledger, ownership, peers, self.tracker.doubt)
+        launcher = Launcher(ledger, ownership, peers, self.tracker.mark_unconfirmed)
         queue = JobQueue(clock, self.quotas)
         owners = OwnerSelector(members, clock)
         self.dispatcher = Dispatcher(
@@ -73,7 +74,7 @@
         self._runner: asyncio.Task[None] | None = None
 
     async def open(self, workers: tuple[Instance, ...]) -> None:
-        """Fence off earlier keepers and replay, then start to place."""
+        """Fence earlier owners, replay the ledger and start to place tasks."""
         self.set_workers(workers)
         for resource in self._configuration.list(Kind.TEAM):
             self.set_team(resource["metadata"]["name"], resource)
@@ -81,31 +82,31 @@
         if not await self.ledger.open():
             return
         took = timedelta(seconds=self.ledger.get_time() - started)
-        _log.info("Keeps a ledger.", ledger=self.ledger.name, took=took)
+        _log.info("Opened a ledger.", ledger=self.ledger.name, took=took)
         self._runner = asyncio.ensure_future(self._run())
         self._runner.add_done_callback(self._watch)
 
     async def close(self) -> None:
-        """Stop placing and let the commits in progress end."""
+        """Stop placing tasks and wait for the commits in progress."""
         if self._runner is not None:
             self._runner.cancel()
         await self.ledger.close()
 
     def set_workers(self, workers: tuple[Instance, ...]) -> None:
-        """Take over the platform's list of workers."""
+        """Replace the list of workers by the platform's current one."""
         self.shapes.set_workers(workers)
         self.quotas.set_capacity(self.shapes.capacity)
-        self.dispatcher.wake()
+        self.dispatcher.request_pass()
 
     def set_team(self, name: str, resource: Resource | None) -> None:
-        """Take over a team's quota."""
+        """Set the quota of a team, or remove it if ``resource`` is ``None``."""
         if resource is None:
             self.quotas.remove_quota(name)
             return
         spec: TeamSpec = resource.get("spec", {})
         weight = spec.get("weight", 1.0)
         self.quotas.set_quota(name, parse_size(spec["quota"]), weight)
-        self.dispatcher.wake()
+        self.dispatcher.request_pass()
 
     async def _run(self) -> None:
         await self.tracker.check_all()
--- a/src/damaskdeck/coordination/jobs/impossible.py
+++ b/src/damaskdeck/coordination/jobs/impossible.py
@@ -1,4 +1,4 @@
-"""Jobs that no listed worker could ever hold: told at once, refused later."""
+"""Jobs that no listed worker could ever hold: reported at once, refused later."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -6,65 +6,72 @@
 
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.jobs.ownedledger import OwnedLedger
-from damaskdeck.coordination.jobs.shapes import Shapes
+from damaskdeck.coordination.jobs.shapes import WorkerShapes
 from damaskdeck.logs import get_logger
 from damaskdeck.state import records
 
-# A rack that is being replaced doesn't cost the jobs that wait for it.
-IMPOSSIBLE_LIMIT = timedelta(seconds=60)
+# Long enough that jobs aren't refused while the rack that they need is being replaced.
+IMPOSSIBLE_TIMEOUT = timedelta(seconds=60)
 
 _log = get_logger("dispatch")
 
 
 class Impossible(NamedTuple):
-    """Since when no listed worker could ever hold a job, and what they lack."""
+    """No listed worker could ever hold a job.
+
+    :param since: monotonic time since when this is so.
+    :param shortage: the dimension or property that no worker has enough of.
+    """
 
     since: timedelta
-    lack: str
+    shortage: str
 
     @property
     def reason(self) -> str:
-        """Plain words for people."""
-        return f"no worker of the fleet has enough {self.lack}"
+        """The reason for people to read."""
+        return f"no worker of the fleet has enough {self.shortage}"
 
 
 class ImpossibleJobs:
-    """Judges the waiting jobs of one kept ledger when the fleet changes."""
+    """Finds the impossible jobs of one owned ledger when the fleet changes."""
 
-    def __init__(self, kept: OwnedLedger, shapes: Shapes, clock: Clock) -> None:
-        self._kept = kept
+    def __init__(self, ledger: OwnedLedger, shapes: WorkerShapes, clock: Clock) -> None:
+        self._ledger = ledger
         self._shapes = shapes
         self._clock = clock
         self._found: dict[str, Impossible] = {}
-        self._judged: frozenset[str] | None = None
-        self._next = timedelta()
+        self._checked_workers: frozenset[str] | None = None
+        self._next_check = timedelta()
 
     def find_reason(self, job: str) -> str | None:
-        """Return why a job can't run at present, if no worker could hold it."""
+        """Return the reason if no listed worker could hold a job, else ``None``."""
         found = self._found.get(job)
         return found.reason if found else None
 
-    async def judge(self, waiting: Iterable[str]) -> None:
-        """Judge jobs after a change of the fleet, and refuse those judged long."""
+    async def update(self, waiting: Iterable[str]) -> None:
+        """Check all waiting jobs and refuse those that have long been impossible.
+
+        Jobs are checked after a change of the fleet, and from time to time.
+        """
         now = self._clock.monotonic()
-        if self._judged is self._shapes.names and now < self._next:
+        if self._checked_workers is self._shapes.names and now < self._next_check:
             return
-        self._judged = self._shapes.names
-        self._next = now + IMPOSSIBLE_LIMIT / 10
+        self._checked_workers = self._shapes.names
+        self._next_check = now + IMPOSSIBLE_TIMEOUT / 10
         found: dict[str, Impossible] = {}
         for name in waiting:
-            job = self._kept.table.jobs.get(name)
-            lack = self._shapes.find_impossible(job.spec) if job else None
-            if lack is not None:
-                known = self._found.get(name)
-                found[name] = Impossible(known.since if known else now, lack)
+            job = self._ledger.table.jobs.get(name)
+            shortage = self._shapes.find_impossible(job.spec) if job else None
+            if shortage is not None:
+                previous = self._found.get(name)
+                found[name] = Impossible(previous.since if previous else now, shortage)
         self._found = found
-        late = [n for n, i in found.items() if now - i.since >= IMPOSSIBLE_LIMIT]
-        await self._refuse_all([name for name in late if not self._is_service(name)])
+        overdue = [n for n, i in found.items() if now - i.since >= IMPOSSIBLE_TIMEOUT]
+        await self._refuse_all([name for name in overdue if not self._is_service(name)])
 
     def _is_service(self, name: str) -> bool:
-        """Tell whether a job is declared to run, so that it waits on."""
-        return self._kept.table.jobs[name].spec["type"] == "service"
+        """Return whether a job belongs to a service, which waits without a limit."""
+        return self._ledger.table.jobs[name].spec["type"] == "service"
 
     async def _refuse_all(self, names: list[str]) -> None:
         changes: list[tuple[object, type]] = []
@@ -74,8 +81,8 @@
                 jobs=[name],
                 code="impossible",
                 detail=self._found[name].reason,
-                at=self._kept.get_time(),
+                at=self._ledger.get_time(),
             )
             changes.append((refused, records.RefusedJobs))
         if changes:
-            await self._kept.commit(*changes)
+            await self._ledger.commit(*changes)
--- a/src/damaskdeck/coordination/jobs/keys.py
+++ b/src/damaskdeck/coordination/jobs/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys of requests, on the keeper of the team's ledger."""
+"""Idempotency keys of requests, on the owner of the team's ledger."""
 
 from datetime import timedelta
 
@@ -13,20 +13,20 @@
 IN_PROGRESS_RETRY = timedelta(seconds=1)
 
 
-class Keys:
-    """Claims and settles the keys of one kept ledger."""
+class KeyRegistry:
+    """Claims and settles the keys of one owned ledger."""
 
-    def __init__(self, kept: OwnedLedger) -> None:
-        self._kept = kept
+    def __init__(self, ledger: OwnedLedger) -> None:
+        self._ledger = ledger
         self._claiming: set[KeyIndex] = set()
 
     async def claim(
         self, index: KeyIndex, digest: bytes, timeout: timedelta
     ) -> ClaimedKey | KnownKey | Refused | Unknown:
-        """Claim a key; only one caller is ever told that it may run."""
-        key = self._kept.table.keys.get(index)
+        """Claim a key; ``ClaimedKey`` is returned to only one caller ever."""
+        key = self._ledger.table.keys.get(index)
         if key is not None:
-            return self._tell(key, digest)
+            return self._report(key, digest)
         if index in self._claiming:
             return Refused("in_progress", retry_after=IN_PROGRESS_RETRY)
         self._claiming.add(index)
@@ -44,14 +44,14 @@
             service=service,
             key=name,
             digest=digest,
-            deadline=self._kept.get_time() + timeout.total_seconds(),
+            deadline=self._ledger.get_time() + timeout.total_seconds(),
         )
-        outcome = await self._kept.commit((record, records.KeyClaimed))
+        outcome = await self._ledger.commit((record, records.KeyClaimed))
         return ClaimedKey() if isinstance(outcome, Committed) else outcome
 
     async def settle(self, index: KeyIndex, outcome: Outcome) -> bool:
-        """Remember an outcome; returns whether it is durable."""
-        key = self._kept.table.keys.get(index)
+        """Store the outcome of a key; return whether it is durable."""
+        key = self._ledger.table.keys.get(index)
         if key is None:
             return False
         if key.outcome is not None:
@@ -62,18 +62,18 @@
             service=service,
             key=name,
             outcome=build_outcome_data(outcome),
-            at=self._kept.get_time(),
+            at=self._ledger.get_time(),
         )
-        done = await self._kept.commit((record, records.KeySettled))
-        return isinstance(done, Committed)
+        settled = await self._ledger.commit((record, records.KeySettled))
+        return isinstance(settled, Committed)
 
-    def _tell(self, key: IdempotencyKey, digest: bytes) -> KnownKey | Refused:
+    def _report(self, key: IdempotencyKey, digest: bytes) -> KnownKey | Refused:
         if key.digest != digest:
             return Refused("key_reused", "the key was used with another request")
         if key.outcome is not None:
             return KnownKey(parse_outcome(key.outcome))
-        if self._kept.get_time() >= key.deadline:
+        if self._ledger.get_time() >= key.deadline:
             return KnownKey(
-                Unknown("answer_lost", "the first request's end is unknown")
+                Unknown("answer_lost", "the first request's outcome is unknown")
             )
         return Refused("in_progress", retry_after=IN_PROGRESS_RETRY)
--- a/src/damaskdeck/coordination/jobs/launches.py
+++ b/src/damaskdeck/coordination/jobs/launches.py
@@ -5,8 +5,8 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from damaskdeck.coordination.jobs.news import is_idempotent
 from damaskdeck.coordination.jobs.ownedledger import OwnedLedger
+from damaskdeck.coordination.jobs.updates import is_idempotent
 from damaskdeck.metrics import count_retry
 from damaskdeck.protocol import jobs
 from damaskdeck.protocol.members import Ownership
@@ -17,12 +17,13 @@
 from damaskdeck.state.ledger import Committed
 
 CALL_TIMEOUT = timedelta(seconds=3)
-# Refusals of an owner that is to have the room; no other is asked for it then.
-PROMISED = frozenset({"room_kept", "making_room"})
+# Refusals of an owner that reserves or frees the capacity; no other owner is called
+# for it then.
+RESERVING_CODES = frozenset({"room_kept", "making_room"})
 
 
-class Pick(NamedTuple):
-    """An owner of workers chosen for the next attempt of a task."""
+class Assignment(NamedTuple):
+    """The worker owner chosen for the next attempt of a task."""
 
     owner: str
     request: jobs.ReservationRequest
@@ -37,104 +38,129 @@
 
 
 class Launcher:
-    """Starts tasks of one kept ledger through the owners of workers.
+    """Starts tasks of one owned ledger through the owners of workers.
 
-    Promise: "A request marked as non-idempotent runs at most once": no start is
-    sent before the placement, its start mark, is durable, and each attempt's
-    start is sent once.
+    It upholds "A request marked as non-idempotent runs at most once": no start is
+    sent before the placement, which is its start mark, is durable, and the start
+    of each attempt is sent once.
 
-    :param doubt: takes attempts of which it isn't known whether they started.
+    :param mark_unconfirmed: called with the tasks that may or may not have started.
     """
 
     def __init__(
         self,
-        kept: OwnedLedger,
+        ledger: OwnedLedger,
         ownership: Ownership,
         peers: Peers,
-        doubt: Callable[[Iterable[str]], None],
+        mark_unconfirmed: Callable[[Iterable[str]], None],
     ) -> None:
-        self._kept = kept
+        self._ledger = ledger
         self._ownership = ownership
         self._peers = peers
-        self._doubt = doubt
+        self._mark_unconfirmed = mark_unconfirmed
 
-    async def launch(self, picks: list[Pick]) -> dict[str, str]:
-        """Start tasks of one owner, those of them that it has room for.
+    async def launch(self, assignments: list[Assignment]) -> dict[str, str]:
+        """Start the tasks that their common owner has capacity for.
 
-        :returns: a code for each task that surely was not placed.
+        :returns: a code for each task that was certainly not placed.
         """
-        granted, refused = await self._reserve(picks[0].owner, picks)
-        return refused | await self._commit({picks[0].owner: granted})
+        granted, refused = await self._reserve(assignments[0].owner, assignments)
+        return refused | await self._commit({assignments[0].owner: granted})
 
-    async def launch_gang(self, picks: list[Pick], owners: list[str]) -> dict[str, str]:
+    async def launch_gang(
+        self, assignments: list[Assignment], owners: list[str]
+    ) -> dict[str, str]:
         """Start all tasks of a gang at once, or none.
 
-        Owners are asked in order of their names and holds end by themselves, so
-        that gangs neither wait for each other nor leave anything behind. What an
-        owner keeps or makes room for isn't asked of the others; unless all the
-        rest is granted or kept as well, kept room is given up.
+        Owners are called in the order of their names and holds expire, so gangs
+        don't wait for each other and leave nothing behind. Tasks for which an owner
+        reserves or frees capacity aren't requested from other owners. Unless all
+        other tasks are granted or have capacity reserved as well, the reservations
+        are released.
         """
-        parts: dict[str, Grants] = {}
-        kept: dict[str, list[Pick]] = {}
-        left = {pick.task: pick for pick in picks}
+        grants_by_owner: dict[str, Grants] = {}
+        reserved: dict[str, list[Assignment]] = {}
+        remaining = {assignment.task: assignment for assignment in assignments}
         codes: dict[str, str] = {}
         for owner in sorted(owners):
-            asked = _number_gang(list(left.values()))
-            parts[owner], refused = await self._reserve(owner, asked)
+            requested = _number_gang(list(remaining.values()))
+            grants_by_owner[owner], refused = await self._reserve(owner, requested)
             codes |= refused
-            kept[owner] = [p for p in asked if refused.get(p.task) in PROMISED]
-            done = {*parts[owner], *(pick.task for pick in kept[owner])}
-            left = {task: left[task] for task in left if task not in done}
-            if not left:
+            reserved[owner] = [
+                p for p in requested if refused.get(p.task) in RESERVING_CODES
+            ]
+            done = {
+                *grants_by_owner[owner],
+                *(assignment.task for assignment in reserved[owner]),
+            }
+            remaining = {
+                task: remaining[task] for task in remaining if task not in done
+            }
+            if not remaining:
                 break
-        is_whole = all(self._is_waiting(pick.request) for pick in picks)
-        if left or not is_whole or any(kept.values()):
-            await self._release(parts)
-            if left or not is_whole:
-                await self._release(_name_kept(kept))
-            return {pick.task: codes.get(pick.task, "gang_short") for pick in picks}
-        return await self._commit(parts)
+        all_waiting = all(
+            self._is_waiting(assignment.request) for assignment in assignments
+        )
+        if remaining or not all_waiting or any(reserved.values()):
+            await self._release(grants_by_owner)
+            if remaining or not all_waiting:
+                await self._release(_name_reserved(reserved))
+            return {
+                assignment.task: codes.get(assignment.task, "gang_short")
+                for assignment in assignments
+            }
+        return await self._commit(grants_by_owner)
 
     async def _reserve(
-        self, owner: str, picks: list[Pick]
+        self, owner: str, assignments: list[Assignment]
     ) -> tuple[Grants, dict[str, str]]:
         message = jobs.ReserveTasks(
-            ledger=self._kept.name,
-            epoch=self._kept.epoch,
-            tasks=[pick.request for pick in picks],
+            ledger=self._ledger.name,
+            epoch=self._ledger.epoch,
+            tasks=[assignment.request for assignment in assignments],
         )
         answer = await self._peers.call(owner, message, jobs.ReserveTasks, CALL_TIMEOUT)
         if not isinstance(answer, Answered) or answer.message is None:
-            return {}, {pick.task: "owner_unreachable" for pick in picks}
+            return {}, {
+                assignment.task: "owner_unreachable" for assignment in assignments
+            }
         reply: jobs.ReserveTasksReply = answer.message
         granted = {item["task"]: item for item in reply["granted"]}
         return granted, {item["task"]: item["code"] for item in reply["refused"]}
 
-    async def _commit(self, parts: dict[str, Grants]) -> dict[str, str]:
-        """Make placements durable, then start what was placed."""
+    async def _commit(self, grants_by_owner: dict[str, Grants]) -> dict[str, str]:
+        """Make placements durable, then start the placed tasks."""
         stale: dict[str, Grants] = {}
-        for owner, granted in parts.items():
+        for owner, granted in grants_by_owner.items():
             old = {t: a for t, a in granted.items() if not self._is_waiting(a)}
             stale[owner] = old
-            parts[owner] = {t: a for t, a in granted.items() if t not in old}
+            grants_by_owner[owner] = {t: a for t, a in granted.items() if t not in old}
         await self._release(stale)
-        placed = [attempt for grants in parts.values() for attempt in grants.values()]
+        placed = [
+            attempt
+            for grants in grants_by_owner.values()
+            for attempt in grants.values()
+        ]
         if not placed:
             return {}
-        outcome = await self._place(placed)
+        outcome = await self._commit_placements(placed)
         if not isinstance(outcome, Committed):
-            await self._release(parts)
+            await self._release(grants_by_owner)
             return {attempt["task"]: outcome.code for attempt in placed}
         await asyncio.gather(
-            *(self._start(owner, list(g.values())) for owner, g in parts.items() if g)
+            *(
+                self._start(owner, list(g.values()))
+                for owner, g in grants_by_owner.items()
+                if g
+            )
         )
         return {}
 
-    async def _place(
+    async def _commit_placements(
         self, placed: list[jobs.TaskAttempt]
     ) -> Committed | Refused | Unknown:
-        """Commit placements, with start marks where no start may be repeated."""
-        table = self._kept.table
+        """Commit placements, with a start mark for tasks that aren't idempotent."""
+        table = self._ledger.table
         placements = [records.Placement(**attempt) for attempt in placed]
         marked = [
             attempt["task"]
@@ -147,26 +173,26 @@
         if marked:
             mark = records.StartMarked(tasks=marked)
             changes.append((mark, records.StartMarked))
-        return await self._kept.commit(*changes)
+        return await self._ledger.commit(*changes)
 
     def _is_waiting(self, item: jobs.ReservationRequest | jobs.TaskAttempt) -> bool:
-        """Tell whether a task still waits for the start of this attempt."""
-        task = self._kept.table.tasks.get(item["task"])
+        """Return whether a task still waits for the start of this attempt."""
+        task = self._ledger.table.tasks.get(item["task"])
         return (
             task is not None
             and task.state is TaskState.QUEUED
             and task.attempt + 1 == item["attempt"]
-            and not self._kept.table.jobs[task.job].stopping
+            and not self._ledger.table.jobs[task.job].stopping
         )
 
     async def _start(self, owner: str, placed: list[jobs.TaskAttempt]) -> None:
         names = [attempt["task"] for attempt in placed]
         starts = [start for item in placed if (start := self._make_start(item))]
-        if not starts or not self._kept.may_act():
-            self._doubt(names)
+        if not starts or not self._ledger.is_owner():
+            self._mark_unconfirmed(names)
             return
         message = jobs.StartTasks(
-            ledger=self._kept.name, epoch=self._kept.epoch, tasks=starts
+            ledger=self._ledger.name, epoch=self._ledger.epoch, tasks=starts
         )
         answer = await self._peers.call(owner, message, jobs.StartTasks, CALL_TIMEOUT)
         if isinstance(answer, Answered) and answer.message is not None:
@@ -178,12 +204,12 @@
             ]
         else:
             count_retry("keeper", "start_unanswered")
-            self._doubt(names)
+            self._mark_unconfirmed(names)
             return
-        await self._take_back(refused)
+        await self._requeue(refused)
 
     def _make_start(self, item: jobs.TaskAttempt) -> jobs.TaskToStart | None:
-        table = self._kept.table
+        table = self._ledger.table
         task = table.find_attempt(item["task"], item["attempt"])
         if task is None:
             return None
@@ -195,8 +221,8 @@
             idempotent=is_idempotent(job.spec),
         )
 
-    async def _take_back(self, refused: list[jobs.Refusal]) -> None:
-        """Let tasks wait again whose start was refused: they did not run."""
+    async def _requeue(self, refused: list[jobs.Refusal]) -> None:
+        """Requeue the tasks whose start was refused; they did not run."""
         if not refused:
             return
         returns = [
@@ -209,43 +235,43 @@
             )
             for item in refused
         ]
-        requeued = records.Requeued(tasks=returns, at=self._kept.get_time())
-        outcome = await self._kept.commit((requeued, records.Requeued))
+        requeued = records.Requeued(tasks=returns, at=self._ledger.get_time())
+        outcome = await self._ledger.commit((requeued, records.Requeued))
         if not isinstance(outcome, Committed):
-            self._doubt(item["task"] for item in refused)
+            self._mark_unconfirmed(item["task"] for item in refused)
 
-    async def _release(self, parts: dict[str, Grants]) -> None:
-        for owner, grants in parts.items():
+    async def _release(self, grants_by_owner: dict[str, Grants]) -> None:
+        for owner, grants in grants_by_owner.items():
             if not grants:
                 continue
             message = jobs.ReleaseTasks(
-                ledger=self._kept.name,
-                epoch=self._kept.epoch,
+                ledger=self._ledger.name,
+                epoch=self._ledger.epoch,
                 tasks=list(grants.values()),
             )
             self._peers.send(owner, message, jobs.ReleaseTasks)
 
 
-def _number_gang(picks: list[Pick]) -> list[Pick]:
-    """Let each request of a long waiting gang tell its place in the message."""
+def _number_gang(assignments: list[Assignment]) -> list[Assignment]:
+    """Add the index and the number of requests to each request of a starving gang."""
     numbered = []
-    for index, pick in enumerate(picks):
-        request = pick.request.copy()
+    for index, assignment in enumerate(assignments):
+        request = assignment.request.copy()
         if "gang" in request:
-            gang = request["gang"] | {"index": index, "count": len(picks)}
+            gang = request["gang"] | {"index": index, "count": len(assignments)}
             request["gang"] = gang
-        numbered.append(pick._replace(request=request))
+        numbered.append(assignment._replace(request=request))
     return numbered
 
 
-def _name_kept(kept: dict[str, list[Pick]]) -> dict[str, Grants]:
-    """Name one task of each owner that keeps room: it is kept for all."""
+def _name_reserved(reserved: dict[str, list[Assignment]]) -> dict[str, Grants]:
+    """Return one task of each owner that reserves capacity, to release it all."""
     return {
         owner: {
-            pick.task: jobs.TaskAttempt(
-                task=pick.task, attempt=pick.request["attempt"], worker=""
+            assignment.task: jobs.TaskAttempt(
+                task=assignment.task, attempt=assignment.request["attempt"], worker=""
             )
-            for pick in picks[:1]
+            for assignment in assignments[:1]
         }
-        for owner, picks in kept.items()
+        for owner, assignments in reserved.items()
     }
--- a/src/damaskdeck/coordination/jobs/ledgerowner.py
+++ b/src/damaskdeck/coordination/jobs/ledgerowner.py
@@ -1,4 +1,4 @@
-"""The keeper of ledgers, and the way to it from any daemon."""
+"""Ownership of ledgers, and calls to the owner of a ledger from any daemon."""
 
 import asyncio
 import heapq
@@ -8,7 +8,11 @@
 from damaskdeck import defaults
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.jobs.controllers import LedgerController
-from damaskdeck.coordination.jobs.inbox import RETRY_AFTER, Inbox, refuse_no_keeper
+from damaskdeck.coordination.jobs.messagehandlers import (
+    RETRY_AFTER,
+    LedgerMessageHandlers,
+    refuse_no_owner,
+)
 from damaskdeck.coordination.jobs.ownedledger import OwnedLedger
 from damaskdeck.coordination.workers.supervisor import Supervisor
 from damaskdeck.metrics import count_refusal, count_retry
@@ -37,7 +41,7 @@
 CALL_TIMEOUT = timedelta(seconds=6)
 RETRY_INTERVAL = timedelta(milliseconds=200)
 RETRY_LIMIT = 10
-NO_KEEPER = frozenset({"no_keeper", "keeper_unreachable"})
+NO_OWNER_CODES = frozenset({"no_keeper", "keeper_unreachable"})
 READS = frozenset({jobs.ReadJob, jobs.ListJobs})
 
 
@@ -45,19 +49,20 @@
     """The instances that the platform lists."""
 
     def list(self, role: InstanceRole, zone: str = "") -> tuple[Instance, ...]:
-        """List the instances of a role."""
+        """Return the instances of a role."""
 
     def on_change(self, handler: Any) -> None:
         """Call ``handler(changes)`` when the list changes."""
 
 
 class LedgerOwner:
-    """Keeps ledgers, and forwards calls for others to their keepers.
+    """Runs the owned ledgers and forwards calls for other ledgers to their owners.
 
-    Implements ``JobHandler`` and ``IdempotencyKeys`` on any daemon, with at most one
-    hop to the ledger's keeper.
+    Implements ``JobHandler`` and ``IdempotencyKeys`` on every daemon, with at most
+    one hop to the owner of the ledger.
 
-    :param ledger_count: how many ledgers the deployment has; the same on all.
+    :param ledger_count: number of ledgers of the deployment, the same on all
+        daemons.
     """
 
     def __init__(
@@ -83,12 +88,14 @@
         self._supervisor = Supervisor()
         ownership.on_gain("ledger", self._gain)
         ownership.on_loss("ledger", self._lose)
-        fleet.on_change(self._take_fleet)
-        configuration.subscribe(self._take_resource)
-        self._inbox = Inbox(peers, self._find_desk, ledger_count)
+        fleet.on_change(self._handle_fleet)
+        configuration.subscribe(self._handle_resource)
+        self._message_handlers = LedgerMessageHandlers(
+            peers, self._find_controller, ledger_count
+        )
 
     async def run(self) -> None:
-        """Wait until cancelled; raises what made a kept ledger's work fail."""
+        """Wait until cancelled, or raise the error of a failed background task."""
         await self._supervisor.run()
 
     # Gains and losses ------------------------------------------------------------
@@ -129,33 +136,35 @@
             await controller.close()
 
     async def close(self) -> None:
-        """Let the commits in progress of all ledgers end."""
+        """Close all ledgers after their commits in progress."""
         await asyncio.gather(*(self._close(name) for name in list(self.controllers)))
 
-    def _take_fleet(self, changes: object) -> None:
+    def _handle_fleet(self, changes: object) -> None:
         workers = self._fleet.list(InstanceRole.WORKER)
         for controller in self.controllers.values():
             controller.set_workers(workers)
 
-    def _take_resource(self, kind: Kind, name: str, resource: Resource | None) -> None:
+    def _handle_resource(
+        self, kind: Kind, name: str, resource: Resource | None
+    ) -> None:
         for controller in self.controllers.values():
             if kind is Kind.TEAM:
                 controller.set_team(name, resource)
             elif kind is Kind.WORKLOAD:
-                controller.services.wake()
+                controller.services.request_sync()
 
-    def _find_desk(self, ledger: str | None) -> LedgerController | None:
+    def _find_controller(self, ledger: str | None) -> LedgerController | None:
         controller = self.controllers.get(ledger or "")
         return (
             controller
-            if controller is not None and controller.ledger.may_act()
+            if controller is not None and controller.ledger.is_owner()
             else None
         )
 
-    # Calls of this daemon's callers ----------------------------------------------
+    # Calls from callers of this daemon -------------------------------------------
 
     async def submit_job(self, submission: Submission) -> JobView | Refused | Unknown:
-        """Take a job; it is durable once a view is returned."""
+        """Submit a job; it is durable once a view is returned."""
         ledger = select_ledger(submission.team, self._count)
         message = jobs.SubmitJob(
             workload=submission.workload,
@@ -163,20 +172,24 @@
             payload=submission.payload,
             key=submission.key,
         )
-        return await self._ask_job(ledger, message, jobs.SubmitJob)
+        return await self._call_for_job(ledger, message, jobs.SubmitJob)
 
     async def read_job(self, name: str) -> JobView | Refused | Unknown:
-        """Tell the state of a job; ``Refused("no_such_job")`` if there is none."""
-        return await self._ask_named(name, jobs.ReadJob(job=name), jobs.ReadJob)
+        """Return the state of a job, or ``Refused("no_such_job")``."""
+        return await self._call_by_name(name, jobs.ReadJob(job=name), jobs.ReadJob)
 
     async def cancel_job(self, name: str) -> JobView | Refused | Unknown:
-        """Cancel a job; a job that has ended stays as it ended."""
-        return await self._ask_named(name, jobs.CancelJob(job=name), jobs.CancelJob)
+        """Cancel a job; a job that has ended keeps its outcome."""
+        return await self._call_by_name(name, jobs.CancelJob(job=name), jobs.CancelJob)
 
     async def list_jobs(
         self, team: str, after: str, limit: int
     ) -> tuple[JobView, ...] | Refused | Unknown:
-        """List jobs in order of their names, a page at a time."""
+        """Return one page of jobs in order of their names.
+
+        :param team: restricts the page to one team; empty for all teams.
+        :param after: the page starts after this name.
+        """
         if team:
             return await self._list_one(
                 select_ledger(team, self._count), team, after, limit
@@ -205,7 +218,7 @@
             timeout=timeout.total_seconds(),
         )
         ledger = select_ledger(team, self._count)
-        reply = await self._ask(ledger, message, jobs.ClaimKey)
+        reply = await self._call(ledger, message, jobs.ClaimKey)
         if isinstance(reply, Refused | Unknown):
             return reply
         if reply["state"] == "claimed":
@@ -217,78 +230,83 @@
     async def settle_key(
         self, team: str, service: str, key: str, outcome: Outcome
     ) -> bool:
-        """Remember the outcome; returns whether it is durable."""
+        """Store the outcome of a key; return whether it is durable."""
         message = jobs.SettleKey(
             team=team, service=service, key=key, outcome=build_outcome_data(outcome)
         )
         ledger = select_ledger(team, self._count)
-        reply = await self._ask(ledger, message, jobs.SettleKey)
+        reply = await self._call(ledger, message, jobs.SettleKey)
         return not isinstance(reply, Refused | Unknown) and reply["state"] == "settled"
 
     async def _list_one(
         self, ledger: str, team: str, after: str, limit: int
     ) -> tuple[JobView, ...] | Refused | Unknown:
         message = jobs.ListJobs(ledger=ledger, team=team, after=after, limit=limit)
-        reply = await self._ask(ledger, message, jobs.ListJobs)
+        reply = await self._call(ledger, message, jobs.ListJobs)
         if isinstance(reply, Refused | Unknown):
             return reply
         if "jobs" not in reply:
             return parse_refusal(reply)
         return tuple(parse_job(job) for job in reply["jobs"])
 
-    async def _ask_named(
+    async def _call_by_name(
         self, job: str, message: Any, kind: type
     ) -> JobView | Refused | Unknown:
         ledger = parse_ledger_name(job)
         if ledger is None or int(ledger) >= self._count:
             return Refused("no_such_job")
-        return await self._ask_job(ledger, message, kind)
+        return await self._call_for_job(ledger, message, kind)
 
-    async def _ask_job(
+    async def _call_for_job(
         self, ledger: str, message: Any, kind: type
     ) -> JobView | Refused | Unknown:
-        reply = await self._ask(ledger, message, kind)
+        reply = await self._call(ledger, message, kind)
         return reply if isinstance(reply, Refused | Unknown) else parse_job_reply(reply)
 
-    async def _ask(self, ledger: str, message: Any, kind: type) -> Any:
-        """Ask a ledger's keeper; asks again only if that changes nothing more.
+    async def _call(self, ledger: str, message: Any, kind: type) -> Any:
+        """Call the owner of a ledger, and repeat the call only if that is safe.
 
-        That is when the keeper surely did nothing, or once after a lost answer
-        when a repeat meets the first one's outcome. A refusal of the repeat
-        that only bids to try later doesn't tell what became of the first.
+        It is safe if the owner certainly did nothing, or once after a lost answer
+        if a repeated call finds the outcome of the first one. If the repeated call
+        is refused with a request to retry later, the outcome of the first call
+        remains unknown.
         """
         repeats = 1 if is_repeatable(message, kind) else 0
-        doubt: Unknown | None = None
+        first_unknown: Unknown | None = None
         for _ in range(RETRY_LIMIT):
-            reply = await self._ask_once(ledger, message, kind)
+            reply = await self._call_once(ledger, message, kind)
             if isinstance(reply, Unknown) and repeats:
                 count_retry("jobs", reply.code)
                 repeats -= 1
-                doubt = None if kind in READS else reply
+                first_unknown = None if kind in READS else reply
                 continue
             refused = _find_refusal(reply)
-            if refused is None or refused.code not in NO_KEEPER:
-                is_open = refused is not None and refused.retry_after is not None
-                return doubt if doubt is not None and is_open else reply
+            if refused is None or refused.code not in NO_OWNER_CODES:
+                is_retryable = refused is not None and refused.retry_after is not None
+                return (
+                    first_unknown
+                    if first_unknown is not None and is_retryable
+                    else reply
+                )
             count_retry("jobs", refused.code)
             await self._clock.sleep(RETRY_INTERVAL)
         count_refusal("jobs", refused.code)
-        return doubt or refused
+        return first_unknown or refused
 
-    async def _ask_once(self, ledger: str, message: Any, kind: type) -> Any:
+    async def _call_once(self, ledger: str, message: Any, kind: type) -> Any:
         owner = self._ownership.find_owner(f"ledger/{ledger}")
         if owner is None:
-            return refuse_no_keeper()
+            return refuse_no_owner()
         answer = await self._peers.call(owner.instance, message, kind, CALL_TIMEOUT)
         if isinstance(answer, Answered) and answer.message is not None:
             return answer.message
         if isinstance(answer, Unsent):
             return Refused("keeper_unreachable", answer.code, RETRY_AFTER)
-        return Unknown("answer_lost", "the keeper of the job's ledger didn't answer")
+        return Unknown("answer_lost", "the owner of the job's ledger didn't answer")
 
 
 def is_repeatable(message: Any, kind: type) -> bool:
-    """Tell whether asking twice does no more than asking once."""
+    """Return whether sending a message twice has the same effect as once."""
     if kind is jobs.SubmitJob:
         return bool(message["key"])
     return kind is not jobs.ClaimKey
--- a/src/damaskdeck/coordination/jobs/needs.py
+++ b/src/damaskdeck/coordination/jobs/needs.py
@@ -1,6 +1,6 @@
-"""What tasks of a workload need, as queues, owners and messages ask for it."""
+"""The needs of a workload's tasks, converted for queues, owners and messages."""
 
-from damaskdeck.coordination.jobs.news import is_idempotent
+from damaskdeck.coordination.jobs.updates import is_idempotent
 from damaskdeck.protocol.jobs import (
     GangRequest,
     ReservationRequest,
@@ -24,7 +24,7 @@
 
 
 def make_need(job: Job, task: Task) -> TaskNeed:
-    """Return what a task needs of a worker."""
+    """Return the requirements of a task for a worker."""
     spec = job.spec
     return TaskNeed(
         task=task.name,
@@ -39,7 +39,7 @@
 
 
 def make_request(job: Job, task: Task, is_pressed: bool) -> ReservationRequest:
-    """Return the message that asks for room for a task's next attempt."""
+    """Return the request for capacity for the next attempt of a task."""
     spec = job.spec
     request = ReservationRequest(
         task=task.name,
@@ -60,13 +60,13 @@
     return request
 
 
-def make_gang(job: Job) -> GangRequest:
-    """Return what orders a gang among those that room is kept for."""
+def make_gang_request(job: Job) -> GangRequest:
+    """Return the data that orders a gang among those requesting capacity."""
     return GangRequest(submitted=round(job.submitted * 1000), index=0, count=1)
 
 
-def name_attempt(job: Job, task: Task) -> TaskAttempt:
-    """Return the message that names a task's present attempt."""
+def make_attempt(job: Job, task: Task) -> TaskAttempt:
+    """Return the description of a task's current attempt for messages."""
     spec = job.spec
     return TaskAttempt(
         task=task.name,
@@ -82,5 +82,5 @@
 
 
 def get_group(job: Job) -> str:
-    """Return the group that is spread: a service's name, else empty."""
+    """Return the group to spread over workers: a service's name, else ``""``."""
     return job.workload if job.spec["type"] == "service" else ""
--- a/src/damaskdeck/coordination/jobs/ownedledger.py
+++ b/src/damaskdeck/coordination/jobs/ownedledger.py
@@ -1,4 +1,4 @@
-"""A ledger that this daemon keeps, with the jobs that it describes."""
+"""A ledger that this daemon owns, with the table of its jobs."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -16,8 +16,8 @@
 from damaskdeck.state.replay import apply_record
 
 RETRY_AFTER = timedelta(seconds=1)
-REOPEN_INTERVAL = timedelta(milliseconds=250)
-UNREADABLE_INTERVAL = timedelta(seconds=30)
+REOPEN_DELAY = timedelta(milliseconds=250)
+UNREADABLE_DELAY = timedelta(seconds=30)
 
 _log = get_logger("keeper")
 
@@ -26,14 +26,15 @@
 
 
 class OwnedLedger:
-    """One ledger, from gaining it to losing it.
+    """One ledger from the gain to the loss of its ownership.
 
-    Promise: "Every caller learns truthfully": the table changes only by what
-    is durable.
+    It upholds "Every caller learns truthfully": the table reflects only records
+    that are durable.
 
-    :param name: of the ledger, as in ``03``.
-    :param may_act: tells whether this daemon still keeps the ledger.
-    :param ledger_count: how many ledgers share the store's writes.
+    :param name: the name of the ledger, such as ``03``.
+    :param epoch: the epoch of this ownership.
+    :param is_owner: returns whether this daemon still owns the ledger.
+    :param ledger_count: number of ledgers that share the writes of the store.
     """
 
     def __init__(
@@ -42,13 +43,13 @@
         epoch: int,
         store: Store,
         clock: Clock,
-        may_act: Callable[[], bool],
+        is_owner: Callable[[], bool],
         ledger_count: int = defaults.LEDGER_COUNT,
     ) -> None:
         self.name = name
         self.epoch = epoch
         self.table = JobTable()
-        self.may_act = may_act
+        self.is_owner = is_owner
         self.commits = 0
         self._clock = clock
         self._is_closed = False
@@ -57,7 +58,7 @@
             name,
             store,
             clock,
-            self._take_snapshot,
+            self._make_snapshot,
             self._apply,
             append_interval=compute_append_interval(ledger_count),
         )
@@ -67,9 +68,10 @@
         self._handlers.append(handler)
 
     async def open(self) -> bool:
-        """Fence off earlier keepers and replay; false if there is a newer one.
+        """Fence earlier owners and replay the ledger.
 
-        :raises LedgerError: when what the store holds can't be read.
+        :returns: ``False`` if there is a newer owner or the ledger was closed.
+        :raises LedgerError: if the content of the store can't be read.
         """
         while not self._is_closed:
             try:
@@ -78,25 +80,27 @@
                     self._replay(opened.snapshot + opened.records)
                     return not self._is_closed
             except LedgerError as error:
-                _log.error("Stays closed.", ledger=self.name, code=error.code)
-                # Each new try reads all of the ledger and writes to it.
-                await self._clock.sleep(UNREADABLE_INTERVAL)
+                _log.error("Can't open a ledger.", ledger=self.name, code=error.code)
+                # Wait before raising, because each attempt to open the ledger reads
+                # all of it and writes to it.
+                await self._clock.sleep(UNREADABLE_DELAY)
                 raise
             if opened.code == "epoch_passed":
                 return False
             count_retry("keeper", opened.code)
-            await self._clock.sleep(REOPEN_INTERVAL)
+            await self._clock.sleep(REOPEN_DELAY)
         return False
 
     async def close(self) -> None:
-        """Let the commits in progress end and take no more."""
+        """Reject new commits and wait for those in progress."""
         self._is_closed = True
         await self._ledger.close()
 
     async def commit(self, *records: Record) -> Committed | Refused | Unknown:
-        """Make records durable; the table has them once ``Committed`` is returned.
+        """Make records durable and apply them to the table.
 
-        :returns: ``Refused`` only if none will ever take effect.
+        :returns: ``Committed`` once both are done; ``Refused`` only if none of the
+            records will ever take effect; else ``Unknown``.
         """
         encoded = tuple(encode_record(value, kind) for value, kind in records)
         outcome = await self._ledger.commit(encoded)
@@ -112,34 +116,34 @@
         return Refused(code, detail, retry_after)
 
     def get_time(self) -> float:
-        """Return the time of day for records, in seconds since 1970."""
+        """Return the time for records, in seconds since 1970."""
         return self._clock.now().timestamp()
 
-    def _take_snapshot(self) -> tuple[bytes, ...]:
+    def _make_snapshot(self) -> tuple[bytes, ...]:
         return tuple(self.table.snapshot())
 
     def _replay(self, records: tuple[bytes, ...]) -> None:
-        """Apply what the store holds.
+        """Apply the records from the store.
 
-        :raises LedgerError: when a record makes no sense.
+        :raises LedgerError: if a record is invalid.
         """
         try:
             self._apply(records)
         except (MessageError, LookupError, TypeError, ValueError) as error:
-            raise LedgerError(f"a record makes no sense: {error!r}") from error
+            raise LedgerError(f"invalid record: {error!r}") from error
 
     def _apply(self, records: tuple[bytes, ...]) -> None:
         for record in records:
             apply_record(self.table, record)
-        touched = self.table.take_changed_tasks()
+        changed = self.table.take_changed_tasks()
         for handler in self._handlers:
-            handler(touched)
+            handler(changed)
 
 
 def compute_append_interval(ledger_count: int) -> timedelta:
-    """Return the least time between two appends of one ledger under load.
+    """Return the minimum interval between two appends of one ledger under load.
 
-    All ledgers together stay within the writes of the default number of them.
+    It keeps the total write rate within that of the default number of ledgers.
     """
     share = max(1.0, ledger_count / defaults.LEDGER_COUNT)
     return defaults.APPEND_INTERVAL * share
--- a/src/damaskdeck/coordination/jobs/reasons.py
+++ b/src/damaskdeck/coordination/jobs/reasons.py
@@ -1,16 +1,17 @@
-"""Plain words about where the tasks of a job are."""
+"""Descriptions of where the tasks of a job are, for people to read."""
 
 from collections.abc import Iterable
 
 from damaskdeck.state.jobmodel import Job, Task, TaskState
 
-_NAMED_WORKERS = 3
+_MAX_NAMED_WORKERS = 3
 
 
 def explain_tasks(job: Job, tasks: Iterable[Task]) -> tuple[str, ...]:
-    """Tell how many tasks wait, start and run, and where.
+    """Describe how many tasks start, run or avoid workers, and where.
 
-    A job that has ended tells by its reasons why it ended as it did.
+    This is for unfinished jobs. The recorded reasons of a finished job explain its
+    outcome.
     """
     groups: dict[TaskState, list[Task]] = {}
     for task in tasks:
@@ -21,13 +22,17 @@
         (TaskState.RUNNING, "running on"),
     ):
         if state in groups:
-            found.append(f"{_count(groups[state])} {verb} {_name(groups[state])}")
+            found.append(
+                f"{_count(groups[state])} {verb} {_name_workers(groups[state])}"
+            )
     if job.stopping and found:
         found.append("what runs of it is being stopped")
     retried = [task for task in groups.get(TaskState.QUEUED, ()) if task.avoid]
     if retried:
         workers = sorted({worker for task in retried for worker in task.avoid})
-        found.append(f"{_count(retried)} kept off {_list(workers)}, where it failed")
+        found.append(
+            f"{_count(retried)} kept off {_join_names(workers)}, where it failed"
+        )
     return tuple(found)
 
 
@@ -35,11 +40,11 @@
     return "1 task is" if len(tasks) == 1 else f"{len(tasks)} tasks are"
 
 
-def _name(tasks: list[Task]) -> str:
-    return _list(sorted({task.worker for task in tasks}))
+def _name_workers(tasks: list[Task]) -> str:
+    return _join_names(sorted({task.worker for task in tasks}))
 
 
-def _list(names: list[str]) -> str:
-    shown = ", ".join(names[:_NAMED_WORKERS])
-    rest = len(names) - _NAMED_WORKERS
+def _join_names(names: list[str]) -> str:
+    shown = ", ".join(names[:_MAX_NAMED_WORKERS])
+    rest = len(names) - _MAX_NAMED_WORKERS
     return f"{shown} and {rest} more" if rest > 0 else shown
--- a/src/damaskdeck/coordination/jobs/retention.py
+++ b/src/damaskdeck/coordination/jobs/retention.py
@@ -1,4 +1,4 @@
-"""Forgets results and keys once they have been kept for as long as stated."""
+"""Removal of results and keys after their retention time."""
 
 from datetime import timedelta
 from itertools import islice
@@ -9,35 +9,35 @@
 from damaskdeck.protocol.handlers import FINAL_JOB_STATES
 from damaskdeck.state import records
 
-INTERVAL = timedelta(minutes=1)
+CLEANUP_INTERVAL = timedelta(minutes=1)
 BATCH_LIMIT = 1000
 
 
 class Retention:
-    """Forgets what is old in one kept ledger, one commit for many.
+    """Removes old jobs and keys of one owned ledger in batches.
 
-    :param retention: how long results and outcomes of keys are kept.
+    :param retention: how long results and outcomes of keys are stored.
     """
 
     def __init__(
         self,
-        kept: OwnedLedger,
+        ledger: OwnedLedger,
         clock: Clock,
         retention: timedelta = defaults.RESULT_RETENTION,
     ) -> None:
-        self._kept = kept
+        self._ledger = ledger
         self._clock = clock
         self._retention = retention
 
     async def run(self) -> None:
-        """Forget until cancelled."""
+        """Remove old jobs and keys periodically until cancelled."""
         while True:
-            await self._clock.sleep(INTERVAL)
-            await self._forget_old()
+            await self._clock.sleep(CLEANUP_INTERVAL)
+            await self._remove_old()
 
-    async def _forget_old(self) -> None:
-        limit = self._kept.get_time() - self._retention.total_seconds()
-        table = self._kept.table
+    async def _remove_old(self) -> None:
+        limit = self._ledger.get_time() - self._retention.total_seconds()
+        table = self._ledger.table
         jobs = (
             job.name
             for job in table.jobs.values()
@@ -53,4 +53,4 @@
             keys=list(islice(keys, BATCH_LIMIT)),
         )
         if record["jobs"] or record["keys"]:
-            await self._kept.commit((record, records.RemovedJobs))
+            await self._ledger.commit((record, records.RemovedJobs))
--- a/src/damaskdeck/coordination/jobs/shapes.py
+++ b/src/damaskdeck/coordination/jobs/shapes.py
@@ -1,4 +1,4 @@
-"""Which work could run at all, on workers as the platform lists them."""
+"""The zones and sizes of the listed workers, to find impossible workloads."""
 
 from collections import Counter
 
@@ -7,8 +7,11 @@
 from damaskdeck.protocol.sizes import ZERO_SIZE, Size, add_sizes, fits
 
 
-class Shapes:
-    """Counts the listed workers by zone and size; there are few kinds."""
+class WorkerShapes:
+    """Counts the listed workers by availability zone and size.
+
+    Deployments have few different combinations of these.
+    """
 
     def __init__(self) -> None:
         self.names: frozenset[str] = frozenset()
@@ -16,7 +19,7 @@
         self._counts: Counter[tuple[str, Size]] = Counter()
 
     def set_workers(self, workers: tuple[Instance, ...]) -> None:
-        """Take over the platform's list."""
+        """Replace the list of workers by the platform's current one."""
         self.names = frozenset(worker.name for worker in workers)
         self._counts = Counter((worker.zone, worker.size) for worker in workers)
         self.capacity = ZERO_SIZE
@@ -24,9 +27,9 @@
             self.capacity = add_sizes(self.capacity, worker.size)
 
     def find_impossible(self, spec: WorkloadSpec) -> str | None:
-        """Name what all workers lack for a workload, even if they were empty.
+        """Return what all workers lack for a workload even if they were empty.
 
-        :returns: ``None`` also while no worker is known.
+        :returns: ``None`` if some worker could run it or no worker is known.
         """
         zones = spec.get("zones", ())
         counts = {k: n for k, n in self._counts.items() if not zones or k[0] in zones}
@@ -35,7 +38,7 @@
         need = parse_size(spec["size"])
         sizes = {size for _, size in counts}
         if not any(fits(need, size) for size in sizes):
-            return name_lack(need, sizes)
+            return find_shortage(need, sizes)
         if spec["type"] != "gang":
             return None
         tasks = spec.get("tasks", 1)
@@ -43,15 +46,15 @@
         return "room for all tasks at once" if held < tasks else None
 
 
-def name_lack(need: Size, sizes: set[Size]) -> str:
-    """Name the dimension in which no size is enough, or their combination."""
+def find_shortage(need: Size, sizes: set[Size]) -> str:
+    """Return the dimension in which every size is too small, or all of them."""
     for index, name in enumerate(Size._fields):
         if all(need[index] > size[index] for size in sizes):
             return name
     return "processors, memory and accelerators together"
 
 
-def count_fitting(need: Size, room: Size, limit: int) -> int:
-    """Count how often ``need`` fits in ``room``, at most ``limit``."""
-    counts = (r // n for n, r in zip(need, room, strict=True) if n)
+def count_fitting(need: Size, capacity: Size, limit: int) -> int:
+    """Return how many times ``need`` fits into ``capacity``, at most ``limit``."""
+    counts = (r // n for n, r in zip(need, capacity, strict=True) if n)
     return min((limit, *counts))
--- a/src/damaskdeck/coordination/jobs/submissions.py
+++ b/src/damaskdeck/coordination/jobs/submissions.py
@@ -1,4 +1,4 @@
-"""Submissions, cancellations and readings of jobs, on the ledger's keeper."""
+"""Submission, cancellation and reading of jobs, on the owner of their ledger."""
 
 from collections.abc import Callable
 
@@ -23,36 +23,36 @@
 
 
 class Submissions:
-    """Takes jobs into one kept ledger and tells of them.
+    """Accepts jobs into one owned ledger and returns their state.
 
-    :param find_impossible: names the dimension in which no worker of the fleet
-        could ever hold a task of a workload.
-    :param explain: tells in plain words why a job waits; its work grows with
-        the queue, so only the reader of one job is told.
+    :param find_impossible: returns the dimension in which no worker of the fleet
+        could ever hold a task of a workload, else ``None``.
+    :param explain: returns the reasons why a job waits. Its cost grows with the
+        queue, so it is called only when a single job is read.
     """
 
     def __init__(
         self,
-        kept: OwnedLedger,
+        ledger: OwnedLedger,
         configuration: ConfigurationReader,
         find_impossible: FindImpossible,
         explain: Explain,
     ) -> None:
-        self._kept = kept
+        self._ledger = ledger
         self._configuration = configuration
         self._find_impossible = find_impossible
         self._explain = explain
 
     async def submit(self, submission: Submission) -> JobView | Refused | Unknown:
-        """Take a job; it is durable once a view is returned."""
+        """Submit a job; it is durable once a view is returned."""
         name = names.build_job_name(
-            submission.workload, submission.team, self._kept.name, submission.key
+            submission.workload, submission.team, self._ledger.name, submission.key
         )
         digest = names.compute_digest(submission.payload)
-        known = self._find_known(name, digest)
-        if known is not None:
-            return known
-        spec = self._check(submission)
+        existing = self._find_existing(name, digest)
+        if existing is not None:
+            return existing
+        spec = self._validate(submission)
         if isinstance(spec, Refused):
             count_refusal("jobs", spec.code)
             return spec
@@ -64,59 +64,59 @@
             digest=digest,
             payload=submission.payload,
             spec=spec,
-            at=self._kept.get_time(),
+            at=self._ledger.get_time(),
         )
-        outcome = await self._kept.commit((record, records.Submitted))
+        outcome = await self._ledger.commit((record, records.Submitted))
         if isinstance(outcome, Refused | Unknown):
             return outcome
-        return self._find_known(name, digest) or Unknown("answer_lost")
+        return self._find_existing(name, digest) or Unknown("answer_lost")
 
     def read(self, name: str) -> JobView | Refused:
-        """Tell the state of a job."""
-        job = self._kept.table.jobs.get(name)
+        """Return the state of a job."""
+        job = self._ledger.table.jobs.get(name)
         if job is not None:
-            view = self._show(job)
+            view = self._make_view(job)
             if job.state in FINAL_JOB_STATES:
                 return view
             return view._replace(reasons=(*view.reasons, *self._explain(job)))
-        if name in self._kept.table.removed_jobs:
-            return Refused("forgotten", "its result was kept for as long as stated")
+        if name in self._ledger.table.removed_jobs:
+            return Refused("forgotten", "its retention time has ended")
         return Refused("no_such_job")
 
     async def cancel(self, name: str) -> JobView | Refused | Unknown:
-        """Cancel a job; one that has ended stays as it ended."""
-        job = self._kept.table.jobs.get(name)
+        """Cancel a job; a job that has ended keeps its outcome."""
+        job = self._ledger.table.jobs.get(name)
         if job is None or job.state in FINAL_JOB_STATES or job.cancelled:
             return self.read(name)
-        record = records.Cancelled(jobs=[name], at=self._kept.get_time())
-        outcome = await self._kept.commit((record, records.Cancelled))
+        record = records.Cancelled(jobs=[name], at=self._ledger.get_time())
+        outcome = await self._ledger.commit((record, records.Cancelled))
         if isinstance(outcome, Refused | Unknown):
             return outcome
         return self.read(name)
 
     def list(self, team: str, after: str, limit: int) -> tuple[JobView, ...]:
-        """List jobs in order of their names, without their results."""
-        jobs = self._kept.table.jobs
+        """Return jobs in order of their names, without their results."""
+        jobs = self._ledger.table.jobs
         found = sorted(
             name
             for name, job in jobs.items()
             if name > after and (not team or job.team == team)
         )
-        views = (self._show(jobs[name]) for name in found[:limit])
+        views = (self._make_view(jobs[name]) for name in found[:limit])
         return tuple(view._replace(results=()) for view in views)
 
-    def _find_known(self, name: str, digest: bytes) -> JobView | Refused | None:
-        """Return what a submission with the same key met before."""
-        job = self._kept.table.jobs.get(name)
+    def _find_existing(self, name: str, digest: bytes) -> JobView | Refused | None:
+        """Return the answer if the same key was submitted before, else ``None``."""
+        job = self._ledger.table.jobs.get(name)
         if job is None:
             found = self.read(name)
             is_forgotten = isinstance(found, Refused) and found.code == "forgotten"
             return found if is_forgotten else None
         if job.digest != digest:
             return Refused("key_reused", "the key was used with another payload")
-        return self._show(job)
+        return self._make_view(job)
 
-    def _check(self, submission: Submission) -> WorkloadSpec | Refused:
+    def _validate(self, submission: Submission) -> WorkloadSpec | Refused:
         if len(submission.payload) > defaults.PAYLOAD_LIMIT:
             limit = defaults.PAYLOAD_LIMIT
             return Refused("payload_too_large", f"at most {limit} bytes")
@@ -133,8 +133,8 @@
             return refuse_impossible(dimension)
         return spec
 
-    def _show(self, job: Job) -> JobView:
-        tasks = list(self._kept.table.list_tasks(job))
+    def _make_view(self, job: Job) -> JobView:
+        tasks = list(self._ledger.table.list_tasks(job))
         reasons = job.reasons
         if job.state not in FINAL_JOB_STATES:
             reasons = (*reasons, *explain_tasks(job, tasks))
@@ -156,5 +156,5 @@
 
 
 def refuse_impossible(dimension: str) -> Refused:
-    """Return the refusal of work that no worker could ever hold."""
+    """Return the refusal of a workload that no worker could ever hold."""
     return Refused("impossible", f"no worker of the fleet has enough {dimension}")
--- a/src/damaskdeck/coordination/queues/__init__.py
+++ b/src/damaskdeck/coordination/queues/__init__.py
@@ -1,1 +1,1 @@
-"""In which order waiting work gets its turn."""
+"""The queue of waiting jobs and the order in which they are placed."""
--- a/src/damaskdeck/coordination/queues/blocks.py
+++ b/src/damaskdeck/coordination/queues/blocks.py
@@ -1,4 +1,4 @@
-"""Shapes and jobs that found no room, so that they aren't tried again in vain."""
+"""Shapes and jobs that couldn't be placed, to avoid useless repeated attempts."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -8,75 +8,83 @@
 
 
 class Block(NamedTuple):
-    """A shape that found no room.
-
-    :param rank: of the class for which it failed; less urgent ones fail too.
-    :param within: whether its team was within its quota; if it was, teams
-        above theirs fail too, as they may take nothing back.
-    :param reason: plain words, as in ``memory``.
+    """A shape that couldn't be placed.
+
+    :param rank: rank of the urgency class for which it failed. It would also fail
+        for less urgent ones.
+    :param within_quota: whether its team was within its quota. If it was, the
+        shape also fails for teams above theirs, because they may not take back
+        any quota.
+    :param reason: the reason for people to read, such as ``memory``.
     """
 
     rank: int
-    within: bool
+    within_quota: bool
     shape: Shape
     reason: str
 
 
 class Blocks:
-    """Remembers failed shapes until room appears or a time has passed.
+    """Stores failed shapes until capacity becomes free or they expire.
 
-    :param duration: how long a failure is believed; room may also appear
-        where nobody tells, as by a budget that fills again.
+    :param duration: how long a failure is valid. It has to expire because
+        capacity may become available without notice, for example when the
+        preemption budget refills.
     """
 
     def __init__(self, duration: timedelta) -> None:
         self._duration = duration
-        self._since = timedelta()
+        self._oldest_at = timedelta()
         self._blocks: list[Block] = []
-        self._epoch = 0
+        self._generation = 0
         self.skipped: set[str] = set()
 
     def __len__(self) -> int:
         return len(self._blocks)
 
     @property
-    def epoch(self) -> int:
-        """Rises when something was forgotten; until then failures only add up."""
-        return self._epoch
+    def generation(self) -> int:
+        """Counter that increases whenever failures are removed.
+
+        While it is unchanged, failures are only added.
+        """
+        return self._generation
 
     def expire(self, now: timedelta) -> None:
-        """Forget everything once the oldest failure is too old."""
-        if now - self._since >= self._duration:
-            self._epoch += bool(self._blocks)
+        """Remove everything once the oldest failure has expired."""
+        if now - self._oldest_at >= self._duration:
+            self._generation += bool(self._blocks)
             self._blocks.clear()
             self.skipped.clear()
-            self._since = now
+            self._oldest_at = now
 
     def add(self, block: Block) -> None:
-        """Remember a failure; the failures that it covers go."""
+        """Add a failure and remove the failures that it covers."""
         self._blocks = [old for old in self._blocks if not _covers(block, old)]
         self._blocks.append(block)
 
-    def find(self, rank: int, within: bool, shape: Shape) -> Block | None:
-        """Return a failure that says that ``shape`` would fail too."""
-        wanted = Block(rank, within, shape, "")
+    def find(self, rank: int, within_quota: bool, shape: Shape) -> Block | None:
+        """Return a failure that implies that ``shape`` would also fail, if any."""
+        wanted = Block(rank, within_quota, shape, "")
         for block in self._blocks:
             if _covers(block, wanted):
                 return block
         return None
 
-    def open(self, room: Size) -> None:
-        """Note that one worker now has ``room``; forget what may fit it."""
-        kept = [block for block in self._blocks if not fits(block.shape.size, room)]
-        self._epoch += len(kept) < len(self._blocks)
-        self._blocks = kept
+    def remove_fitting(self, capacity: Size) -> None:
+        """Remove the shapes that may fit into the free ``capacity`` of one worker."""
+        remaining = [
+            block for block in self._blocks if not fits(block.shape.size, capacity)
+        ]
+        self._generation += len(remaining) < len(self._blocks)
+        self._blocks = remaining
 
 
 def _covers(block: Block, other: Block) -> bool:
-    """Tell whether the failure of ``block`` means that ``other`` fails."""
+    """Return whether the failure of ``block`` implies that ``other`` fails."""
     return (
         block.rank <= other.rank
-        and block.within >= other.within
+        and block.within_quota >= other.within_quota
         and block.shape.constraint == other.shape.constraint
         and block.shape.tasks <= other.shape.tasks
         and fits(block.shape.size, other.shape.size)
--- a/src/damaskdeck/coordination/queues/passes.py
+++ b/src/damaskdeck/coordination/queues/passes.py
@@ -1,4 +1,4 @@
-"""A pass over the queue: which waiting job to try next."""
+"""A pass over the queue, which decides the waiting job to try next."""
 
 import heapq
 import math
@@ -10,86 +10,99 @@
 from damaskdeck.coordination.queues.waiting import Group, WaitingJob
 from damaskdeck.protocol.sizes import Size
 
-# How many offers of one pass may fail.
-TRIES = 32
-# How many overdue offers of one turn may fail before urgent work goes on.
-OVERDUE_TRIES = 8
-# A group's oldest job: its time, its order among equals, and the group.
-_Head = tuple[timedelta, int, Group]
+# Number of offers of one pass that may fail.
+MAX_FAILED_OFFERS = 32
+# Number of overdue offers in one turn that may fail before urgent jobs continue.
+MAX_FAILED_OVERDUE_OFFERS = 8
+# A group with its oldest job: the time of the job, its order among equal times,
+# and the group.
+_GroupHead = tuple[timedelta, int, Group]
 FindTime = Callable[[WaitingJob], timedelta]
-_ENDLESS = (math.inf, math.inf, math.inf)
+_UNLIMITED = (math.inf, math.inf, math.inf)
 
 
 class Pass:
-    """Offers waiting jobs in order until nothing more may fit.
-
-    Once each job that its quota allows was offered, what is claimed by those
-    that found no room is lent: it would stand idle. So all go over the queue a
-    second time, now only kept from using more than there is.
-
-    Answer each offer of :meth:`next` by one of :meth:`take`, :meth:`fail` and
-    :meth:`skip` before the next call, unless the job was removed. Work is
-    bounded by the jobs taken, ``tries`` and the groups whose shape may find
-    room, not by the jobs waiting. Jobs that come during a pass may have to wait
-    for the next one.
-
-    :param queue: what is passed over; one pass at a time.
-    :param tries: how many offers may fail.
-    :param overdue_tries: how many overdue ones in a turn, if urgent work may be
-        placed. Each is due before any that is found later, so the bound of
-        :class:`JobQueue` on what is taken before an overdue job holds.
+    """Offers waiting jobs in order until no other job may fit.
+
+    Once every job that its quota allows has been offered, the claims of jobs that
+    couldn't be placed are lent to others, because the capacity would otherwise be
+    idle. For this, the queue is processed a second time, limited only by the
+    capacity that exists.
+
+    Each offer of :meth:`next` must be answered by :meth:`take`, :meth:`fail` or
+    :meth:`skip` before the next call, unless the job was removed. The work is
+    bounded by the jobs taken, ``max_failures`` and the groups whose shape may fit,
+    not by the number of waiting jobs. Jobs that arrive during a pass may have to
+    wait for the next one.
+
+    :param queue: the queue; it can have only one pass at a time.
+    :param max_failures: number of offers that may fail.
+    :param max_overdue_failures: number of overdue offers in one turn that may fail
+        if urgent jobs may be placed. Each of them is due before any found later,
+        so the bound of :class:`JobQueue` on the jobs taken before an overdue job
+        still holds.
     """
 
     def __init__(
-        self, queue: JobQueue, tries: int = TRIES, overdue_tries: int = OVERDUE_TRIES
+        self,
+        queue: JobQueue,
+        max_failures: int = MAX_FAILED_OFFERS,
+        max_overdue_failures: int = MAX_FAILED_OVERDUE_OFFERS,
     ) -> None:
         self._queue = queue
-        self._tries = tries
-        self._overdue_tries = overdue_tries
-        self._vain = 0
+        self._failures_left = max_failures
+        self._max_overdue_failures = max_overdue_failures
+        self._overdue_failures = 0
         self._is_overdue = False
         self._offered_team = ""
-        self._start(lends_claims=False)
+        self._start_round(lends_claims=False)
         queue.expire_blocks()
 
     def next(self) -> WaitingJob | None:
-        """Return the job to try now; for one that isn't a gang, one task of it."""
+        """Return the job to try next.
+
+        Unless the job is a gang, the offer is for one of its tasks.
+        """
         self._push_team()
-        if self._tries <= 0:
+        if self._failures_left <= 0:
             return None
         return self._choose() or self._choose_lent()
 
     def take(self, job: WaitingJob) -> None:
-        """Note that ``job`` was placed."""
+        """Record that ``job`` was placed."""
         self._queue.take(job.name, self._is_overdue)
 
     def fail(self, job: WaitingJob, reason: str) -> None:
-        """Note that there is no room for the shape of ``job``.
+        """Record that the shape of ``job`` can't be placed.
 
-        :param reason: plain words, as the dimension that fails.
+        :param reason: the reason for people to read, such as the short dimension.
         """
-        self._note_vain()
+        self._record_failure()
         rank = RANKS[job.urgency]
-        within = self._queue.quotas.is_within(job.team, job.need, rank)
-        block = Block(rank, within, job.shape, reason)
+        within_quota = self._queue.quotas.is_within(job.team, job.need, rank)
+        block = Block(rank, within_quota, job.shape, reason)
         self._queue.blocks.add(block)
 
     def skip(self, job: WaitingJob, reason: str) -> None:
-        """Note that only this job can't be placed now; its likes may."""
-        self._note_vain()
+        """Record that this job can't be placed now, unlike others of its shape."""
+        self._record_failure()
         self._queue.skip(job.name, reason)
 
-    def _start(self, lends_claims: bool) -> None:
-        """Begin with the most urgent class."""
+    def _start_round(self, lends_claims: bool) -> None:
+        """Start at the most urgent class.
+
+        ``_refused_needs`` has, by team and class, the least amount of each dimension
+        that the quota refused in this round.
+        """
         self._lends_claims = lends_claims
         self._rank = -1
         self._teams: list[tuple[float, str]] = []
         self._groups: dict[str, list[Group]] = {}
-        self._heads: dict[str, list[_Head]] = {}
-        self._late: list[_Head] | None = None
-        self._open: dict[int, list[Group]] = {}
+        self._heads: dict[str, list[_GroupHead]] = {}
+        self._overdue_heads: list[_GroupHead] | None = None
+        self._open_groups: dict[int, list[Group]] = {}
         self._at_quota: dict[tuple[str, int], bool] = {}
-        self._short: dict[tuple[str, int], tuple[float, ...]] = {}
+        self._refused_needs: dict[tuple[str, int], tuple[float, ...]] = {}
 
     def _choose(self) -> WaitingJob | None:
         job = self._find_overdue() if self._is_overdue_turn() else None
@@ -97,20 +110,26 @@
         return job or self._find_next()
 
     def _is_overdue_turn(self) -> bool:
-        """Tell whether an overdue job goes first; enough in vain end its turn."""
+        """Return whether an overdue job goes first.
+
+        The turn ends early after too many failures if urgent jobs wait.
+        """
         if not self._queue.is_overdue_turn():
             return False
-        if self._vain < self._overdue_tries or not self._has_urgent():
+        if (
+            self._overdue_failures < self._max_overdue_failures
+            or not self._has_urgent()
+        ):
             return True
         self._queue.end_overdue_turn()
-        self._vain = 0
+        self._overdue_failures = 0
         return False
 
     def _has_urgent(self) -> bool:
-        """Tell whether the pass still has a job of the most urgent class."""
+        """Return whether the pass still has a job of the most urgent class."""
         if self._rank < 0:
             self._rank = 0
-            self._open_class()
+            self._enter_class()
         if self._rank > 0:
             return False
         return any(
@@ -118,32 +137,38 @@
             for _, team in self._teams
         )
 
-    def _note_vain(self) -> None:
-        self._tries -= 1
-        self._vain += self._is_overdue
+    def _record_failure(self) -> None:
+        self._failures_left -= 1
+        self._overdue_failures += self._is_overdue
 
     def _choose_lent(self) -> WaitingJob | None:
-        """Return the next job when claims that found no room are lent."""
+        """Start the second round, which lends unused claims, and return its first job.
+
+        :returns: ``None`` if it is already running or would not allow any other job.
+        """
         if self._lends_claims or not any(self._queue.quotas.claims):
             return None
-        if not self._short and not any(self._at_quota.values()):
+        if not self._refused_needs and not any(self._at_quota.values()):
             return None
-        self._start(lends_claims=True)
+        self._start_round(lends_claims=True)
         return self._choose()
 
     def _push_team(self) -> None:
-        """Let the team of the last offer be chosen again."""
+        """Make the team of the last offer available again."""
         if self._offered_team:
             share = self._queue.shares.compute_share(self._offered_team)
             heapq.heappush(self._teams, (share, self._offered_team))
             self._offered_team = ""
 
     def _pop_team(self) -> str:
-        """Pop the team with the least share, which may have grown meanwhile."""
+        """Remove and return the team with the lowest share.
+
+        Shares may have grown since they were recorded.
+        """
         while True:
-            noted, team = heapq.heappop(self._teams)
+            recorded, team = heapq.heappop(self._teams)
             share = self._queue.shares.compute_share(team)
-            if share <= noted:
+            if share <= recorded:
                 return team
             heapq.heappush(self._teams, (share, team))
 
@@ -158,9 +183,9 @@
             if self._rank == len(CLASSES) - 1:
                 return None
             self._rank += 1
-            self._open_class()
+            self._enter_class()
 
-    def _open_class(self) -> None:
+    def _enter_class(self) -> None:
         self._groups = {}
         self._heads = {}
         for group in self._list_groups(self._rank):
@@ -169,22 +194,24 @@
         self._teams = [(compute_share(team), team) for team in self._groups]
         heapq.heapify(self._teams)
 
-    def _get_heads(self, team: str) -> list[_Head]:
+    def _get_heads(self, team: str) -> list[_GroupHead]:
         heads = self._heads.get(team)
         if heads is None:
             heads = self._heads[team] = _list_heads(self._groups[team], _get_submitted)
         return heads
 
     def _find_overdue(self) -> WaitingJob | None:
-        """Return the longest overdue job that may be placed now."""
+        """Return the job that has been overdue longest and may be placed now."""
         queue = self._queue
-        if self._late is None:
-            groups = (g for rank in range(len(CLASSES)) for g in self._list_late(rank))
-            self._late = _list_heads(groups, queue.find_due)
-        job = self._find_first(self._late, queue.find_due)
+        if self._overdue_heads is None:
+            groups = (
+                g for rank in range(len(CLASSES)) for g in self._list_overdue(rank)
+            )
+            self._overdue_heads = _list_heads(groups, queue.find_due)
+        job = self._find_first(self._overdue_heads, queue.find_due)
         return job if job and queue.is_overdue(job) else None
 
-    def _list_late(self, rank: int) -> Iterator[Group]:
+    def _list_overdue(self, rank: int) -> Iterator[Group]:
         """Yield the open groups of a class whose oldest job is overdue."""
         latest = self._queue.find_overdue_time(rank)
         for group in self._list_groups(rank):
@@ -193,13 +220,13 @@
                 yield group
 
     def _list_groups(self, rank: int) -> list[Group]:
-        """List the groups of a class that neither room nor quota closes."""
-        groups = self._open.get(rank)
+        """Return the groups of a class that may fit and are not at their quota."""
+        groups = self._open_groups.get(rank)
         if groups is None:
-            groups = self._open[rank] = [
+            groups = self._open_groups[rank] = [
                 group
-                for line in self._queue.list_open_lines(rank)
-                for team, group in line.groups.items()
+                for bucket in self._queue.list_open_buckets(rank)
+                for team, group in bucket.groups.items()
                 if not self._is_at_quota(team, rank)
             ]
         return groups
@@ -211,10 +238,13 @@
             self._at_quota[team, rank] = is_at_quota
         return is_at_quota
 
-    def _find_first(self, heads: list[_Head], find_time: FindTime) -> WaitingJob | None:
+    def _find_first(
+        self, heads: list[_GroupHead], find_time: FindTime
+    ) -> WaitingJob | None:
         """Return the first job of a heap of groups that may be placed now.
 
-        A group stands there with its oldest job as it was when last looked at.
+        Each group is ordered by its oldest job at the time of the last check, so
+        the entry is updated first if that job has changed.
         """
         while heads:
             _, order, group = heads[0]
@@ -231,28 +261,28 @@
         return None
 
     def _may_fit(self, group: Group) -> bool:
-        """Tell whether neither the quota nor an earlier failure is in the way."""
-        team, need, rank = group.team, group.line.need, group.line.rank
-        short = self._short.get((team, rank), _ENDLESS)
-        if short is not _ENDLESS and any(map(_reaches, need, short)):
+        """Return whether neither the quota nor an earlier failure excludes a group."""
+        team, need, rank = group.team, group.bucket.need, group.bucket.rank
+        refused = self._refused_needs.get((team, rank), _UNLIMITED)
+        if refused is not _UNLIMITED and any(map(_is_at_least, need, refused)):
             return False
         quotas = self._queue.quotas
-        within = quotas.is_within(team, need, rank)
+        within_quota = quotas.is_within(team, need, rank)
         dimension = (
             None
-            if within
+            if within_quota
             else quotas.find_shortfall(team, need, rank, self._lends_claims)
         )
         if dimension is None:
-            return not self._queue.is_closed(group.line, within)
+            return not self._queue.is_closed(group.bucket, within_quota)
         index = Size._fields.index(dimension)
-        limits = *short[:index], need[index], *short[index + 1 :]
-        self._short[team, rank] = limits
+        limits = *refused[:index], need[index], *refused[index + 1 :]
+        self._refused_needs[team, rank] = limits
         return False
 
 
-def _list_heads(groups: Iterable[Group], find_time: FindTime) -> list[_Head]:
-    """Make a heap of the groups that have a job."""
+def _list_heads(groups: Iterable[Group], find_time: FindTime) -> list[_GroupHead]:
+    """Return a heap of the groups that have a job."""
     entries = ((group, group.heap.peek()) for group in groups)
     heads = [
         (find_time(entry.job), entry.order, group)
@@ -267,5 +297,5 @@
     return job.submitted
 
 
-def _reaches(need: int, limit: float) -> bool:
+def _is_at_least(need: int, limit: float) -> bool:
     return need >= limit
--- a/src/damaskdeck/coordination/queues/pressure.py
+++ b/src/damaskdeck/coordination/queues/pressure.py
@@ -1,4 +1,4 @@
-"""What to do when the observed use of a worker nears its size."""
+"""Decisions for a worker whose observed usage approaches its size."""
 
 from collections.abc import Iterator, Sequence
 from datetime import timedelta
@@ -8,18 +8,18 @@
 from damaskdeck.protocol.resources import Urgency
 from damaskdeck.protocol.sizes import Size
 
-# Shares of a worker's size from which on its use is relieved.
-PROCESSOR_MARK = 0.95
-MEMORY_MARK = 0.9
+# Shares of a worker's size above which it is relieved.
+PROCESSOR_THRESHOLD = 0.95
+MEMORY_THRESHOLD = 0.9
 
 
 class ObservedTask(NamedTuple):
     """A task that runs on the worker.
 
-    :param reserved: what is set aside for it.
-    :param use: what it used by the last report.
-    :param growth: what its memory may grow until the next report comes, in MiB.
-    :param limit: millicores that it was bound to, or ``None``.
+    :param reserved: the capacity reserved for it.
+    :param use: its usage in the last report.
+    :param growth: expected growth of its memory until the next report, in MiB.
+    :param limit: the millicores that it is throttled to, or ``None``.
     """
 
     task: str
@@ -34,20 +34,20 @@
 
 
 class Throttle(NamedTuple):
-    """Bind the task to ``millicores``."""
+    """Limit the task to ``millicores``."""
 
     task: str
     millicores: int
 
 
 class Checkpoint(NamedTuple):
-    """Save the task's progress and stop it; it waits again."""
+    """Checkpoint the task and stop it; it returns to the queue."""
 
     task: str
 
 
 class Stop(NamedTuple):
-    """Stop the task; it starts anew later."""
+    """Stop the task; it starts from the beginning later."""
 
     task: str
 
@@ -58,29 +58,30 @@
 def choose_pressure_action(
     size: Size, tasks: Sequence[ObservedTask]
 ) -> PressureAction | None:
-    """Choose how to relieve a worker; ``None`` when it needs no relief.
-
-    Processors are relieved by throttling tasks to what they reserved, the least
-    urgent first. Memory is relieved by a checkpoint, else by a stop, of the
-    least urgent task; of its class those above their reservation go first, then
-    those with a checkpoint, then the latest started, as least is lost. A task
-    that is neither idempotent nor has a checkpoint is never stopped: where only
-    such remain, the fastest growing one is slowed down.
-
-    :param tasks: those running; call again without the chosen one, or with its
-        new limit, until nothing more is to be done.
+    """Choose how to relieve a worker, or return ``None`` if it needs no relief.
+
+    Processors are relieved by throttling tasks to their reservations, the least
+    urgent first. Memory is relieved by checkpointing or else stopping the least
+    urgent task. Within a class, tasks above their reservation go first, then
+    checkpointable tasks, then those that started last, because they lose the least
+    work. A task that is neither idempotent nor checkpointable is never stopped. If
+    only such tasks remain, the one whose memory grows fastest is throttled.
+
+    :param size: the size of the worker.
+    :param tasks: the running tasks. Call again without the chosen task, or with
+        its new limit, until the result is ``None``.
     """
     memory = sum(task.use.memory + task.growth for task in tasks)
-    if memory > MEMORY_MARK * size.memory:
+    if memory > MEMORY_THRESHOLD * size.memory:
         return _relieve_memory(tasks)
-    millicores = sum(_find_millicores(task) for task in tasks)
-    if millicores > PROCESSOR_MARK * size.millicores:
+    millicores = sum(_get_millicores(task) for task in tasks)
+    if millicores > PROCESSOR_THRESHOLD * size.millicores:
         return _relieve_processors(tasks)
     return None
 
 
 def _relieve_processors(tasks: Sequence[ObservedTask]) -> PressureAction | None:
-    over = [task for task in tasks if _find_millicores(task) > task.reserved.millicores]
+    over = [task for task in tasks if _get_millicores(task) > task.reserved.millicores]
     victim = max(over, key=_rank_victim, default=None)
     return Throttle(victim.task, victim.reserved.millicores) if victim else None
 
@@ -105,6 +106,6 @@
     return RANKS[task.urgency], is_over, task.checkpoint, task.started
 
 
-def _find_millicores(task: ObservedTask) -> int:
+def _get_millicores(task: ObservedTask) -> int:
     used = task.use.millicores
     return used if task.limit is None else min(used, task.limit)
--- a/src/damaskdeck/coordination/queues/queueing.py
+++ b/src/damaskdeck/coordination/queues/queueing.py
@@ -1,4 +1,4 @@
-"""The queue of waiting jobs: urgency classes, fairness, ageing and quotas."""
+"""The queue of waiting jobs: urgency classes, fairness, aging and quotas."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from datetime import timedelta
@@ -7,9 +7,9 @@
 from damaskdeck.coordination.queues.blocks import Blocks
 from damaskdeck.coordination.queues.fairness import FairShares
 from damaskdeck.coordination.queues.waiting import (
+    Bucket,
     Entry,
     Group,
-    Line,
     Shape,
     TeamNeed,
     WaitingJob,
@@ -21,33 +21,37 @@
 CLASSES = tuple(Urgency)
 RANKS = {urgency: rank for rank, urgency in enumerate(CLASSES)}
 
-# How long a job of each class may wait before it is overdue.
+# Time that a job of each class may wait before it is overdue.
 WAIT_LIMITS = {
     Urgency.URGENT: timedelta(seconds=2),
     Urgency.HIGH: timedelta(minutes=2),
     Urgency.NORMAL: timedelta(minutes=15),
     Urgency.LOW: timedelta(hours=1),
 }
-# Of so many jobs taken in a row, one is the longest overdue.
+# One of this many jobs taken in a row is the one that has been overdue longest.
 OVERDUE_TURN = 8
-# How long a shape that found no room isn't tried again, if nobody tells of room.
+# How long a shape that couldn't be placed isn't tried again, unless free capacity is
+# reported earlier.
 BLOCK_DURATION = timedelta(seconds=1)
 
 
 class JobQueue:
     """Waiting jobs in the order in which they are to be placed.
 
-    Classes go by urgency. Within a class the team with the least weighted
-    dominant share goes first; within a team the oldest job whose shape may
-    fit. Of each ``overdue_turn`` jobs taken one is the longest overdue,
-    whatever its class and team. So once a job is overdue, and as long as it
-    fits and its quota allows it, at most ``overdue_turn`` x (n + 1) jobs are
-    taken before it, where n counts the jobs that were due before it.
-
-    :param clock: judges which jobs are overdue.
-    :param quotas: charged for jobs taken, and told what the waiting ones want.
-    :param wait_limits: how long a job of each class waits before it is overdue.
-    :param block_duration: how long a shape that found no room isn't tried.
+    Classes are ordered by urgency. Within a class, the team with the lowest
+    weighted dominant share goes first, and within a team the oldest job whose
+    shape may fit. One of every ``overdue_turn`` jobs taken is the one that has
+    been overdue longest, regardless of its class and team. An overdue job that
+    fits and is within its quota is therefore preceded by at most
+    ``overdue_turn`` x (n + 1) jobs, where n is the number of jobs that were due
+    before it.
+
+    :param clock: determines which jobs are overdue.
+    :param quotas: charged for jobs taken, and updated with the demand of waiting
+        jobs.
+    :param wait_limits: time after which a job of each class is overdue.
+    :param overdue_turn: one of this many jobs taken is an overdue one.
+    :param block_duration: how long a shape that couldn't be placed isn't tried.
     """
 
     def __init__(
@@ -65,7 +69,7 @@
         self._clock = clock
         self._limits = wait_limits
         self._entries: dict[str, Entry] = {}
-        self._classes: tuple[dict[Shape, Line], ...] = tuple({} for _ in CLASSES)
+        self._classes: tuple[dict[Shape, Bucket], ...] = tuple({} for _ in CLASSES)
         self._needs: dict[tuple[str, int], TeamNeed] = {}
         self._closed_classes = [-1] * len(CLASSES)
         self._reasons: dict[str, str] = {}
@@ -81,90 +85,96 @@
 
     @property
     def work(self) -> int:
-        """Steps of upkeep done so far; linear in pushes and removals."""
+        """Number of maintenance steps so far; linear in pushes and removals."""
         return self._work
 
     def get(self, name: str) -> WaitingJob | None:
-        """Return a waiting job by name."""
+        """Return a waiting job by name, or ``None``."""
         entry = self._entries.get(name)
         return entry.job if entry else None
 
     def push(self, job: WaitingJob) -> None:
-        """Let a job wait; one of the same name is replaced."""
+        """Add a job, replacing one of the same name."""
         self.remove(job.name)
         self._order += 1
         entry = Entry(job, self._order, self._get_group(job))
         self._entries[job.name] = entry
         entry.group.heap.push(job.submitted, entry)
-        self._closed_classes[entry.group.line.rank] = -1
-        key = job.team, entry.group.line.rank
-        self._needs.setdefault(key, TeamNeed()).add(entry.group.line.need)
-        self.quotas.add_demand(job.team, job.want, entry.group.line.rank)
+        self._closed_classes[entry.group.bucket.rank] = -1
+        key = job.team, entry.group.bucket.rank
+        self._needs.setdefault(key, TeamNeed()).add(entry.group.bucket.need)
+        self.quotas.add_demand(job.team, job.demand, entry.group.bucket.rank)
         self._work += 1
 
     def push_all(self, jobs: Iterable[WaitingJob]) -> None:
-        """Let many jobs wait."""
+        """Add several jobs."""
         for job in jobs:
             self.push(job)
 
     def remove(self, name: str) -> WaitingJob | None:
-        """Take a job out without placing it, as one that was cancelled."""
+        """Remove a job without placing it, for example a cancelled one."""
         entry = self._entries.pop(name, None)
         if entry is None:
             return None
-        self._drop_entry(entry)
-        self.quotas.remove_demand(entry.job.team, entry.job.want, entry.group.line.rank)
+        self._remove_entry(entry)
+        self.quotas.remove_demand(
+            entry.job.team, entry.job.demand, entry.group.bucket.rank
+        )
         return entry.job
 
     def remove_all(self, names: Iterable[str]) -> int:
-        """Take out many jobs; returns how many had been waiting."""
+        """Remove several jobs and return how many of them were waiting."""
         return sum(self.remove(name) is not None for name in names)
 
     def take(self, name: str, overdue: bool = False) -> None:
-        """Take what was offered of a job: it was placed.
+        """Remove the offered tasks of a job that were placed.
+
+        The team is charged for them. The charge is returned by
+        :meth:`Quotas.release` when they end, or by :meth:`put_back` if they could
+        not start.
 
-        The team is charged for it; give it back by :meth:`Quotas.release`
-        when it ends, or by :meth:`put_back` when it could not start.
+        :param overdue: whether the job was offered because it is overdue.
         """
         entry = self._entries[name]
         job = entry.job
         self._since_overdue = 0 if overdue else self._since_overdue + 1
-        line = entry.group.line
-        self.quotas.charge_demand(job.team, line.need, line.rank)
+        bucket = entry.group.bucket
+        self.quotas.charge_demand(job.team, bucket.need, bucket.rank)
         if job.gang or job.tasks == 1:
             del self._entries[name]
-            self._drop_entry(entry)
+            self._remove_entry(entry)
         else:
             entry.job = job._replace(tasks=job.tasks - 1)
 
     def put_back(self, job: WaitingJob) -> None:
-        """Let wait again what was taken of ``job`` but could not start.
+        """Return tasks to the queue that were taken but could not start.
 
-        :param job: as it was offered; it keeps its place by its time.
+        :param job: the job as it was offered. It keeps its time of submission, so
+            it also keeps its position.
         """
         self.quotas.release(job.team, job.need, RANKS[job.urgency])
         waiting = self.get(job.name)
         left = waiting.tasks if waiting else 0
         self.push(job._replace(tasks=left + job.offered))
 
-    def unblock_fitting(self, room: Size) -> None:
-        """Note that one worker now has ``room``, so that its jobs are tried."""
-        self.blocks.open(room)
+    def unblock_fitting(self, capacity: Size) -> None:
+        """Allow the shapes again that fit into the free ``capacity`` of one worker."""
+        self.blocks.remove_fitting(capacity)
 
     def skip(self, name: str, reason: str) -> None:
-        """Don't offer a job until the failures of now are forgotten.
+        """Don't offer a job until the current failures expire.
 
-        :param reason: plain words, told by :meth:`describe`.
+        :param reason: the reason for people to read, returned by :meth:`describe`.
         """
         self.blocks.skipped.add(name)
         self._reasons[name] = reason
 
     def is_overdue(self, job: WaitingJob) -> bool:
-        """Tell whether ``job`` has waited longer than its class should."""
+        """Return whether ``job`` has waited longer than the limit of its class."""
         return self.find_due(job) <= self._clock.monotonic()
 
     def find_overdue_time(self, rank: int) -> timedelta:
-        """Return when the latest jobs that are overdue now were submitted."""
+        """Return the time of submission up to which jobs of a class are overdue now."""
         return self._clock.monotonic() - self._limits[CLASSES[rank]]
 
     def find_due(self, job: WaitingJob) -> timedelta:
@@ -172,35 +182,35 @@
         return job.submitted + self._limits[job.urgency]
 
     def find_longest_overdue(self) -> WaitingJob | None:
-        """Return the job that room should be planned for, if any is overdue.
+        """Return the job that has been overdue longest, to plan capacity for it.
 
-        Jobs that their team's quota doesn't allow now are left out. Looks at
-        all groups, so call it every few seconds, not for each decision.
+        Jobs that exceed the quota of their team now are ignored. This examines all
+        groups, so call it every few seconds and not for each decision.
         """
         heads = [
             head.job
-            for lines in self._classes
-            for line in lines.values()
-            for group in line.groups.values()
+            for buckets in self._classes
+            for bucket in buckets.values()
+            for group in bucket.groups.values()
             if (head := group.heap.peek()) and self.is_overdue(head.job)
         ]
         allowed = (job for job in heads if not self.find_shortfall(job))
         return min(allowed, default=None, key=self.find_due)
 
     def is_overdue_turn(self) -> bool:
-        """Tell whether the next job taken should be an overdue one."""
+        """Return whether the next job taken should be an overdue one."""
         return self._since_overdue >= self.overdue_turn - 1
 
     def find_shortfall(self, job: WaitingJob) -> str | None:
-        """Tell in which dimension its team's quota keeps a job out, if any."""
+        """Return the dimension in which a job exceeds its team's quota, if any."""
         return self.quotas.find_shortfall(job.team, job.need, RANKS[job.urgency])
 
     def end_overdue_turn(self) -> None:
-        """Let others go on, as the overdue jobs tried found no room."""
+        """End the turn of overdue jobs, because those tried couldn't be placed."""
         self._since_overdue = 0
 
     def is_at_quota(self, team: str, rank: int, lends_claims: bool = False) -> bool:
-        """Tell whether a team's quota allows none of its jobs of a class.
+        """Return whether a team's quota allows none of its jobs of a class.
 
         :param lends_claims: see :meth:`Quotas.find_shortfall`.
         """
@@ -208,50 +218,55 @@
         shortfall = self.quotas.find_shortfall(team, least, rank, lends_claims)
         return shortfall is not None
 
-    def list_open_lines(self, rank: int) -> list[Line]:
-        """List the lines of a class whose shape isn't known to find no room."""
-        epoch = self.blocks.epoch
-        if self._closed_classes[rank] == epoch:
+    def list_open_buckets(self, rank: int) -> list[Bucket]:
+        """Return the buckets of a class whose shape isn't known to fail."""
+        generation = self.blocks.generation
+        if self._closed_classes[rank] == generation:
             return []
-        lines = [
-            line
-            for line in self._classes[rank].values()
-            if not self.is_closed(line, within=True)
+        buckets = [
+            bucket
+            for bucket in self._classes[rank].values()
+            if not self.is_closed(bucket, within_quota=True)
         ]
-        if not lines:
-            self._closed_classes[rank] = epoch
-        return lines
+        if not buckets:
+            self._closed_classes[rank] = generation
+        return buckets
 
-    def is_closed(self, line: Line, within: bool) -> bool:
-        """Tell whether an earlier failure covers a line.
+    def is_closed(self, bucket: Bucket, within_quota: bool) -> bool:
+        """Return whether an earlier failure covers a bucket.
 
-        :param within: whether the team would stay within its quota.
+        :param within_quota: whether the team would stay within its quota.
         """
-        epoch = self.blocks.epoch
-        if line.closed_within == epoch or (not within and line.closed_above == epoch):
+        generation = self.blocks.generation
+        if bucket.closed_within == generation or (
+            not within_quota and bucket.closed_above == generation
+        ):
             return True
-        if self.blocks.find(line.rank, within, line.shape) is None:
+        if self.blocks.find(bucket.rank, within_quota, bucket.shape) is None:
             return False
-        if within:
-            line.closed_within = epoch
+        if within_quota:
+            bucket.closed_within = generation
         else:
-            line.closed_above = epoch
+            bucket.closed_above = generation
         return True
 
     def describe(self, name: str) -> tuple[str, ...]:
-        """Explain in plain words why a job waits; empty when it doesn't wait."""
+        """Return the reasons why a job waits, for people to read.
+
+        :returns: an empty tuple if the job doesn't wait.
+        """
         job = self.get(name)
         if job is None:
             return ()
-        return (self._describe_place(job), *self._describe_causes(job))
+        return (self._describe_position(job), *self._describe_causes(job))
 
     def expire_blocks(self) -> None:
-        """Forget failures that are too old to be believed."""
+        """Remove the failures that have expired."""
         self.blocks.expire(self._clock.monotonic())
 
-    def _describe_place(self, job: WaitingJob) -> str:
-        lines = self._classes[RANKS[job.urgency]].values()
-        groups = [line.groups.get(job.team) for line in lines]
+    def _describe_position(self, job: WaitingJob) -> str:
+        buckets = self._classes[RANKS[job.urgency]].values()
+        groups = [bucket.groups.get(job.team) for bucket in buckets]
         before = sum(
             other.submitted < job.submitted
             for group in groups
@@ -267,8 +282,8 @@
     def _describe_causes(self, job: WaitingJob) -> Iterator[str]:
         rank = RANKS[job.urgency]
         shortfall = self.find_shortfall(job)
-        within = self.quotas.is_within(job.team, job.need, rank)
-        block = self.blocks.find(rank, within, job.shape)
+        within_quota = self.quotas.is_within(job.team, job.need, rank)
+        block = self.blocks.find(rank, within_quota, job.shape)
         if shortfall:
             yield f"the team's quota of {shortfall} is used and none is idle to borrow"
         if block:
@@ -280,8 +295,8 @@
 
     def _describe_order(self, job: WaitingJob) -> str:
         share = self.shares.compute_share(job.team)
-        lines = self._classes[RANKS[job.urgency]].values()
-        teams = {team for line in lines for team in line.groups}
+        buckets = self._classes[RANKS[job.urgency]].values()
+        teams = {team for bucket in buckets for team in bucket.groups}
         ahead = sum(self.shares.compute_share(team) < share for team in teams)
         if not ahead:
             return "no team that waits in the class uses less of its share"
@@ -291,29 +306,29 @@
             f"uses {share:.1%} by weight"
         )
 
-    def _drop_entry(self, entry: Entry) -> None:
+    def _remove_entry(self, entry: Entry) -> None:
         entry.alive = False
-        key = entry.job.team, entry.group.line.rank
+        key = entry.job.team, entry.group.bucket.rank
         self._reasons.pop(entry.job.name, None)
-        self._work += entry.group.heap.discount()
-        if not entry.group.heap.live:
-            self._drop_group(entry.group)
+        self._work += entry.group.heap.remove_one()
+        if not entry.group.heap.live_count:
+            self._remove_group(entry.group)
         if self._needs[key].drop():
             del self._needs[key]
 
     def _get_group(self, job: WaitingJob) -> Group:
         rank = RANKS[job.urgency]
         shape = job.shape
-        line = self._classes[rank].get(shape)
-        if line is None:
-            line = self._classes[rank][shape] = Line(rank, shape, job.need)
-        group = line.groups.get(job.team)
+        bucket = self._classes[rank].get(shape)
+        if bucket is None:
+            bucket = self._classes[rank][shape] = Bucket(rank, shape, job.need)
+        group = bucket.groups.get(job.team)
         if group is None:
-            group = line.groups[job.team] = Group(line, job.team)
+            group = bucket.groups[job.team] = Group(bucket, job.team)
         return group
 
-    def _drop_group(self, group: Group) -> None:
-        line = group.line
-        del line.groups[group.team]
-        if not line.groups:
-            del self._classes[line.rank][line.shape]
+    def _remove_group(self, group: Group) -> None:
+        bucket = group.bucket
+        del bucket.groups[group.team]
+        if not bucket.groups:
+            del self._classes[bucket.rank][bucket.shape]
--- a/src/damaskdeck/coordination/queues/starvinggangs.py
+++ b/src/damaskdeck/coordination/queues/starvinggangs.py
@@ -1,4 +1,4 @@
-"""Gangs that have waited so long that room is to be kept for them."""
+"""Gangs that have waited so long that capacity is reserved for them."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -8,21 +8,21 @@
 from damaskdeck.coordination.queues.waiting import WaitingJob
 from damaskdeck.protocol.sizes import Size, add_sizes, fits, subtract_sizes
 
-# A gang that has waited so long has room kept for it.
+# Capacity is reserved for a gang that has waited this long.
 STARVATION_LIMIT = timedelta(seconds=30)
-# So many gangs of a ledger ask for it, each once in such an interval.
-GANG_LIMIT = 4
-ASK_INTERVAL = timedelta(seconds=1)
+# Number of gangs of one ledger that request capacity, each once per interval.
+MAX_GANGS = 4
+REQUEST_INTERVAL = timedelta(seconds=1)
 
 
 class StarvingGangs:
-    """The waiting gangs of one ledger, and which of them ask for room first.
+    """The waiting gangs of one ledger, and which of them request capacity.
 
-    They don't wait for their turn: smaller tasks that found no room would always
-    stand in their way. Nor do they wait until something is idle to borrow, which
-    needn't ever be enough at once.
+    Starving gangs don't wait for their turn in the queue, because smaller tasks
+    that couldn't be placed would always be ahead of them. They don't wait for idle
+    quota to borrow either, because there may never be enough of it at one time.
 
-    :param is_impossible: tells of a job whether it can't run on any workers.
+    :param is_impossible: returns whether a job can't run on any workers.
     """
 
     def __init__(
@@ -34,38 +34,40 @@
         self._names: set[str] = set()
 
     def add(self, name: str) -> None:
-        """Note that a gang stands in the queue."""
+        """Add a gang that waits in the queue."""
         self._names.add(name)
 
     def discard(self, name: str) -> None:
-        """Note that a job doesn't stand in the queue any more."""
+        """Remove a job that no longer waits in the queue."""
         self._names.discard(name)
 
-    def is_late(self, job: WaitingJob) -> bool:
-        """Tell whether room is to be kept for a gang."""
+    def is_starving(self, job: WaitingJob) -> bool:
+        """Return whether capacity is to be reserved for a gang."""
         return self._clock.monotonic() - job.submitted >= STARVATION_LIMIT
 
     def list(self) -> list[WaitingJob]:
-        """List the first late gangs, the most urgent and oldest first."""
+        """Return the first starving gangs, the most urgent and oldest first."""
         jobs = [self._queue.get(name) for name in self._names]
-        late = [job for job in jobs if job is not None and self.is_late(job)]
-        late.sort(key=lambda job: (RANKS[job.urgency], job.submitted))
-        possible = [job for job in late if not self._is_impossible(job.name)]
-        return [job for job in possible[:GANG_LIMIT] if self._may_ask(job)]
+        starving = [job for job in jobs if job is not None and self.is_starving(job)]
+        starving.sort(key=lambda job: (RANKS[job.urgency], job.submitted))
+        possible = [job for job in starving if not self._is_impossible(job.name)]
+        return [job for job in possible[:MAX_GANGS] if self._may_reserve(job)]
 
-    def _may_ask(self, job: WaitingJob) -> bool:
-        """Tell whether a gang needs no more than its quota or what others borrow."""
+    def _may_reserve(self, job: WaitingJob) -> bool:
+        """Return whether a gang fits its quota or what other teams don't claim."""
         if not self._queue.find_shortfall(job):
             return True
-        return fits(job.need, self._count_unclaimed(job.team))
+        return fits(job.need, self._compute_unclaimed(job.team))
 
-    def _count_unclaimed(self, team: str) -> Size:
-        """Return what other teams neither use nor claim of their own quotas."""
+    def _compute_unclaimed(self, team: str) -> Size:
+        """Return the capacity that other teams neither use nor claim by quota."""
         quotas = self._queue.quotas
-        left = quotas.capacity
+        unclaimed = quotas.capacity
         for name in quotas.list_teams():
             if name != team:
                 state = quotas.read(name)
                 total = add_sizes(state.use, state.want)
-                left = subtract_sizes(left, Size(*map(min, total, state.quota)))
-        return left
+                unclaimed = subtract_sizes(
+                    unclaimed, Size(*map(min, total, state.quota))
+                )
+        return unclaimed
--- a/src/damaskdeck/coordination/queues/waiting.py
+++ b/src/damaskdeck/coordination/queues/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting jobs, grouped by what decides whether they fit."""
+"""Waiting jobs, grouped by the properties that decide whether they fit."""
 
 import heapq
 from collections.abc import Set
@@ -9,16 +9,20 @@
 from damaskdeck.protocol.sizes import Size
 from damaskdeck.state.quotas import scale_size
 
-# Dead entries that a heap keeps before it is worth cleaning up.
-_SLACK = 8
+# Number of dead entries that a heap may have, beyond the live ones, before it is
+# rebuilt.
+_DEAD_ENTRY_ALLOWANCE = 8
 
 
 class Shape(NamedTuple):
-    """What decides whether a job fits: where one fits, so does another.
+    """The properties that decide whether a job fits.
 
-    :param size: of one task.
-    :param tasks: tasks placed at once: all of a gang's, else 1.
-    :param constraint: whatever else placement looks at, as the zones allowed.
+    Jobs of the same shape fit on the same workers.
+
+    :param size: the size of one task.
+    :param tasks: number of tasks placed at once: all of a gang, else 1.
+    :param constraint: anything else that placement depends on, such as the allowed
+        availability zones.
     """
 
     size: Size
@@ -27,11 +31,11 @@
 
 
 class WaitingJob(NamedTuple):
-    """A job, or what is left of it, that waits for room.
+    """A job with the tasks that still wait for capacity.
 
-    :param size: of one task.
-    :param submitted: monotonic time; a job put back keeps its own.
-    :param tasks: how many tasks wait.
+    :param size: the size of one task.
+    :param submitted: monotonic time of submission, also of a job that was put back.
+    :param tasks: number of waiting tasks.
     :param gang: whether all of them must start at once.
     :param constraint: see :class:`Shape`.
     """
@@ -47,29 +51,29 @@
 
     @property
     def offered(self) -> int:
-        """How many tasks are placed at once."""
+        """Number of tasks that are placed at once."""
         return self.tasks if self.gang else 1
 
     @property
     def shape(self) -> Shape:
-        """What is placed at once."""
+        """The shape of the tasks that are placed at once."""
         return Shape(self.size, self.offered, self.constraint)
 
     @property
     def need(self) -> Size:
-        """What it uses more once it is placed the next time."""
+        """The total size of the tasks that are placed at once."""
         return scale_size(self.size, self.offered)
 
     @property
-    def want(self) -> Size:
-        """What all of its waiting tasks want together."""
+    def demand(self) -> Size:
+        """The total size of all waiting tasks."""
         return scale_size(self.size, self.tasks)
 
 
 class Entry:
-    """A job in the queue; no longer alive once it was taken or removed.
+    """A job in the queue, which is no longer alive once it was taken or removed.
 
-    :param order: rises with each push; breaks ties of time.
+    :param order: increases with each push, to break ties between equal times.
     """
 
     __slots__ = ("alive", "group", "job", "order")
@@ -82,23 +86,23 @@
 
 
 class EntryHeap:
-    """Entries in order of a time; dead ones are dropped late, many at once."""
+    """Entries in order of a time; dead ones are removed lazily, in bulk."""
 
-    __slots__ = ("_items", "live")
+    __slots__ = ("_items", "live_count")
 
     def __init__(self) -> None:
         self._items: list[tuple[timedelta, int, Entry]] = []
-        self.live = 0
+        self.live_count = 0
 
     def push(self, time: timedelta, entry: Entry) -> None:
         """Add an entry."""
         heapq.heappush(self._items, (time, entry.order, entry))
-        self.live += 1
+        self.live_count += 1
 
     def peek(self, skipped: Set[str] = frozenset()) -> Entry | None:
-        """Return the first living entry.
+        """Return the first live entry.
 
-        :param skipped: names of jobs to look past.
+        :param skipped: names of jobs to ignore.
         """
         items = self._items
         while items and not items[0][2].alive:
@@ -107,23 +111,23 @@
             return None
         if not skipped or items[0][2].job.name not in skipped:
             return items[0][2]
-        return self._find_past(skipped)
+        return self._find_unskipped(skipped)
 
-    def discount(self) -> int:
-        """Note that an entry died.
+    def remove_one(self) -> int:
+        """Record that one entry is no longer alive.
 
-        :returns: steps of work done, 2 on average over many calls.
+        :returns: the number of steps of work; amortized, 2 for each call.
         """
-        self.live -= 1
-        held = len(self._items)
-        if held <= 2 * self.live + _SLACK:
+        self.live_count -= 1
+        entry_count = len(self._items)
+        if entry_count <= 2 * self.live_count + _DEAD_ENTRY_ALLOWANCE:
             return 1
         self._items = [item for item in self._items if item[2].alive]
         heapq.heapify(self._items)
-        return held
+        return entry_count
 
-    def _find_past(self, skipped: Set[str]) -> Entry | None:
-        """Walk the heap in order, as far as entries are dead or skipped."""
+    def _find_unskipped(self, skipped: Set[str]) -> Entry | None:
+        """Search the heap in order for an entry that is neither dead nor skipped."""
         items = self._items
         frontier = [(items[0][:2], 0)]
         while frontier:
@@ -136,28 +140,28 @@
         return None
 
     def list_jobs(self) -> list[WaitingJob]:
-        """List the jobs of all living entries in order."""
+        """Return the jobs of all live entries in order."""
         return [item[2].job for item in sorted(self._items) if item[2].alive]
 
 
 class Group:
     """Jobs of one class, team and shape, in order of submission."""
 
-    __slots__ = ("heap", "line", "team")
+    __slots__ = ("heap", "bucket", "team")
 
-    def __init__(self, line: "Line", team: str) -> None:
-        self.line = line
+    def __init__(self, bucket: "Bucket", team: str) -> None:
+        self.bucket = bucket
         self.team = team
         self.heap = EntryHeap()
 
 
-class Line:
+class Bucket:
     """The groups of one class and shape, by team.
 
-    :param rank: of the class; 0 is the most urgent.
-    :param need: what the next offer of any of its jobs uses.
-    :param closed_within: epoch of the failures of which one covers the line.
-    :param closed_above: the same for teams that would be above their quota.
+    :param rank: rank of the class; 0 is the most urgent.
+    :param need: total size of the tasks that each job places at once.
+    :ivar closed_within: generation of the failures of which one covers the bucket.
+    :ivar closed_above: the same for teams that would exceed their quota.
     """
 
     __slots__ = ("closed_above", "closed_within", "groups", "need", "rank", "shape")
@@ -172,7 +176,7 @@
 
 
 class TeamNeed:
-    """How many jobs of a team wait, and a size that none of them is below."""
+    """Number of waiting jobs of a team, and a lower bound of their needs."""
 
     __slots__ = ("count", "least")
 
@@ -186,6 +190,6 @@
         self.count += 1
 
     def drop(self) -> bool:
-        """Count one job less; returns whether it was the last."""
+        """Remove one job from the count; return whether it was the last."""
         self.count -= 1
         return not self.count
--- a/tests/test_gang_plane.py
+++ b/tests/test_gang_plane.py
@@ -1,4 +1,4 @@
-"""Gangs through the whole task plane: they start whole, and all of them do."""
+"""Gangs in the whole task plane: every gang starts, and only as a whole."""
 
 import asyncio
 import unittest
@@ -15,12 +15,13 @@
 SECOND = timedelta(seconds=1)
 SMALL = b'{"run_time": 6}'
 LONG = b'{"run_time": 20}'
-# Gangs wait for 30 s; then small tasks of 6 s end, with the time of their calls.
+# Capacity is reserved after 30 s. Then small tasks of 6 s have to end, and the calls
+# take time as well.
 START_LIMIT = 75
 
 
 class GangPlaneCase(unittest.TestCase):
-    """Three daemons and six workers of four cores under small tasks."""
+    """Three daemons and six workers of four cores, loaded with small tasks."""
 
     ledgers = 1
 
@@ -56,14 +57,14 @@
         return [ledgers[ledger] for ledger in sorted(ledgers)]
 
     async def stream(self):
-        """Submit five small tasks a second, more than the cell can run."""
+        """Submit five small tasks a second, more than the workers can run."""
         while True:
             for _ in range(5):
                 await self.submit("small", "team", SMALL)
             await self.plane.clock.sleep(SECOND)
 
     async def watch(self):
-        """Note how many of each gang run at a time, but for its start and end."""
+        """Record how many tasks of each gang run, except while it starts or ends."""
         steady = {}
         while True:
             await self.plane.clock.sleep(SECOND / 4)
@@ -91,24 +92,24 @@
         return (await self.submit(f"gang-{team}", team)).name
 
     async def wait_for_start(self, job, limit=START_LIMIT):
-        """Return after how many seconds all of a gang run; ``None`` if not."""
+        """Return the seconds until all tasks of a gang run; ``None`` if they don't."""
         for step in range(limit * 4):
             if self.count_running().get(job) == 20:
                 return step / 4
             await self.plane.clock.sleep(SECOND / 4)
         return None
 
-    async def wait_for_kept_room(self):
-        """Wait until room is kept by some owner; returns the owner."""
+    async def wait_for_reservation(self):
+        """Wait until some owner reserves capacity; return the owner."""
         for _ in range(400):
             for name, daemon in self.plane.registry.daemons.items():
                 if daemon.host.allocator.find_reserved_gang():
                     return name
             await self.plane.clock.sleep(SECOND / 10)
-        self.fail("no room was kept")
+        self.fail("no owner reserved capacity")
 
-    async def count_kept(self):
-        """Count the owners that keep room after a while."""
+    async def count_reservations(self):
+        """Return the number of owners that reserve capacity after a while."""
         await self.plane.clock.sleep(SECOND / 10)
         daemons = self.plane.registry.daemons.values()
         return sum(
@@ -122,7 +123,7 @@
 
 
 class TestGangUnderLoad(GangPlaneCase):
-    """A gang of most of the cell under a steady stream of small tasks."""
+    """A gang that needs most workers, under a steady stream of small tasks."""
 
     def test_gang_starts_within_its_bound(self):
         async def test():
@@ -131,7 +132,7 @@
 
         self.run_plane(test)
 
-    def test_gang_starves_if_no_room_is_kept(self):
+    def test_gang_starves_without_reserved_capacity(self):
         async def test():
             with mock.patch.object(
                 starvinggangs, "STARVATION_LIMIT", timedelta(days=1)
@@ -141,10 +142,10 @@
 
         self.run_plane(test)
 
-    def test_no_room_is_kept_once_a_gang_is_cancelled(self):
+    def test_no_capacity_is_reserved_after_a_gang_is_cancelled(self):
         async def test():
             job = await self.submit_gang()
-            await self.wait_for_kept_room()
+            await self.wait_for_reservation()
             await self.plane.find("d2").ledger_owner.cancel_job(job)
             await self.plane.clock.sleep(6 * SECOND)
             for daemon in self.plane.registry.daemons.values():
@@ -152,7 +153,7 @@
 
         self.run_plane(test)
 
-    def test_hopeless_gang_keeps_no_room(self):
+    def test_impossible_gang_reserves_no_capacity(self):
         async def test():
             spec = {"run_time": 7 * 86400, "urgency": "urgent", "idempotent": False}
             self.plane.declare("long", tasks=8, **spec)
@@ -161,7 +162,7 @@
             self.assertEqual(view.state.value, "queued")
             await self.submit_gang()
             await self.plane.clock.sleep(40 * SECOND)
-            counts = [await self.count_kept() for _ in range(50)]
+            counts = [await self.count_reservations() for _ in range(50)]
             self.assertEqual(sum(counts), 0)
 
         self.run_plane(test)
@@ -184,13 +185,13 @@
         self.run_plane(test)
 
 
-class TestGangAndDeaths(GangPlaneCase):
-    """Deaths while room is kept."""
+class TestGangAndFailures(GangPlaneCase):
+    """Daemons die while capacity is reserved."""
 
-    def test_gang_starts_after_its_keeper_died(self):
+    def test_gang_starts_after_its_ledger_owner_died(self):
         async def test():
             job = await self.submit_gang()
-            await self.wait_for_kept_room()
+            await self.wait_for_reservation()
             await self.restart("d1")
             self.assertIsNotNone(await self.wait_for_start(job, 2 * START_LIMIT))
 
@@ -199,7 +200,7 @@
     def test_gang_starts_after_an_owner_died(self):
         async def test():
             job = await self.submit_gang()
-            await self.wait_for_kept_room()
+            await self.wait_for_reservation()
             self.assertEqual(
                 self.plane.find("d2").host.allocator.find_reserved_gang(), job
             )
@@ -220,10 +221,10 @@
             await self.restart("d2")
             await self.plane.clock.sleep(SECOND)
             started = [
-                held.need.started
+                reservation.need.started
                 for daemon in self.plane.registry.daemons.values()
                 for name, account in daemon.host.accounts.workers.items()
-                for held in account.reservations.values()
+                for reservation in account.reservations.values()
                 if name in adopted
             ]
             self.assertEqual(len(started), 8)
@@ -231,10 +232,10 @@
 
         self.run_plane(test)
 
-    def test_no_room_is_kept_for_a_keeper_that_is_gone(self):
+    def test_no_capacity_is_reserved_for_a_lost_ledger_owner(self):
         async def test():
             await self.submit_gang()
-            await self.wait_for_kept_room()
+            await self.wait_for_reservation()
             self.plane.platform.cut_off("d1")
             self.plane.switch.disconnect("d1")
             self.plane.find("d1").die()
@@ -248,7 +249,7 @@
 
 
 class TestGangsOfTwoLedgers(GangPlaneCase):
-    """Two gangs, each of most of the cell, with different keepers."""
+    """Two gangs that each need most workers, with different ledger owners."""
 
     ledgers = 2
 
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -1,4 +1,4 @@
-"""The keeper's path of a job: submitted, placed, started, ended, read."""
+"""The path of a job through its ledger owner, from submission to its end."""
 
 import asyncio
 import unittest
@@ -20,7 +20,7 @@
 
 
 class TestWholePath(unittest.TestCase):
-    """From submission to outcome, from any daemon."""
+    """A job from submission to outcome, through any daemon."""
 
     @virtual
     async def test_job_is_submitted_run_and_read_from_any_daemon(self):
@@ -72,7 +72,7 @@
 
 
 class TestLostReplies(unittest.TestCase):
-    """An entry asks again after a lost reply only where that is harmless."""
+    """A call is repeated after a lost reply only if that is harmless."""
 
     async def submit(self, key):
         plane = await Plane().start()
@@ -93,7 +93,7 @@
 
 
 class TestOutcomes(unittest.TestCase):
-    """Each job ends in one of the four outcomes, and truthfully."""
+    """Each job ends in one of the four outcomes, the one that is true."""
 
     @virtual
     async def test_job_refused_in_an_outage_is_not_there_afterwards(self):
@@ -161,7 +161,7 @@
         self.assertEqual(len(plane.platform.runs.starts), 1)
 
     @virtual
-    async def test_large_payload_and_large_result_are_told_by_code(self):
+    async def test_large_payload_and_large_result_have_codes(self):
         plane = await Plane().start()
         plane.declare()
         refused = await submit(plane, b"x" * 300_000)
@@ -185,10 +185,10 @@
 
 
 class TestFailover(unittest.TestCase):
-    """A new keeper goes on where the old one was stopped."""
+    """A new ledger owner continues where the previous one stopped."""
 
     @virtual
-    async def test_job_survives_its_keeper_and_runs_once(self):
+    async def test_job_survives_its_ledger_owner_and_runs_once(self):
         plane = await Plane().start()
         plane.declare(idempotent=False)
         view = await submit(plane, key="k")
@@ -200,7 +200,7 @@
         self.assertEqual(len(plane.platform.runs.starts), 1)
 
     @virtual
-    async def test_keeper_that_dies_before_sending_a_marked_start(self):
+    async def test_owner_that_dies_before_sending_a_marked_start(self):
         plane = await Plane(workers=1).start()
         await plane.registry.hand_over("worker/w1", "d2")
         plane.declare(idempotent=False)
@@ -220,39 +220,39 @@
         self.assertLessEqual(starts, 1)
 
     @virtual
-    async def test_news_of_an_older_attempt_change_nothing(self):
+    async def test_updates_of_an_older_attempt_change_nothing(self):
         plane = await Plane().start()
         plane.declare()
         view = await submit(plane, ENDLESS)
         await plane.clock.sleep(2 * SECOND)
         controller = plane.find("d1").ledger_owner.controllers["00"]
         task = controller.ledger.table.tasks[f"{view.name}-0"]
-        news = {"task": task.name, "attempt": 0, "worker": "w1", "state": "lost"}
-        noted = await controller.tracker.take_news([news])
+        update = {"task": task.name, "attempt": 0, "worker": "w1", "state": "lost"}
+        noted = await controller.tracker.handle_updates([update])
         self.assertEqual(len(noted["noted"]), 1)
         self.assertEqual(controller.ledger.table.tasks[task.name], task)
 
     @virtual
-    async def test_late_news_of_a_former_owner_settle_no_doubt(self):
+    async def test_late_updates_of_a_previous_owner_confirm_nothing(self):
         plane = await Plane(workers=1).start()
         plane.declare()
         view = await submit(plane, ENDLESS)
         await plane.clock.sleep(2 * SECOND)
         tracker = plane.find("d1").ledger_owner.controllers["00"].tracker
         task = f"{view.name}-0"
-        tracker.doubt([task])
-        news = {"task": task, "attempt": 1, "worker": "w1", "state": "running"}
-        await tracker.take_news([news])
-        self.assertIn(task, tracker._doubts)
+        tracker.mark_unconfirmed([task])
+        update = {"task": task, "attempt": 1, "worker": "w1", "state": "running"}
+        await tracker.handle_updates([update])
+        self.assertIn(task, tracker._unconfirmed)
         await plane.clock.sleep(2 * SECOND)
-        self.assertNotIn(task, tracker._doubts)
+        self.assertNotIn(task, tracker._unconfirmed)
 
 
 class TestKeys(unittest.TestCase):
     """Keys of requests: one claim, one outcome, also after a failover."""
 
     @virtual
-    async def test_key_is_claimed_once_and_its_outcome_is_remembered(self):
+    async def test_key_is_claimed_once_and_its_outcome_is_stored(self):
         plane = await Plane().start()
         first, second = plane.find("d1").ledger_owner, plane.find("d2").ledger_owner
         claim = ("team", "orders", "k1", b"digest", 30 * SECOND)
@@ -278,7 +278,7 @@
 
 
 class TestPolicy(unittest.TestCase):
-    """The policy of placement and of queues, through the whole path."""
+    """The policies of placement and of the queue, through the whole path."""
 
     @virtual
     async def test_gang_starts_all_tasks_at_once_or_none(self):
@@ -437,7 +437,7 @@
         self.assertTrue(any("quota" in reason for reason in view.reasons), view)
 
     @virtual
-    async def test_job_that_no_worker_can_hold_any_more_is_told_then_refused(self):
+    async def test_job_that_becomes_impossible_is_reported_then_refused(self):
         plane = await Plane(workers=1).start()
         large = plane.platform.add_worker("w9", "z1", Size(8000, 8000, 0))
         await plane.clock.sleep(3 * SECOND)
@@ -452,7 +452,7 @@
         self.assertEqual((ended.state, ended.code), (JobState.REFUSED, "impossible"))
 
     @virtual
-    async def test_owner_that_is_silent_for_long_is_not_asked(self):
+    async def test_owner_without_recent_reports_is_not_called(self):
         plane = await Plane(daemons=1, workers=1).start()
         plane.declare()
         await plane.clock.sleep(2 * SECOND)
@@ -467,7 +467,7 @@
 
 
 class TestServices(unittest.TestCase):
-    """Declared services run by themselves, as many tasks as declared."""
+    """Declared services run with the declared number of tasks."""
 
     @virtual
     async def test_service_is_started_scaled_and_ended_as_declared(self):
@@ -494,10 +494,10 @@
 
 
 class TestRetention(unittest.TestCase):
-    """Results are kept for a stated time, then forgotten in a stated way."""
+    """Results are removed after the retention time, and this is reported."""
 
     @virtual
-    async def test_old_job_is_forgotten_and_its_key_is_not_run_again(self):
+    async def test_old_job_is_removed_and_its_key_does_not_run_again(self):
         plane = await Plane().start()
         plane.declare()
         view = await submit(plane, key="k")
@@ -516,5 +516,5 @@
 
 
 def count_running(plane):
-    """Count the tasks that run on all workers."""
+    """Return the number of tasks that run on all workers."""
     return sum(len(worker.list_running()) for worker in plane.platform.workers.values())
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -1,4 +1,4 @@
-"""Ledgers that a daemon keeps."""
+"""Ledgers that a daemon owns."""
 
 import asyncio
 import unittest
@@ -11,15 +11,15 @@
 from tests.virtual import virtual
 
 SECONDS = 5
-# Of the store's several hundred writes a second, those that ledgers may use.
-WRITES_A_SECOND = 150
+# The part of the store's several hundred writes a second that ledgers may use.
+MAX_WRITES_PER_SECOND = 150
 
 
 class TestPace(unittest.TestCase):
-    """All ledgers together stay within their writes, however many there are."""
+    """The total write rate of all ledgers is limited, whatever their number."""
 
     async def count_writes(self, ledger_count: int) -> float:
-        """Return the writes a second of ledgers that always have a commit waiting."""
+        """Return the writes a second of ledgers that constantly commit records."""
         clock = LoopClock()
         store = MemoryStore(clock)
         ledgers = [
@@ -43,7 +43,7 @@
         return (store.calls["put"] - before) / SECONDS
 
     async def commit_all(self, ledger: OwnedLedger) -> None:
-        """Commit one record after the other."""
+        """Commit one record after another."""
         number = 0
         while True:
             number += 1
@@ -61,4 +61,4 @@
         for ledger_count in (defaults.LEDGER_COUNT, 16):
             writes = await self.count_writes(ledger_count)
             self.assertGreater(writes, 0)
-            self.assertLessEqual(writes, WRITES_A_SECOND, ledger_count)
+            self.assertLessEqual(writes, MAX_WRITES_PER_SECOND, ledger_count)
--- a/tests/test_lost_replies.py
+++ b/tests/test_lost_replies.py
@@ -1,4 +1,4 @@
-"""What a caller is told after a keeper's reply was lost."""
+"""The answer to a caller after the reply of a ledger owner was lost."""
 
 import asyncio
 import unittest
@@ -9,10 +9,10 @@
 from tests.virtual import virtual
 
 
-class TestLostReplyAndLostKeeper(unittest.TestCase):
-    """A refusal of the second ask doesn't tell what became of the first."""
+class TestLostReplyAndLostOwner(unittest.TestCase):
+    """A refusal of the repeated call doesn't decide the outcome of the first one."""
 
-    async def submit(self, during):
+    async def submit(self, change_plane):
         """Submit with a key; the first reply is lost."""
         plane = await Plane().start()
         plane.declare()
@@ -21,7 +21,7 @@
         ledger_owner = plane.find("d2").ledger_owner
         task = asyncio.ensure_future(ledger_owner.submit_job(submission))
         await asyncio.sleep(1)
-        during(plane)
+        change_plane(plane)
         answer = await task
         self.assertEqual(
             len(plane.find("d1").ledger_owner.controllers["00"].ledger.table.jobs), 1
@@ -29,12 +29,12 @@
         return answer
 
     @virtual
-    async def test_job_that_was_taken_is_not_refused_when_its_keeper_is_gone(self):
+    async def test_accepted_job_is_not_refused_when_its_owner_is_gone(self):
         answer = await self.submit(lambda p: p.registry.owners.pop("ledger/00"))
         self.assertEqual(answer.code, "answer_lost")
         self.assertIsInstance(answer, Unknown)
 
     @virtual
-    async def test_job_that_was_taken_is_found_by_the_second_ask(self):
+    async def test_accepted_job_is_found_by_the_repeated_call(self):
         answer = await self.submit(lambda p: None)
         self.assertIsInstance(answer, JobView)
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -1,4 +1,4 @@
-"""The queue against a naive one, and its bounds."""
+"""The queue compared with a naive one, and its guarantees."""
 
 import unittest
 from datetime import timedelta
@@ -61,13 +61,13 @@
     return WaitingJob(name, team, urgency, size, **options)
 
 
-def offer_all(queue, room):
-    """Run a pass over ``room`` millicores; returns the names in order of offer."""
+def offer_all(queue, free):
+    """Run a pass with ``free`` millicores; return the names in order of offer."""
     offers, order = Pass(queue), []
     while job := offers.next():
         order.append(job.name)
-        if job.need.millicores <= room:
-            room -= job.need.millicores
+        if job.need.millicores <= free:
+            free -= job.need.millicores
             offers.take(job)
         else:
             offers.fail(job, "millicores")
@@ -75,19 +75,19 @@
 
 
 class NaiveQueue:
-    """Sorts a list of all waiting jobs anew for each decision."""
+    """Sorts a list of all waiting jobs again for each decision."""
 
     def __init__(self):
         self.jobs = []
         self.running = []
         self.since_overdue = 0
-        self.vain = 0
+        self.overdue_failures = 0
 
     def use(self, team):
         return sum_sizes(size for owner, size, _ in self.running if owner == team)
 
     def count_use(self, team, rank):
-        """Sum the use that holds back a team's jobs of a class."""
+        """Return the usage that counts against a team's jobs of a class."""
         least = rank if rank < 2 else 3
         return sum_sizes(
             size
@@ -95,7 +95,7 @@
             if owner == team and other <= least
         )
 
-    def find_room(self):
+    def find_free_capacity(self):
         return subtract_sizes(CAPACITY, sum_sizes(size for _, size, _ in self.running))
 
     def allows(self, job, lends=False):
@@ -135,8 +135,8 @@
         )
         late = [j for j in allowed if j.submitted + LIMITS[j.urgency] <= now]
         is_urgent = bool(order) and order[0].urgency is Urgency.URGENT
-        if self.since_overdue >= 2 and self.vain >= 1 and is_urgent:
-            self.since_overdue = self.vain = 0
+        if self.since_overdue >= 2 and self.overdue_failures >= 1 and is_urgent:
+            self.since_overdue = self.overdue_failures = 0
         if late and self.since_overdue >= 2:
             return [min(late, key=lambda j: j.submitted + LIMITS[j.urgency])], True
         return order, False
@@ -150,7 +150,7 @@
 
 
 class TestOrder(unittest.TestCase):
-    """Which job is offered next."""
+    """The order in which jobs are offered."""
 
     @settings(derandomize=True, deadline=None, max_examples=150)
     @given(STEPS)
@@ -198,23 +198,23 @@
                 queue.remove(naive.jobs.pop(value % len(naive.jobs)).name)
             elif kind == "end" and naive.running:
                 quotas.release(*naive.running.pop(value % len(naive.running)))
-                queue.unblock_fitting(naive.find_room())
-            offers = Pass(queue, tries=100)
+                queue.unblock_fitting(naive.find_free_capacity())
+            offers = Pass(queue, max_failures=100)
             while job := offers.next():
-                if fits(job.need, naive.find_room()):
+                if fits(job.need, naive.find_free_capacity()):
                     offers.take(job)
                     naive.take(job, False)
                 else:
                     offers.fail(job, "memory")
             for job in naive.jobs:
-                is_open = fits(job.need, naive.find_room())
+                is_open = fits(job.need, naive.find_free_capacity())
                 is_open = is_open and naive.allows(job, lends=True)
                 self.assertFalse(is_open, job)
 
     def _compare_pass(self, queue, naive, clock):
-        offers = Pass(queue, tries=100, overdue_tries=1)
-        failed, lends, naive.vain = set(), False, 0
-        free = naive.find_room()
+        offers = Pass(queue, max_failures=100, max_overdue_failures=1)
+        failed, lends, naive.overdue_failures = set(), False, 0
+        free = naive.find_free_capacity()
         while job := offers.next():
             now = clock.monotonic()
             lends = lends or not naive.list_candidates(now, failed, False)[0]
@@ -236,7 +236,7 @@
                 naive.take(job, overdue)
             else:
                 offers.fail(job, "memory")
-                naive.vain += overdue
+                naive.overdue_failures += overdue
                 failed |= {j.name for j in naive.jobs if _is_as_hard(j, job, naive)}
         left, _ = naive.list_candidates(clock.monotonic(), failed, True)
         self.assertEqual(left, [])
@@ -258,21 +258,21 @@
             offers.take(job)
         self.assertEqual("".join(order), "10243")
 
-    def test_claims_of_work_without_room_are_lent_after_its_offer(self):
-        for room, expected in (
+    def test_claims_of_jobs_that_fail_are_lent_after_their_offer(self):
+        for free, expected in (
             (10, ["large"]),
             (7, ["large", "borrower", "borrower"]),
         ):
-            with self.subTest(room=room):
-                quotas, used = Quotas(Size(10, 0, 0)), Size(10 - room, 0, 0)
+            with self.subTest(free=free):
+                quotas, used = Quotas(Size(10, 0, 0)), Size(10 - free, 0, 0)
                 quotas.set_quota("ash", Size(10, 0, 0))
                 quotas.charge("cedar", used)
                 queue = make_queue(quotas, ManualClock())
                 queue.push(make_job("large", "ash", size=Size(8, 0, 0), tasks=2))
                 queue.push(make_job("borrower", "birch", size=Size(3, 0, 0), tasks=9))
-                self.assertEqual(offer_all(queue, room), expected)
+                self.assertEqual(offer_all(queue, free), expected)
 
-    def test_room_is_planned_for_the_longest_overdue_job_that_its_quota_allows(self):
+    def test_the_longest_overdue_job_within_its_quota_is_found(self):
         clock, quotas = ManualClock(), make_quotas()
         queue = make_queue(quotas, clock)
         quotas.charge("ash", CAPACITY, CLASSES.index(Urgency.URGENT))
@@ -286,7 +286,7 @@
         queue.remove("first")
         self.assertEqual(queue.find_longest_overdue().name, "second")
 
-    def test_overdue_jobs_without_room_keep_no_urgent_job_from_its_offer(self):
+    def test_overdue_jobs_that_fail_block_no_urgent_job(self):
         clock = ManualClock()
         queue = JobQueue(clock, make_quotas(Size(999, 0, 0)))
         for size in range(40):
@@ -331,26 +331,26 @@
 
 
 class TestBlocks(unittest.TestCase):
-    """A failure stands for whatever is at least as hard to place."""
+    """A failure covers every shape that is at least as hard to place."""
 
     @settings(derandomize=True, deadline=None, max_examples=200)
     @given(
         st.lists(BLOCKS, max_size=8), BLOCKS, st.builds(Size, *[st.integers(0, 1)] * 3)
     )
-    def test_dropped_failures_change_no_answer(self, failures, wanted, room):
+    def test_dropped_failures_change_no_answer(self, failures, wanted, free):
         blocks = Blocks(timedelta(seconds=1))
         for block in failures:
             blocks.add(block)
         self._compare(blocks, failures, wanted)
-        blocks.open(room)
+        blocks.remove_fitting(free)
         found = blocks.find(*wanted[:3])
         if found is not None:
-            self.assertFalse(fits(wanted.shape.size, room))
+            self.assertFalse(fits(wanted.shape.size, free))
 
     def _compare(self, blocks, failures, wanted):
         expected = any(
             block.rank <= wanted.rank
-            and (block.within or not wanted.within)
+            and (block.within_quota or not wanted.within_quota)
             and block.shape.constraint == wanted.shape.constraint
             and block.shape.tasks <= wanted.shape.tasks
             and fits(block.shape.size, wanted.shape.size)
@@ -360,7 +360,7 @@
 
 
 class TestBounds(unittest.TestCase):
-    """What a job can count on, whatever else arrives."""
+    """Guarantees for a job, whatever other jobs arrive."""
 
     def test_no_class_and_no_team_starves(self):
         clock, quotas = ManualClock(), make_quotas(Size(1000, 1000, 0))
@@ -385,7 +385,7 @@
             quotas.release(job.team, job.need, CLASSES.index(job.urgency))
             self.assertLessEqual(taken, 3 * len(waiting))
 
-    def test_overdue_jobs_without_room_keep_no_other_one_from_its_turn(self):
+    def test_overdue_jobs_that_fail_block_no_other_overdue_job(self):
         clock, quotas = ManualClock(), make_quotas(Size(9999, 0, 0))
         queue = make_queue(quotas, clock)
         for size in range(20):
@@ -409,7 +409,7 @@
                 offers.take(job)
                 quotas.release(job.team, job.need, CLASSES.index(job.urgency))
 
-    def test_a_wave_of_cancellations_costs_linear_work(self):
+    def test_many_cancellations_cost_linear_work(self):
         work = {}
         for count in (2500, 10_000):
             queue = make_queue(make_quotas(), ManualClock())
@@ -426,7 +426,7 @@
         self.assertLessEqual(work[10_000], 5 * work[2500])
         self.assertLessEqual(work[10_000], 8 * 10_000)
 
-    def test_a_failed_shape_is_tried_once_and_holds_up_no_other(self):
+    def test_a_failed_shape_is_tried_once_and_blocks_no_other(self):
         queue = make_queue(make_quotas(Size(1000, 1000, 0)), ManualClock())
         queue.push_all(make_job(f"big-{n}", size=Size(8, 8, 0)) for n in range(50))
         queue.push_all(make_job(f"huge-{n}", size=Size(9, 8, 0)) for n in range(50))
@@ -440,7 +440,7 @@
                 offers.fail(job, "memory")
         self.assertEqual(offered, ["big-0", "small"])
 
-    def test_a_pass_in_vain_looks_at_no_job_again(self):
+    def test_a_pass_after_failures_examines_no_job_again(self):
         queue = make_queue(make_quotas(Size(10_000, 10_000, 0)), ManualClock())
         for team in TEAMS:
             queue.quotas.set_quota(team, Size(10_000, 10_000, 0))
@@ -454,7 +454,7 @@
         queue.push(make_job("new", size=Size(1, 8, 0)))
         self.assertEqual(_fail_all(queue), ["new"])
 
-    def test_room_on_a_worker_lets_only_what_fits_it_be_tried_again(self):
+    def test_free_capacity_unblocks_only_shapes_that_fit(self):
         queue = make_queue(make_quotas(Size(1000, 1000, 0)), ManualClock())
         queue.push(make_job("big", size=Size(8, 8, 0)))
         queue.push(make_job("long", size=Size(2, 9, 0)))
@@ -464,7 +464,7 @@
         queue.unblock_fitting(Size(8, 8, 0))
         self.assertEqual(_fail_all(queue), ["big"])
 
-    def test_a_failure_is_believed_for_a_while_only(self):
+    def test_a_failure_expires(self):
         clock = ManualClock()
         queue = make_queue(make_quotas(), clock)
         queue.push(make_job("job"))
@@ -475,7 +475,7 @@
         clock.move(timedelta(milliseconds=1))
         self.assertEqual(_fail_all(queue), ["job"])
 
-    def test_room_for_one_task_lets_a_gang_be_tried_again(self):
+    def test_free_capacity_for_one_task_unblocks_a_gang(self):
         queue = make_queue(make_quotas(Size(1000, 1000, 0)), ManualClock())
         queue.push(make_job("gang", size=Size(4, 4, 0), tasks=9, gang=True))
         self.assertEqual(_fail_all(queue), ["gang"])
@@ -493,7 +493,7 @@
         quotas.set_quota("birch", Size())
         self.assertEqual(_fail_all(queue), ["birch", "cedar"])
 
-    def test_a_skipped_job_holds_up_none_of_its_likes(self):
+    def test_a_skipped_job_blocks_no_job_of_its_shape(self):
         clock = ManualClock()
         queue = make_queue(make_quotas(Size(1000, 1000, 0)), clock)
         queue.push_all(make_job(f"job-{n}") for n in range(5))
@@ -506,7 +506,7 @@
         clock.move(timedelta(seconds=1))
         self.assertEqual(Pass(queue).next().name, "job-0")
 
-    def test_what_could_not_start_waits_again_in_its_old_place(self):
+    def test_tasks_that_could_not_start_keep_their_position(self):
         quotas = make_quotas()
         queue = make_queue(quotas, ManualClock())
         queue.push(make_job("first", tasks=3))
@@ -523,7 +523,7 @@
 
 
 class TestDescribe(unittest.TestCase):
-    """A job's owner learns why it waits."""
+    """The reasons why a job waits are described."""
 
     def test_each_cause_is_named(self):
         quotas = make_quotas()
@@ -550,7 +550,7 @@
 
 
 def _is_as_hard(other, job, naive):
-    """Tell whether the failure of ``job`` covers ``other``, by the page."""
+    """Return whether the failure of ``job`` covers ``other`` by definition."""
     return (
         CLASSES.index(other.urgency) >= CLASSES.index(job.urgency)
         and other.offered >= job.offered
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -1,4 +1,4 @@
-"""A declared service runs as declared, whatever was declared before."""
+"""A service runs as declared, whatever was declared before."""
 
 import unittest
 from datetime import timedelta
@@ -13,12 +13,12 @@
 
 
 def count_running(plane):
-    """Count the tasks that run."""
+    """Return the number of running tasks."""
     return sum(len(w.list_running()) for w in plane.platform.workers.values())
 
 
-class TestReturn(unittest.TestCase):
-    """A version that was ended may be declared again."""
+class TestRedeclaration(unittest.TestCase):
+    """A version that has ended may be declared again."""
 
     @virtual
     async def test_version_declared_again_replaces_the_one_between(self):
@@ -40,8 +40,8 @@
             self.assertEqual(count_running(plane), 0)
 
 
-class TestRoom(unittest.TestCase):
-    """A service that no worker could hold waits for one that can."""
+class TestImpossibleService(unittest.TestCase):
+    """A service that no worker could hold waits for a worker that can."""
 
     @virtual
     async def test_service_runs_once_a_large_enough_worker_is_listed(self):
