--- a/src/damaskdeck/coordination/jobs/launches.py
+++ b/src/damaskdeck/coordination/jobs/launches.py
@@ -265,7 +265,10 @@
 
 
 def _name_reserved(reserved: dict[str, list[Assignment]]) -> dict[str, Grants]:
-    """Return one task of each owner that reserves capacity, to release it all."""
+    """Return one task of each owner that reserves capacity.
+
+    Releasing it releases the reservation for the whole gang.
+    """
     return {
         owner: {
             assignment.task: jobs.TaskAttempt(
--- a/src/damaskdeck/coordination/jobs/shapes.py
+++ b/src/damaskdeck/coordination/jobs/shapes.py
@@ -42,8 +42,8 @@
         if spec["type"] != "gang":
             return None
         tasks = spec.get("tasks", 1)
-        held = sum(n * count_fitting(need, k[1], tasks) for k, n in counts.items())
-        return "room for all tasks at once" if held < tasks else None
+        fitting = sum(n * count_fitting(need, k[1], tasks) for k, n in counts.items())
+        return "room for all tasks at once" if fitting < tasks else None
 
 
 def find_shortage(need: Size, sizes: set[Size]) -> str:
--- a/src/damaskdeck/coordination/jobs/tracker.py
+++ b/src/damaskdeck/coordination/jobs/tracker.py
@@ -22,6 +22,7 @@
 CALL_TIMEOUT = timedelta(seconds=3)
 OWNER_CHECK_INTERVAL = timedelta(seconds=3)
 SILENCE_LIMIT = timedelta(seconds=10)
+# Long enough for a previous or new owner of the worker to report its tasks first.
 REMOVED_WORKER_TIMEOUT = compute_takeover_bound() + timedelta(seconds=15)
 PLACED_STATES = (TaskState.PLACED, TaskState.RUNNING)
 
--- a/src/damaskdeck/coordination/places/backfill.py
+++ b/src/damaskdeck/coordination/places/backfill.py
@@ -33,7 +33,7 @@
     :param start: monotonic time when all of them are expected to fit.
     :param latest_end: tasks expected to end by this monotonic time are accepted
         on the planned workers. It never moves later, because tasks whose run
-        time is declared too short would otherwise postpone the start for ever.
+        time is declared too short would otherwise postpone the start forever.
     :param spare: by planned worker, the capacity that remains beside the job at
         ``start``.
     """
@@ -169,6 +169,10 @@
     def _predict_ends(
         self, names: Iterable[str], now: timedelta
     ) -> list[tuple[timedelta, str, Size]]:
+        """Return the expected ends of running tasks in order of time.
+
+        :returns: for each task its end in monotonic time, its worker and its size.
+        """
         ends = []
         for name in names:
             for reservation in self._accounts.workers[name].reservations.values():
--- a/src/damaskdeck/coordination/places/index.py
+++ b/src/damaskdeck/coordination/places/index.py
@@ -272,6 +272,10 @@
     predicates: Sequence[Predicate],
     cell_limit: int | None,
 ) -> list[WorkerAccount]:
+    """Return workers that can hold ``size``, roughly the tightest first.
+
+    :param cell_limit: maximum number of workers from one cell; ``None`` for all.
+    """
     row, column = get_level(size[0]), get_level(size[1])
     found: list[WorkerAccount] = []
     # Filters rarely refuse all workers of the nearest cells. The other cells are
@@ -299,6 +303,7 @@
 def _select_fitting(
     accounts: Iterable[WorkerAccount], size: Size, predicates: Sequence[Predicate]
 ) -> Iterator[WorkerAccount]:
+    """Yield the workers with enough processors and memory that pass all predicates."""
     millicores, memory, _ = size
     for account in accounts:
         free = account.free
@@ -312,6 +317,7 @@
 
 
 def _limit_racks(accounts: Iterable[WorkerAccount]) -> Iterator[WorkerAccount]:
+    """Yield at most ``_WORKERS_PER_RACK`` workers of each rack."""
     counts: dict[str, int] = {}
     for account in accounts:
         rack = account.instance.rack
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -79,7 +79,7 @@
 class TestCrashes(unittest.TestCase):
     """A task that crashes its workers ends.
 
-    Guards against a task that is started again for ever: on the users' platform, a
+    Guards against a task that is started again forever: on the users' platform, a
     task crashed each worker that started it, and its loss with the worker didn't
     count as a failure. A restarted worker reports no end of the task here either.
     """
