--- a/src/standins/wire.py
+++ b/src/standins/wire.py
@@ -337,7 +337,7 @@
         self._heartbeats = asyncio.ensure_future(self._send_heartbeats())
 
     async def _send_heartbeats(self) -> None:
-        """Write the workers' registrations now and again with each heartbeat."""
+        """Write the workers' registrations at once and on every heartbeat."""
         while True:
             for worker in self.workers:
                 identifier = worker.worker.info.identifier
