--- a/src/damaskdeck/daemon.py
+++ b/src/damaskdeck/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: one process on each entry instance, all alike."""
+"""The daemon, of which one process runs on each entry instance."""
 
 import asyncio
 import signal
@@ -40,14 +40,14 @@
 from damaskdeck.transport.targets import HttpTargets
 from damaskdeck.transport.workers import HttpWorkers
 
-# For each step of handing over: a store that is away must not hold up the exit.
-HANDOVER_LIMIT = timedelta(seconds=5)
+# Limit on each step of the shutdown, so that an unreachable store can't delay the exit.
+SHUTDOWN_STEP_TIMEOUT = timedelta(seconds=5)
 
 _log = get_logger("daemon")
 
 
 class Platform(NamedTuple):
-    """The adapters to the platform."""
+    """Adapters to the platform's services."""
 
     store: Store
     instances: InstanceList
@@ -56,10 +56,10 @@
 
 
 class Daemon:
-    """All parts of one daemon, put together.
+    """Creates, connects and runs the components of one daemon.
 
-    :param platform: adapters; those over HTTP unless given.
-    :ivar api_address: ``IP:port`` of the API, once :meth:`start` has returned.
+    :param platform: adapters to the platform; adapters over HTTP if ``None``.
+    :ivar api_address: ``IP:port`` of the API, set by :meth:`start`.
     """
 
     def __init__(
@@ -73,12 +73,12 @@
         self._clock = clock
         self._platform = platform or connect_platform(settings)
         self._is_draining = False
-        self._stop = asyncio.Event()
+        self._stop_requested = asyncio.Event()
 
     async def start(self) -> None:
-        """Bind the addresses and put the parts together.
+        """Bind the addresses and create the components.
 
-        :raises SettingsError: when an address is taken or isn't of this machine.
+        :raises SettingsError: if an address is in use or isn't local.
         """
         settings, clock = self.settings, self._clock
         self._network = PeerNetwork(
@@ -93,7 +93,7 @@
         self.api_address = show_address(listener)
         await self._network.start()
         self._build_coordination()
-        self._build_planes()
+        self._build_services()
         self._server = ApiServer(
             self._build_app(),
             settings.host,
@@ -131,7 +131,7 @@
         )
         self.fleet = Fleet(self._platform.instances, clock)
 
-    def _build_planes(self) -> None:
+    def _build_services(self) -> None:
         settings, clock, network = self.settings, self._clock, self._network
         shared = (self.membership, self.ownership, network)
         self.ledger_owner = LedgerOwner(
@@ -162,13 +162,13 @@
             queue_limit=settings.queue_limit,
         )
         self.observer = Observer(*shared, self.fleet, self.host)
-        self._follow_changes()
+        self._subscribe_to_changes()
 
-    def _follow_changes(self) -> None:
+    def _subscribe_to_changes(self) -> None:
         ledgers = tuple(map(format_ledger_name, range(self.settings.ledger_count)))
         self.ownership.set_shards("ledger", ledgers)
-        self.fleet.on_change(lambda changes: self._list_things())
-        self.configuration.subscribe(self._take_policy)
+        self.fleet.on_change(lambda changes: self._update_shards())
+        self.configuration.subscribe(self._apply_policy)
 
     def _build_app(self) -> Any:
         settings = self.settings
@@ -186,7 +186,7 @@
             settings.request_timeout,
         )
 
-    def _list_things(self) -> None:
+    def _update_shards(self) -> None:
         for scope, role in (
             ("target", InstanceRole.TARGET),
             ("worker", InstanceRole.WORKER),
@@ -194,19 +194,19 @@
             listed = self.fleet.list(role, self.settings.zone)
             self.ownership.set_shards(scope, tuple(i.name for i in listed))
 
-    def _take_policy(self, kind: Kind, name: str, resource: Resource | None) -> None:
+    def _apply_policy(self, kind: Kind, name: str, resource: Resource | None) -> None:
         if kind is Kind.POLICY and name == POLICY_NAME:
             spec = resource["spec"] if resource else {}
             self.fleet.set_drained(frozenset(spec.get("drained", ())))
 
     def is_ready(self) -> bool:
-        """Whether the balancer may send calls here."""
+        """Return whether the balancer may send requests to this daemon."""
         is_fleet_known = self.fleet.last_listed_at is not None
         return self.relay.is_ready and is_fleet_known and not self._is_draining
 
     def read_status(self) -> Mapping[str, Any]:
-        """Return this daemon's part of ``GET /v1/status``."""
-        held = {
+        """Return this daemon's part of the response to ``GET /v1/status``."""
+        owned = {
             scope: list(self.ownership.list_owned(scope))
             for scope in ("ledger", "target", "worker")
         }
@@ -216,48 +216,59 @@
             "zone": self.settings.zone,
             "draining": self._is_draining,
             "members": members,
-            "owned": held,
+            "owned": owned,
         }
 
     def request_stop(self) -> None:
-        """Let :meth:`run` shut down gracefully."""
-        self._stop.set()
+        """Make :meth:`run` shut down gracefully."""
+        self._stop_requested.set()
 
     async def run(self) -> None:
-        """Run until asked to stop, then shut down gracefully; call it once.
+        """Run until a stop is requested, then shut down gracefully.
 
-        Promise: "A graceful shutdown of an instance or process cuts off no
+        This method may be called only once.
+
+        Guarantee: "A graceful shutdown of an instance or process cuts off no
         request in progress."
 
-        :raises Exception: that of the first part that failed; nothing is drained.
+        :raises Exception: that of the first component that failed; in this case
+            nothing is drained.
         """
-        parts = [self.fleet, self.membership, self.ownership, self.relay]
-        parts += [self.ledger_owner, self.host, self.router]
-        tasks = [asyncio.ensure_future(part.run()) for part in parts]
-        stop = asyncio.ensure_future(self._stop.wait())
+        components = [self.fleet, self.membership, self.ownership, self.relay]
+        components += [self.ledger_owner, self.host, self.router]
+        tasks = [asyncio.ensure_future(component.run()) for component in components]
+        stop = asyncio.ensure_future(self._stop_requested.wait())
         try:
             await asyncio.wait({stop, *tasks}, return_when=asyncio.FIRST_COMPLETED)
-            broken = [task for task in tasks if task.done()]
-            for task in broken:
+            failed = [task for task in tasks if task.done()]
+            for task in failed:
                 task.result()
-            await self._drain()
+            await self._shut_down()
         finally:
             for task in (stop, *tasks):
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
             await self._close()
 
-    async def _drain(self) -> None:
+    async def _shut_down(self) -> None:
         self._is_draining = True
         _log.info("Shutting down.", grace=self.settings.grace.total_seconds())
         await self._clock.sleep(self.settings.drain_delay)
-        await self._finish("requests", self.router.drain(), self.settings.grace)
-        await self._finish("handover", self.ownership.drain(), HANDOVER_LIMIT)
-        await self._finish("ledgers", self.ledger_owner.close(), HANDOVER_LIMIT)
-        await self._finish("leave", self.membership.leave(), HANDOVER_LIMIT)
+        await self._run_shutdown_step(
+            "requests", self.router.drain(), self.settings.grace
+        )
+        await self._run_shutdown_step(
+            "handover", self.ownership.drain(), SHUTDOWN_STEP_TIMEOUT
+        )
+        await self._run_shutdown_step(
+            "ledgers", self.ledger_owner.close(), SHUTDOWN_STEP_TIMEOUT
+        )
+        await self._run_shutdown_step(
+            "leave", self.membership.leave(), SHUTDOWN_STEP_TIMEOUT
+        )
         await self._server.stop()
 
-    async def _finish(
+    async def _run_shutdown_step(
         self, step: str, work: Coroutine[Any, Any, None], limit: timedelta
     ) -> None:
         try:
@@ -277,7 +288,7 @@
 
 
 def connect_platform(settings: Settings) -> Platform:
-    """Return the adapters over HTTP."""
+    """Return adapters that access the platform over HTTP."""
     name = settings.name
     return Platform(
         HttpStore(settings.store_address, name),
@@ -288,11 +299,11 @@
 
 
 async def serve(settings: Settings) -> None:
-    """Run a daemon until SIGTERM or SIGINT ends it."""
+    """Run a daemon until SIGTERM or SIGINT stops it."""
     daemon = Daemon(settings, SystemClock())
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, daemon.request_stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, daemon.request_stop)
     await daemon.start()
     await daemon.run()
 
@@ -300,7 +311,7 @@
 def run_with_settings(path: str) -> None:
     """Run the daemon with a settings file in YAML.
 
-    :raises SettingsError: when the file can't be used.
+    :raises SettingsError: if the file can't be read or is invalid.
     """
     settings = load_settings(path)
     install_handler(settings.log_style, settings.log_level)
--- a/src/damaskdeck/platform/advisor.py
+++ b/src/damaskdeck/platform/advisor.py
@@ -1,4 +1,4 @@
-"""The platform's advisor."""
+"""Adapter to the platform's advisor."""
 
 from datetime import timedelta
 from typing import TypedDict
@@ -10,31 +10,31 @@
 from damaskdeck.protocol.ports import Lost, Rejected
 
 
-class _Advised(TypedDict):
+class _AdviceResponse(TypedDict):
     good: list[tuple[str, str]]
 
 
-_advised = msgspec.json.Decoder(_Advised)
+_advice_decoder = msgspec.json.Decoder(_AdviceResponse)
 
 
 class PlatformAdvisor:
-    """Implements ``Advisor``.
+    """Implements ``Advisor`` over HTTP.
 
-    :param address: IP and port, or an empty string where there is none.
+    :param address: ``IP:port``; an empty string if the platform has no advisor.
     """
 
     def __init__(self, client: PlatformClient, address: str) -> None:
         self._client = client
         self._address = address
 
-    def move(self, address: str) -> None:
-        """Use another address from the next call on."""
+    def set_address(self, address: str) -> None:
+        """Use ``address`` from the next call on."""
         self._address = address
 
     async def ask(
         self, step: str, workers: tuple[str, ...], timeout: timedelta
     ) -> Advice | Rejected | Lost:
-        """Ask which workers may run a step."""
+        """Return which of ``workers`` may run a step, according to the advisor."""
         if not self._address:
             return Rejected("no_advisor")
         body = {"step": step, "workers": workers}
@@ -43,7 +43,7 @@
             return reply
         if reply.status != 200:
             return Lost("unexpected_status", str(reply.status))
-        answer = decode_body(reply, _advised)
-        if isinstance(answer, Lost):
-            return answer
-        return Advice(tuple(Consent(*row) for row in answer["good"]))
+        response = decode_body(reply, _advice_decoder)
+        if isinstance(response, Lost):
+            return response
+        return Advice(tuple(Consent(*row) for row in response["good"]))
--- a/src/damaskdeck/platform/callers.py
+++ b/src/damaskdeck/platform/callers.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP on the platform, translated for the job desk."""
+"""ASGI application that translates callers' HTTP requests for the job frontend."""
 
 import re
 from collections.abc import Awaitable, Callable
@@ -8,7 +8,7 @@
 import msgspec
 
 from damaskdeck.errors import MessageError
-from damaskdeck.platform.jobs import read_job
+from damaskdeck.platform.jobs import parse_job
 from damaskdeck.protocol.callresults import (
     DEFAULT_RETRY_DELAY,
     Caller,
@@ -23,8 +23,8 @@
 )
 from damaskdeck.protocol.queues import JobSpec, Queue, QueueJobState, QueueTable
 
-_IDENTIFIER = re.compile(r"^[0-9a-fA-F]{16}$")
-_STATES = {
+_JOB_IDENTIFIER = re.compile(r"^[0-9a-fA-F]{16}$")
+_STATE_NAMES = {
     QueueJobState.QUEUED: "queued",
     QueueJobState.RUNNING: "running",
     QueueJobState.COMPLETED: "done",
@@ -32,7 +32,7 @@
     QueueJobState.CANCELLED: "cancelled",
 }
 
-_BARS = {
+_REJECTION_STATUSES = {
     CallRejectionCode.NO_DOCUMENT: 503,
     CallRejectionCode.STALE_DOCUMENT: 503,
     CallRejectionCode.NO_QUEUE: 404,
@@ -40,8 +40,8 @@
     CallRejectionCode.UNKNOWN_KEY: 401,
     CallRejectionCode.IDENTIFIER_IN_USE: 409,
 }
-# Where callers show the key of their account.
-_KEY_HEADER = b"x-api-key"
+# Header in which callers send the key of their client account.
+_API_KEY_HEADER = b"x-api-key"
 
 Scope = dict[str, Any]
 Receive = Callable[[], Awaitable[dict[str, Any]]]
@@ -52,17 +52,20 @@
 
 
 class Frontend(Protocol):
-    """What answers callers; see :class:`damaskdeck.coordination.pools.JobFrontend`."""
+    """Serves callers' requests.
+
+    See :class:`damaskdeck.coordination.pools.jobfrontend.JobFrontend`.
+    """
 
     async def submit(
         self, queue: Queue, identifier: str, spec: JobSpec, caller: Caller
     ) -> JobAccepted | JobNotAccepted | JobUnconfirmed | CallRejected:
-        """Store a job."""
+        """Submit a job."""
 
     async def read_state(
         self, identifier: str, caller: Caller
     ) -> JobStateFound | JobNotFound | JobStateUnavailable:
-        """Tell the state of a job."""
+        """Return the state of a job."""
 
     async def cancel(
         self, identifier: str, caller: Caller
@@ -70,19 +73,19 @@
         """Cancel a job."""
 
     async def count_waiting(self, queue: str) -> int | JobStateUnavailable:
-        """Tell how many jobs of a queue have started nothing."""
+        """Return how many jobs of a queue have not started any task."""
 
 
 class AuthorizedCall(Protocol):
-    """A call that goes on."""
+    """A call that was authorized, with its queue and its caller."""
 
     queue: Queue
     caller: Caller
     table: QueueTable
 
 
-class Gate(Protocol):
-    """Judges calls.
+class Authorizer(Protocol):
+    """Checks that a caller may use a queue.
 
     See :class:`damaskdeck.coordination.pools.authorization.CallAuthorizer`.
     """
@@ -90,85 +93,96 @@
     def authorize(
         self, host: str, path: str, key: bytes | None
     ) -> AuthorizedCall | CallRejected:
-        """Return the queue that a call means and who calls."""
+        """Return the queue that a call addresses and its caller, or the rejection.
+
+        :param host: the header ``Host`` without a port.
+        :param key: the caller's API key, ``None`` if the call has none.
+        """
 
 
 def build_callers_app(
     frontend: Frontend,
-    gate: Gate,
+    authorizer: Authorizer,
     is_ready: Callable[[], bool],
-    is_turning_away: Callable[[], bool],
+    is_closing_connections: Callable[[], bool],
     read_metrics: Callable[[], bytes],
     ready_port: int,
     metrics_port: int,
 ) -> App:
-    """Return the ASGI application for callers and for the balancer.
+    """Return the ASGI application for callers, load balancer and metrics.
 
-    :param is_turning_away: whether callers should use another channel next time.
-    :param ready_port: what comes there is the balancer's question.
-    :param metrics_port: what comes there asks for the metrics.
+    :param is_closing_connections: whether responses close the connection, so that
+        callers open their next one to another daemon.
+    :param ready_port: local port that answers the balancer's readiness checks.
+    :param metrics_port: local port that serves the metrics.
     """
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] != "http":
             return
-        answer = _Answer(send, is_turning_away())
+        response = _Response(send, is_closing_connections())
         if scope["server"][1] == ready_port:
-            await answer.give(200 if is_ready() else 503)
+            await response.send_json(200 if is_ready() else 503)
             return
         if scope["server"][1] == metrics_port:
-            await answer.give_text(read_metrics())
+            await response.send_text(read_metrics())
             return
         host = _read_header(scope, b"host") or b""
-        admitted = gate.authorize(
+        call = authorizer.authorize(
             host.decode("latin-1").partition(":")[0],
             scope["path"],
-            _read_header(scope, _KEY_HEADER),
+            _read_header(scope, _API_KEY_HEADER),
         )
-        if isinstance(admitted, CallRejected):
-            await answer.bar(admitted)
+        if isinstance(call, CallRejected):
+            await response.send_rejection(call)
         else:
-            await _serve(scope, receive, answer, frontend, admitted)
+            await _handle_call(scope, receive, response, frontend, call)
 
     return app
 
 
-class _Answer:
-    """Sends one answer.
+class _Response:
+    """Sends the response to one request.
 
-    :param is_last: tell the caller to open another channel next time.
+    :param closes_connection: whether to send ``Connection: close``.
     """
 
-    def __init__(self, send: Send, is_last: bool) -> None:
+    def __init__(self, send: Send, closes_connection: bool) -> None:
         self._send = send
-        self._is_last = is_last
+        self._closes_connection = closes_connection
 
-    async def give_text(self, text: bytes) -> None:
-        """Send plain text."""
-        await self._send_all(200, [(b"content-type", b"text/plain")], text)
+    async def send_text(self, text: bytes) -> None:
+        """Send status 200 with a plain text body."""
+        await self._send_response(200, [(b"content-type", b"text/plain")], text)
 
-    async def give(
+    async def send_json(
         self, status: int, body: Any = None, retry: timedelta | None = None
     ) -> None:
-        """Send status and body; ``retry`` says when to come back."""
+        """Send a status and a JSON body.
+
+        :param body: an empty body is sent if ``None``.
+        :param retry: sent as ``Retry-After``, rounded to seconds, at least 1.
+        """
         data = b"" if body is None else _encoder.encode(body)
         headers = [(b"content-type", b"application/json")]
         if retry is not None:
             seconds = max(1, round(retry.total_seconds()))
             headers.append((b"retry-after", str(seconds).encode()))
-        await self._send_all(status, headers, data)
-
-    async def bar(self, barred: CallRejected) -> None:
-        """Turn a call away."""
-        status = _BARS[barred.code]
-        body = None if status == 404 else {"error": barred.code}
-        await self.give(status, body, DEFAULT_RETRY_DELAY if status == 503 else None)
+        await self._send_response(status, headers, data)
+
+    async def send_rejection(self, rejection: CallRejected) -> None:
+        """Send the response to a call that was not authorized."""
+        status = _REJECTION_STATUSES[rejection.code]
+        body = None if status == 404 else {"error": rejection.code}
+        await self.send_json(
+            status, body, DEFAULT_RETRY_DELAY if status == 503 else None
+        )
 
-    async def _send_all(
+    async def _send_response(
         self, status: int, headers: list[tuple[bytes, bytes]], data: bytes
     ) -> None:
         headers.append((b"content-length", str(len(data)).encode()))
-        if self._is_last:
+        if self._closes_connection:
             headers.append((b"connection", b"close"))
         await self._send(
             {"type": "http.response.start", "status": status, "headers": headers}
@@ -176,79 +190,80 @@
         await self._send({"type": "http.response.body", "body": data})
 
 
-async def _serve(
+async def _handle_call(
     scope: Scope,
     receive: Receive,
-    answer: _Answer,
+    response: _Response,
     frontend: Frontend,
-    admitted: AuthorizedCall,
+    call: AuthorizedCall,
 ) -> None:
-    method, queue = scope["method"], admitted.queue
-    rest = scope["path"][len(queue.prefix) :]
-    if method == "GET" and not rest:
+    method, queue = scope["method"], call.queue
+    identifier = scope["path"][len(queue.prefix) :]
+    if method == "GET" and not identifier:
         count = await frontend.count_waiting(queue.name)
         if isinstance(count, JobStateUnavailable):
-            await answer.give(503, retry=count.retry)
+            await response.send_json(503, retry=count.retry)
         else:
-            await answer.give(200, {"pending": count})
-    elif not _IDENTIFIER.match(rest):
-        await answer.give(400 if method == "POST" else 410)
+            await response.send_json(200, {"pending": count})
+    elif not _JOB_IDENTIFIER.match(identifier):
+        await response.send_json(400 if method == "POST" else 410)
     elif method == "POST":
-        await _submit(receive, answer, frontend, admitted, rest)
+        await _submit(receive, response, frontend, call, identifier)
     elif method in ("GET", "DELETE"):
-        ask = frontend.read_state if method == "GET" else frontend.cancel
-        await _tell(answer, await ask(rest, admitted.caller), method)
+        operation = frontend.read_state if method == "GET" else frontend.cancel
+        await _send_state(response, await operation(identifier, call.caller), method)
     else:
-        await answer.give(405)
+        await response.send_json(405)
 
 
-async def _tell(
-    answer: _Answer,
-    told: JobStateFound | JobNotFound | JobStateUnavailable,
+async def _send_state(
+    response: _Response,
+    result: JobStateFound | JobNotFound | JobStateUnavailable,
     method: str,
 ) -> None:
-    if isinstance(told, JobStateFound):
-        await answer.give(200, {"state": _STATES[told.state]})
-    elif isinstance(told, JobNotFound):
-        await answer.give(410)
+    if isinstance(result, JobStateFound):
+        await response.send_json(200, {"state": _STATE_NAMES[result.state]})
+    elif isinstance(result, JobNotFound):
+        await response.send_json(410)
     else:
-        await answer.give(503, {"error": told.code}, told.retry)
+        await response.send_json(503, {"error": result.code}, result.retry)
 
 
 async def _submit(
     receive: Receive,
-    answer: _Answer,
+    response: _Response,
     frontend: Frontend,
-    admitted: AuthorizedCall,
+    call: AuthorizedCall,
     identifier: str,
 ) -> None:
-    body = await _read_body(receive, admitted.table.body_limit)
+    body = await _read_body(receive, call.table.body_limit)
     if body is None:
-        await answer.give(413)
+        await response.send_json(413)
         return
     try:
-        spec = read_job(body)
+        spec = parse_job(body)
     except MessageError as error:
-        await answer.give(400, {"error": str(error)})
+        await response.send_json(400, {"error": str(error)})
         return
-    done = await frontend.submit(admitted.queue, identifier, spec, admitted.caller)
-    if isinstance(done, JobAccepted):
-        await answer.give(200, {"state": "queued"})
-    elif isinstance(done, CallRejected):
-        await answer.bar(done)
-    elif isinstance(done, JobNotAccepted):
-        await answer.give(503, {"error": done.code}, done.retry)
+    result = await frontend.submit(call.queue, identifier, spec, call.caller)
+    if isinstance(result, JobAccepted):
+        await response.send_json(200, {"state": "queued"})
+    elif isinstance(result, CallRejected):
+        await response.send_rejection(result)
+    elif isinstance(result, JobNotAccepted):
+        await response.send_json(503, {"error": result.code}, result.retry)
     else:
-        # It may be stored yet: an answer that promises nothing.
-        await answer.give(504, {"error": done.code})
+        # The job may have been stored or may still be, so the response reports neither
+        # success nor failure.
+        await response.send_json(504, {"error": result.code})
 
 
-def _read_header(scope: Scope, wanted: bytes) -> bytes | None:
-    return next((value for name, value in scope["headers"] if name == wanted), None)
+def _read_header(scope: Scope, name: bytes) -> bytes | None:
+    return next((value for key, value in scope["headers"] if key == name), None)
 
 
 async def _read_body(receive: Receive, limit: int) -> bytes | None:
-    """Return a request's body, ``None`` when it is longer than allowed."""
+    """Return a request's body, or ``None`` if it is longer than ``limit`` bytes."""
     parts = []
     size = 0
     while True:
--- a/src/damaskdeck/platform/client.py
+++ b/src/damaskdeck/platform/client.py
@@ -1,4 +1,4 @@
-"""The one HTTP client for all that the platform offers."""
+"""The HTTP client for all services of the platform."""
 
 import asyncio
 import socket
@@ -13,30 +13,33 @@
 from damaskdeck.metrics import count_drop
 from damaskdeck.protocol.ports import Lost, Rejected
 
-# A peer that acknowledges nothing for so long ends the channel.
-SILENCE_MILLISECONDS = 2500
+# The kernel closes a connection whose peer acknowledges nothing for this long.
+UNACKNOWLEDGED_TIMEOUT_MS = 2500
 CONNECT_TIMEOUT = timedelta(milliseconds=700)
-# Idle channels are kept for less than the platform's idle timeout.
+# Shorter than the platform's own timeout for idle connections.
 KEEPALIVE_SECONDS = 10.0
 BUSY_STATUSES = frozenset({429, 503})
 MILLISECOND = timedelta(milliseconds=1)
 
 _encoder = msgspec.json.Encoder()
 _HEADERS = {"Content-Type": "application/json"}
-_SKIPPED = ("User-Agent", "Accept", "Accept-Encoding")
+_SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding")
 
 _log = get_logger("platform")
 
 
 class Reply(NamedTuple):
-    """An answer of the platform."""
+    """A response of the platform."""
 
     status: int
     body: bytes
 
 
-class Oversized(NamedTuple):
-    """An answer that was not read, as it has more bytes than are wanted."""
+class OversizedReply(NamedTuple):
+    """A response whose body was not read because it exceeds the caller's limit.
+
+    :param size: length of the body in bytes.
+    """
 
     status: int
     size: int
@@ -46,6 +49,7 @@
     """Calls the platform over HTTP/1.1 with JSON bodies."""
 
     def __init__(self) -> None:
+        # One session for each keep-alive time, in seconds.
         self._sessions: dict[float, aiohttp.ClientSession] = {}
 
     async def call(
@@ -56,44 +60,49 @@
         timeout: timedelta,
         body: Any = None,
         headers: Mapping[str, str] | None = None,
-        silence: timedelta | None = None,
-        keep: float = KEEPALIVE_SECONDS,
+        read_timeout: timedelta | None = None,
+        keepalive_seconds: float = KEEPALIVE_SECONDS,
         max_reply_bytes: int | None = None,
-        within: timedelta | None = None,
-    ) -> Reply | Oversized | Rejected | Lost:
-        """Make a call; ``Rejected`` proves that it had no effect.
-
-        :param timeout: for all of it.
-        :param silence: given up when nothing comes for so long.
-        :param keep: for how many seconds the channel is kept for another call.
-        :param max_reply_bytes: bytes of a body beyond which it isn't read.
-        :param within: given up when no answer has begun by then.
+        first_byte_timeout: timedelta | None = None,
+    ) -> Reply | OversizedReply | Rejected | Lost:
+        """Make one call.
+
+        ``Rejected`` means that the call had no effect; ``Lost`` means that it may
+        have had its effect.
+
+        :param timeout: limit on the whole call.
+        :param read_timeout: limit on the time in which no data arrives.
+        :param keepalive_seconds: how long the idle connection is kept for reuse.
+        :param max_reply_bytes: bodies longer than this are not read.
+        :param first_byte_timeout: limit on the time until the response begins.
         """
         data = None if body is None else _encoder.encode(body)
         seconds = timeout.total_seconds()
         limits = aiohttp.ClientTimeout(
             total=seconds,
             sock_connect=min(seconds, CONNECT_TIMEOUT.total_seconds()),
-            sock_read=silence.total_seconds() if silence is not None else None,
+            sock_read=read_timeout.total_seconds()
+            if read_timeout is not None
+            else None,
         )
-        session = self._get_session(keep)
+        session = self._get_session(keepalive_seconds)
         request = session.request(
             method,
             f"http://{address}{path}",
             data=data,
             headers={**_HEADERS, **(headers or {})},
             timeout=limits,
-            skip_auto_headers=_SKIPPED,
+            skip_auto_headers=_SKIPPED_HEADERS,
         )
         try:
-            async with asyncio.timeout((within or timeout).total_seconds()):
-                begun = await request
-            async with begun as response:
+            async with asyncio.timeout((first_byte_timeout or timeout).total_seconds()):
+                pending_response = await request
+            async with pending_response as response:
                 size = response.content_length or 0
                 if max_reply_bytes is not None and size > max_reply_bytes:
-                    # Else the rest of it would still come.
+                    # Close the connection, or the rest would still be transferred.
                     response.close()
-                    return Oversized(response.status, size)
+                    return OversizedReply(response.status, size)
                 reply = Reply(response.status, await _read_body(response))
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             return Rejected("unreachable", str(error))
@@ -105,33 +114,33 @@
             return Rejected("busy", str(reply.status))
         return reply
 
-    def _get_session(self, keep: float) -> aiohttp.ClientSession:
-        if keep not in self._sessions:
+    def _get_session(self, keepalive_seconds: float) -> aiohttp.ClientSession:
+        if keepalive_seconds not in self._sessions:
             connector = aiohttp.TCPConnector(
                 limit=0,
-                keepalive_timeout=keep,
+                keepalive_timeout=keepalive_seconds,
                 socket_factory=_open_socket,
                 use_dns_cache=False,
             )
-            self._sessions[keep] = aiohttp.ClientSession(
+            self._sessions[keepalive_seconds] = aiohttp.ClientSession(
                 connector=connector, cookie_jar=aiohttp.DummyCookieJar()
             )
-        return self._sessions[keep]
+        return self._sessions[keepalive_seconds]
 
     async def close(self) -> None:
-        """Close all channels."""
+        """Close all connections."""
         for session in self._sessions.values():
             await session.close()
 
 
 async def _read_body(response: aiohttp.ClientResponse) -> bytes:
-    """Read an answer's body; one that is given up while it comes is told of."""
+    """Read a response's body; log and count a timeout in the middle of it."""
     try:
         return await response.read()
     except TimeoutError:
         count_drop("platform", "answer_cut_short")
         _log.warn(
-            "An answer was given up while it came.",
+            "Timed out while reading a response body.",
             path=response.url.path,
             status=response.status,
             read=response.content.total_bytes,
@@ -142,19 +151,21 @@
 
 def _open_socket(info: Any) -> socket.socket:
     family, kind, proto, *_ = info
-    opened = socket.socket(family=family, type=kind, proto=proto)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_MILLISECONDS)
-    return opened
+    sock = socket.socket(family=family, type=kind, proto=proto)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    sock.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS
+    )
+    return sock
 
 
 def to_milliseconds(duration: timedelta) -> int:
-    """Return whole milliseconds, as the wire has them."""
+    """Return a duration in whole milliseconds, as in the wire format."""
     return round(duration / MILLISECOND)
 
 
 def decode_body(reply: Reply, decoder: msgspec.json.Decoder[Any]) -> Any:
-    """Decode an answer; ``Lost`` when it makes no sense."""
+    """Decode a response's body; return ``Lost`` if it is malformed."""
     try:
         return decoder.decode(reply.body)
     except (msgspec.MsgspecError, RecursionError) as error:
--- a/src/damaskdeck/platform/fields.py
+++ b/src/damaskdeck/platform/fields.py
@@ -1,4 +1,4 @@
-"""Types of fields on the wire, with the values that make sense."""
+"""Types of wire fields with their valid ranges, and conversions from them."""
 
 import ipaddress
 from datetime import timedelta
@@ -8,44 +8,44 @@
 
 from damaskdeck.protocol.sizes import Size
 
-# A week: nothing that the platform counts in milliseconds lasts longer, and sums of
-# such durations stay far below what a duration or a date can hold.
-LONGEST_MILLISECONDS = 7 * 24 * 3600 * 1000
-# Times since 1970 that a date can hold, up to the year 9000.
-LATEST_MILLISECONDS = 220_000_000_000_000
-# More than any worker has of anything; sums of many stay exact.
-LARGEST_QUANTITY = 2**40
-
-Quantity = Annotated[int, msgspec.Meta(ge=0, le=LARGEST_QUANTITY)]
-Milliseconds = Annotated[float, msgspec.Meta(ge=0, le=LONGEST_MILLISECONDS)]
-# On a clock of its own, or since 1970.
-Moment = Annotated[float, msgspec.Meta(ge=0, le=LATEST_MILLISECONDS)]
-# How many times as long something may take.
+# One week. No duration that the platform gives in milliseconds is longer, and sums of
+# such durations stay far below the limits of `timedelta` and `datetime`.
+MAX_DURATION_MS = 7 * 24 * 3600 * 1000
+# Time since 1970 up to about the year 9000, which `datetime` can still represent.
+MAX_TIMESTAMP_MS = 220_000_000_000_000
+# More than any worker has of a resource; sums of many such values stay exact.
+MAX_QUANTITY = 2**40
+
+Quantity = Annotated[int, msgspec.Meta(ge=0, le=MAX_QUANTITY)]
+DurationMs = Annotated[float, msgspec.Meta(ge=0, le=MAX_DURATION_MS)]
+# Time on a worker's own clock, or since 1970.
+TimestampMs = Annotated[float, msgspec.Meta(ge=0, le=MAX_TIMESTAMP_MS)]
+# A multiplier, such as how many times its estimate a step may take.
 Factor = Annotated[float, msgspec.Meta(ge=0, le=1e6)]
 Name = Annotated[str, msgspec.Meta(min_length=1)]
 
 
-class Amounts(TypedDict):
-    """Processors in thousandths of a core, memory in MiB, accelerators."""
+class ResourceAmounts(TypedDict):
+    """Amounts of resources: millicores, memory in MiB, number of accelerators."""
 
     cpu: NotRequired[Quantity]
     mem_mb: NotRequired[Quantity]
     gpu: NotRequired[Quantity]
 
 
-def read_size(amounts: Amounts | None) -> Size:
-    """Return a size from the wire, where 0 and nothing may be left out."""
+def build_size(amounts: ResourceAmounts | None) -> Size:
+    """Return the size for wire amounts; omitted amounts are 0."""
     amounts = amounts or {}
     return Size(amounts.get("cpu", 0), amounts.get("mem_mb", 0), amounts.get("gpu", 0))
 
 
-def read_duration(milliseconds: float) -> timedelta:
-    """Return a duration from the wire."""
+def to_duration(milliseconds: float) -> timedelta:
+    """Return the duration for a wire value in milliseconds."""
     return timedelta(milliseconds=milliseconds)
 
 
-def is_address(text: str) -> bool:
-    """Tell whether a text is an IPv4 address with a port that can be called."""
+def is_callable_address(text: str) -> bool:
+    """Return whether ``text`` is an IPv4 address with a port from 1 to 65535."""
     host, _, port = text.rpartition(":")
     if not (port.isascii() and port.isdigit() and 0 < int(port[:6]) < 65536):
         return False
--- a/src/damaskdeck/platform/jobs.py
+++ b/src/damaskdeck/platform/jobs.py
@@ -1,20 +1,21 @@
-"""Jobs as callers hand them in, decoded once."""
+"""Decoding of the jobs that callers submit."""
 
 from typing import NotRequired, TypedDict
 
 import msgspec
 
 from damaskdeck.errors import DECODE_ERRORS, MessageError
-from damaskdeck.platform.fields import Milliseconds, Moment, Quantity, read_duration
+from damaskdeck.platform.fields import DurationMs, Quantity, TimestampMs, to_duration
 from damaskdeck.protocol.queues import JobSpec, StepSpec
 from damaskdeck.protocol.sizes import Size
 
-_PAYLOAD_LIMIT = 4000
-# Tasks of one job; ten times what the largest deployment runs at a time. More would
-# take the memory of the daemon that knows them.
-_TASKS_LIMIT = 100_000
-# Targets of response times need tasks that fill to be paced down beside them.
-UNSERVED = ("target_ms", "fills")
+_MAX_PAYLOAD_BYTES = 4000
+# Ten times as many tasks as the largest deployment runs at once. Jobs with more tasks
+# could exhaust the memory of the daemon that tracks them.
+_MAX_TASKS = 100_000
+# Response time targets (`target_ms`) would require throttling of the filler tasks
+# (`fills`) that run beside them, which is not implemented.
+UNSUPPORTED_FIELDS = ("target_ms", "fills")
 
 
 class _Step(TypedDict):
@@ -22,7 +23,7 @@
     cpu: NotRequired[Quantity]
     mem_mb: NotRequired[Quantity]
     gpu: NotRequired[Quantity]
-    estimated_ms: NotRequired[Milliseconds]
+    estimated_ms: NotRequired[DurationMs]
     after: NotRequired[list[int]]
     gang: NotRequired[bool]
     same_rack: NotRequired[bool]
@@ -42,44 +43,44 @@
     spec: str
     steps: list[_Step]
     repeat_count: NotRequired[int]
-    start_at_ms: NotRequired[Moment]
-    interval_ms: NotRequired[Milliseconds]
+    start_at_ms: NotRequired[TimestampMs]
+    interval_ms: NotRequired[DurationMs]
 
 
-_job = msgspec.json.Decoder(_Job)
+_job_decoder = msgspec.json.Decoder(_Job)
 
 
-def read_job(body: bytes) -> JobSpec:
-    """Decode a job.
+def parse_job(body: bytes) -> JobSpec:
+    """Decode and check a job.
 
-    :raises MessageError: when it makes no sense, or asks for what is not served.
+    :raises MessageError: if the job is malformed or uses an unsupported field.
     """
     try:
-        job = _job.decode(body)
+        job = _job_decoder.decode(body)
     except DECODE_ERRORS as error:
         raise MessageError(str(error)) from error
-    if len(job["spec"].encode()) > _PAYLOAD_LIMIT:
+    if len(job["spec"].encode()) > _MAX_PAYLOAD_BYTES:
         raise MessageError("spec is too long")
     if not job["steps"]:
         raise MessageError("a job has a step at least")
-    if sum(step.get("task_count", 1) for step in job["steps"]) > _TASKS_LIMIT:
-        raise MessageError(f"a job has {_TASKS_LIMIT} tasks at most")
-    steps = tuple(_read_step(n, step) for n, step in enumerate(job["steps"]))
+    if sum(step.get("task_count", 1) for step in job["steps"]) > _MAX_TASKS:
+        raise MessageError(f"a job has {_MAX_TASKS} tasks at most")
+    steps = tuple(_parse_step(n, step) for n, step in enumerate(job["steps"]))
     return JobSpec(
         job["spec"],
         steps,
         max(0, job.get("repeat_count", 0)),
-        read_duration(job.get("start_at_ms", 0)),
-        read_duration(job.get("interval_ms", 0)),
+        to_duration(job.get("start_at_ms", 0)),
+        to_duration(job.get("interval_ms", 0)),
     )
 
 
-def _read_step(number: int, step: _Step) -> StepSpec:
-    for name in UNSERVED:
+def _parse_step(number: int, step: _Step) -> StepSpec:
+    for name in UNSUPPORTED_FIELDS:
         if step.get(name):
             raise MessageError(f"unsupported: {name}")
     after = tuple(step.get("after", ()))
-    if any(not 0 <= earlier < number for earlier in after):
+    if any(not 0 <= dependency < number for dependency in after):
         raise MessageError("after names a step that is not earlier")
     tasks = step.get("task_count", 1)
     if tasks < 1:
@@ -87,7 +88,7 @@
     return StepSpec(
         tasks,
         Size(step.get("cpu", 0), step.get("mem_mb", 0), step.get("gpu", 0)),
-        read_duration(step.get("estimated_ms", 0)),
+        to_duration(step.get("estimated_ms", 0)),
         after,
         step.get("gang", False),
         step.get("checkpointing", False),
--- a/src/damaskdeck/platform/nodes.py
+++ b/src/damaskdeck/platform/nodes.py
@@ -1,4 +1,4 @@
-"""The settings that the platform gives a process, in its own file."""
+"""Settings that the platform provides for each process in a file."""
 
 import os
 from collections.abc import Mapping
@@ -9,28 +9,30 @@
 from damaskdeck.coordination.pools.times import PoolBounds
 from damaskdeck.errors import Fault, SettingsError
 
-# Where metrics are served on every instance; the deploy file names it too.
+# Port of the metrics on every instance; the deployment file contains it as well.
 METRICS_PORT = 9464
-FILE_VARIABLE = "DAMASKDECK_NODE_FILE"
-# The contract under which callers show keys of client accounts.
-_ACCOUNTS = "tenants"
-# Ways of the platform of which one is served: orders to workers by calls rather
-# than by heartbeats, and a store of keys and values rather than a log.
-_SERVED = {"commands": "call", "platform.form": "kv"}
+NODE_FILE_VARIABLE = "DAMASKDECK_NODE_FILE"
+# The contract under which callers send the API keys of client accounts.
+_ACCOUNTS_CONTRACT = "tenants"
+# Settings of which only one value is supported: workers receive orders by calls (not
+# in replies to heartbeats), and the store is a key-value store (not a log).
+_SUPPORTED_VALUES = {"commands": "call", "platform.form": "kv"}
 
 
 class NodeSettings(NamedTuple):
-    """What a process is told about itself and the platform.
+    """Settings of a process and addresses of the platform's services.
 
-    :param callers_address: where callers connect, as ``IP:port``.
-    :param ready_address: where the balancer asks whether we are ready.
-    :param peer_port: first of the ports that are free for daemons; 0 takes any.
-    :param metrics_port: 0 takes any where ``peer_port`` does.
+    :param host: IP address for the ports between daemons and for the metrics.
+    :param callers_address: ``IP:port`` on which callers connect.
+    :param ready_address: ``IP:port`` of the balancer's readiness checks.
+    :param peer_port: first of the ports reserved for daemons; 0 takes any free port.
+    :param metrics_port: 0, any free port, if ``peer_port`` is 0.
     :param power: processing power of the instance, in cores.
-    :param advisor_address: an empty string where there is no advisor.
-    :param descriptors: files and channels that the process may have open.
-    :param needs_keys: whether callers show keys of client accounts.
-    :param unserved_duties: what the platform asks for and this version doesn't do.
+    :param advisor_address: an empty string if there is no advisor.
+    :param unserved_duties: duties that the platform requests and this version
+        doesn't perform.
+    :param needs_keys: whether callers must send API keys of client accounts.
+    :param descriptors: how many files and sockets the process may have open.
     """
 
     instance: str
@@ -50,70 +52,72 @@
     descriptors: int = 1024
 
 
-def load_node(environment: Mapping[str, str] = os.environ) -> NodeSettings:
-    """Load the file that the environment names.
+def load_node_settings(environment: Mapping[str, str] = os.environ) -> NodeSettings:
+    """Load the settings file named by the environment variable.
 
-    :raises SettingsError: when it can't be read or lacks what must be there.
+    :raises SettingsError: if the file can't be read, or with every fault in it.
     """
-    path = environment.get(FILE_VARIABLE, "")
+    path = environment.get(NODE_FILE_VARIABLE, "")
     if not path:
-        raise SettingsError((Fault(FILE_VARIABLE, "missing", "names no file"),))
+        raise SettingsError(
+            (Fault(NODE_FILE_VARIABLE, "missing", "must name the settings file"),)
+        )
     try:
         text = Path(path).read_text(encoding="utf-8")
     except OSError as error:
         raise SettingsError((Fault(path, "unreadable", str(error)),)) from error
-    return read_node(text)
+    return parse_node_settings(text)
 
 
-def read_node(text: str) -> NodeSettings:
-    """Read settings of the form ``a.b=value``; unknown names are ignored.
+def parse_node_settings(text: str) -> NodeSettings:
+    """Parse lines of the form ``a.b=value``; unknown names are ignored.
 
     :raises SettingsError: with every fault found.
     """
-    reader = _Reader(text)
-    for name, served in _SERVED.items():
-        reader.expect(name, served)
-    ports = reader.take("internal_ports").split(",")
-    first = int(ports[0]) if ports[0].isdigit() else 0
-    needs_keys = _ACCOUNTS in reader.values.get("contracts", "").split(",")
+    reader = _SettingsReader(text)
+    for name, supported in _SUPPORTED_VALUES.items():
+        reader.require_supported(name, supported)
+    ports = reader.read_required("internal_ports").split(",")
+    first_peer_port = int(ports[0]) if ports[0].isdigit() else 0
+    needs_keys = _ACCOUNTS_CONTRACT in reader.values.get("contracts", "").split(",")
     is_strict = reader.values.get("bounds.strict_revocation", "") == "true"
-    revocation = reader.take_time("bounds.revoke_ms", 5000, 1)
+    revocation = reader.read_duration("bounds.revoke_ms", 5000, 1)
     settings = NodeSettings(
-        reader.take("node_name"),
-        reader.take("zone"),
-        reader.take("region"),
-        reader.take("ip"),
-        reader.take("listen.frontend"),
-        reader.take("listen.readiness"),
-        first,
-        METRICS_PORT if first else 0,
-        reader.take_number("limits.cpu_share", 1)
-        * reader.take_number("limits.cores", 1),
-        reader.take("platform.address"),
+        reader.read_required("node_name"),
+        reader.read_required("zone"),
+        reader.read_required("region"),
+        reader.read_required("ip"),
+        reader.read_required("listen.frontend"),
+        reader.read_required("listen.readiness"),
+        first_peer_port,
+        METRICS_PORT if first_peer_port else 0,
+        reader.read_number("limits.cpu_share", 1)
+        * reader.read_number("limits.cores", 1),
+        reader.read_required("platform.address"),
         reader.values.get("advice", ""),
         PoolBounds(
-            reader.take_time("bounds.hold_max_ms", 6000, 1),
-            reader.take_time("platform.ttl_min_ms", 1000, 1),
-            reader.take_time("bounds.grace_s", 6, 1000),
-            reader.take_time("bounds.status_s", 120, 1000),
-            reader.take_number("bounds.remote_factor", 2),
-            reader.take_time("bounds.stop_timeout_ms", 1000, 1),
-            reader.take_time("bounds.config_apply_ms", 3000, 1),
-            reader.take_time("bounds.contact_ms", 3000, 1),
-            reader.take_time("heartbeat_ms", 1500, 1),
+            reader.read_duration("bounds.hold_max_ms", 6000, 1),
+            reader.read_duration("platform.ttl_min_ms", 1000, 1),
+            reader.read_duration("bounds.grace_s", 6, 1000),
+            reader.read_duration("bounds.status_s", 120, 1000),
+            reader.read_number("bounds.remote_factor", 2),
+            reader.read_duration("bounds.stop_timeout_ms", 1000, 1),
+            reader.read_duration("bounds.config_apply_ms", 3000, 1),
+            reader.read_duration("bounds.contact_ms", 3000, 1),
+            reader.read_duration("heartbeat_ms", 1500, 1),
             revocation if needs_keys and is_strict else None,
         ),
         tuple(filter(None, reader.values.get("cloud_api.duties", "").split(","))),
         needs_keys,
-        int(reader.take_number("limits.max_fds", 1024)),
+        int(reader.read_number("limits.max_fds", 1024)),
     )
     if reader.faults:
         raise SettingsError(tuple(reader.faults))
     return settings
 
 
-class _Reader:
-    """Takes values out of the settings' lines and gathers the faults."""
+class _SettingsReader:
+    """Reads typed values from the lines of a settings file and collects the faults."""
 
     def __init__(self, text: str) -> None:
         self.faults: list[Fault] = []
@@ -123,30 +127,30 @@
             if separator and not name.startswith("#"):
                 self.values[name.strip()] = value.strip()
 
-    def take(self, name: str) -> str:
-        """Return a value that must be there."""
+    def read_required(self, name: str) -> str:
+        """Return a required value, or an empty string after recording a fault."""
         value = self.values.get(name, "")
         if not value:
             self.faults.append(Fault(name, "missing", "must be set"))
         return value
 
-    def expect(self, name: str, served: str) -> None:
-        """Refuse a value other than the one that is served; it may be left out."""
-        value = self.values.get(name, "") or served
-        if value != served:
-            detail = f"{value}: only {served} is served"
+    def require_supported(self, name: str, supported: str) -> None:
+        """Record a fault unless the value is missing or equals ``supported``."""
+        value = self.values.get(name, "") or supported
+        if value != supported:
+            detail = f"{value} is not supported, only {supported}"
             self.faults.append(Fault(name, "unsupported", detail))
 
-    def take_time(self, name: str, default: float, scale: int) -> timedelta:
+    def read_duration(self, name: str, default: float, scale: int) -> timedelta:
         """Return a duration.
 
-        :param default: in the wire's unit, where the platform says nothing.
-        :param scale: milliseconds in the wire's unit.
+        :param default: in the unit of the setting, used if the setting is missing.
+        :param scale: milliseconds in one unit of the setting.
         """
-        return timedelta(milliseconds=self.take_number(name, default) * scale)
+        return timedelta(milliseconds=self.read_number(name, default) * scale)
 
-    def take_number(self, name: str, default: float) -> float:
-        """Return a number, the default where the platform says nothing."""
+    def read_number(self, name: str, default: float) -> float:
+        """Return a number, or ``default`` if the setting is missing or malformed."""
         text = self.values.get(name, "")
         try:
             return float(text) if text else default
--- a/src/damaskdeck/platform/registry.py
+++ b/src/damaskdeck/platform/registry.py
@@ -1,4 +1,4 @@
-"""Workers' registrations in the platform's store."""
+"""Registrations of workers in the platform's store."""
 
 import re
 from datetime import timedelta
@@ -9,12 +9,12 @@
 from damaskdeck.errors import DECODE_ERRORS, MessageError
 from damaskdeck.logs import get_logger
 from damaskdeck.platform.fields import (
-    Amounts,
-    Milliseconds,
+    DurationMs,
     Name,
-    is_address,
-    read_duration,
-    read_size,
+    ResourceAmounts,
+    build_size,
+    is_callable_address,
+    to_duration,
 )
 from damaskdeck.protocol.pools import (
     PoolWorker,
@@ -30,43 +30,43 @@
 )
 from damaskdeck.protocol.transactions import TransactionalStore, read_all
 
-_WORKERS = "servers/"
-_LEAVING = "draining"
-_RACK = re.compile(r"^r\d")
-# Characters of a foreign text that a log line holds.
-_SHOWN = 64
+_WORKERS_PREFIX = "servers/"
+_DRAINING_STATE = "draining"
+_RACK_LABEL = re.compile(r"^r\d")
+# Texts from other writers are cut to this length in log lines.
+_MAX_LOGGED_CHARACTERS = 64
 
 _log = get_logger("registry")
 
 
-class _Worker(TypedDict):
+class _Registration(TypedDict):
     service: Name
     address: str
     zone: NotRequired[str]
     state: Literal["ready", "draining"]
-    capacity: NotRequired[Amounts]
+    capacity: NotRequired[ResourceAmounts]
     labels: NotRequired[list[str]]
-    remaining_ms: NotRequired[Milliseconds | None]
+    remaining_ms: NotRequired[DurationMs | None]
 
 
-_worker = msgspec.json.Decoder(_Worker)
+_registration_decoder = msgspec.json.Decoder(_Registration)
 
 
 class PlatformRegistry:
-    """Implements ``WorkerRegistry``."""
+    """Implements ``WorkerRegistry`` on the platform's store."""
 
     def __init__(self, store: TransactionalStore) -> None:
         self._store = store
-        # Revisions of entries that can't be used and were told of, by key.
-        self._told: dict[str, int] = {}
+        # Key to the revision for which an unusable entry was last logged.
+        self._reported_revisions: dict[str, int] = {}
 
     async def list_workers(self) -> RegisteredWorkers | Rejected | Lost:
-        """Read all workers."""
-        found = await read_all(self._store, _WORKERS)
+        """Return all workers with a usable registration."""
+        found = await read_all(self._store, _WORKERS_PREFIX)
         if isinstance(found, Rejected | Lost):
             return found
         entries, revision = found
-        changes = [self._read(e.key, e.value, e.revision) for e in entries]
+        changes = [self._parse_entry(e.key, e.value, e.revision) for e in entries]
         usable = [change for change in changes if change.worker is not None]
         return RegisteredWorkers(
             tuple(change.worker for change in usable),
@@ -77,34 +77,38 @@
     async def follow_workers(
         self, revision: int, wait: timedelta
     ) -> RegistryChanges | RevisionTooOld | Rejected | Lost:
-        """Return the changes after ``revision``."""
-        found = await self._store.watch(_WORKERS, revision, wait)
+        """Return the last change of each registration after ``revision``."""
+        found = await self._store.watch(_WORKERS_PREFIX, revision, wait)
         if not isinstance(found, Events):
             return found
         newest = {event.key: event for event in found.events}
-        changes = (self._read(e.key, e.value, e.revision) for e in newest.values())
+        changes = (
+            self._parse_entry(e.key, e.value, e.revision) for e in newest.values()
+        )
         return RegistryChanges(tuple(changes), found.revision)
 
-    def _read(self, key: str, value: bytes | None, revision: int) -> RegistryChange:
-        """Return what an entry says; one that can't be used names no worker."""
-        identifier = key.removeprefix(_WORKERS)
+    def _parse_entry(
+        self, key: str, value: bytes | None, revision: int
+    ) -> RegistryChange:
+        """Return the change for an entry; its worker is ``None`` if it is unusable."""
+        identifier = key.removeprefix(_WORKERS_PREFIX)
         if value is None:
-            self._told.pop(key, None)
+            self._reported_revisions.pop(key, None)
             return RegistryChange(identifier, None)
         try:
-            worker = _read_worker(identifier, _worker.decode(value))
+            worker = _build_worker(identifier, _registration_decoder.decode(value))
         except (MessageError, *DECODE_ERRORS) as error:
-            self._tell(key, revision, str(error))
+            self._report_unusable(key, revision, str(error))
             return RegistryChange(identifier, None)
-        if self._told.pop(key, None) is not None:
+        if self._reported_revisions.pop(key, None) is not None:
             _log.info("A registration can be used again.", key=key, revision=revision)
         return RegistryChange(identifier, worker, revision)
 
-    def _tell(self, key: str, revision: int, reason: str) -> None:
-        """Write a line on an entry that can't be used, once for each revision."""
-        if self._told.get(key) == revision:
+    def _report_unusable(self, key: str, revision: int, reason: str) -> None:
+        """Log an unusable entry, once for each revision."""
+        if self._reported_revisions.get(key) == revision:
             return
-        self._told[key] = revision
+        self._reported_revisions[key] = revision
         _log.error(
             "A registration can't be used.",
             code=MessageError.code,
@@ -114,15 +118,17 @@
         )
 
 
-def _read_worker(identifier: str, worker: _Worker) -> PoolWorker:
-    """Return the worker of an entry.
+def _build_worker(identifier: str, worker: _Registration) -> PoolWorker:
+    """Return the worker of a registration.
 
-    :raises MessageError: when it can't be called.
+    :raises MessageError: if it has no identifier or no valid address.
     """
     if not identifier:
-        raise MessageError("its key names no worker")
-    if not is_address(worker["address"]):
-        raise MessageError(f"no address: {worker['address'][:_SHOWN]!r}")
+        raise MessageError("the key contains no worker identifier")
+    if not is_callable_address(worker["address"]):
+        raise MessageError(
+            f"invalid address: {worker['address'][:_MAX_LOGGED_CHARACTERS]!r}"
+        )
     labels = worker.get("labels", [])
     remaining = worker.get("remaining_ms")
     return PoolWorker(
@@ -130,9 +136,9 @@
         worker["service"],
         worker["address"],
         worker.get("zone", ""),
-        read_size(worker.get("capacity")),
+        build_size(worker.get("capacity")),
         frozenset(labels),
-        next((label for label in labels if _RACK.match(label)), ""),
-        worker["state"] == _LEAVING,
-        None if remaining is None else read_duration(remaining),
+        next((label for label in labels if _RACK_LABEL.match(label)), ""),
+        worker["state"] == _DRAINING_STATE,
+        None if remaining is None else to_duration(remaining),
     )
--- a/src/damaskdeck/platform/store.py
+++ b/src/damaskdeck/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store as a transactional store."""
+"""Adapter to the platform's metadata store, a transactional key-value store."""
 
 import base64
 import binascii
@@ -10,13 +10,13 @@
 
 from damaskdeck.metrics import count_store_call
 from damaskdeck.platform.client import (
-    Oversized,
+    OversizedReply,
     PlatformClient,
     Reply,
     decode_body,
     to_milliseconds,
 )
-from damaskdeck.platform.fields import read_duration
+from damaskdeck.platform.fields import to_duration
 from damaskdeck.protocol.ports import (
     Entry,
     Event,
@@ -39,20 +39,21 @@
     Unchanged,
 )
 
-# Names that a transaction may hold, by the platform's pages.
-ENTRY_LIMIT = 32
-READ_SILENCE = timedelta(milliseconds=1500)
-# A value or a page holds up to a megabyte, which takes 4 s on the slowest links, 2
-# Mbit/s: as long as it comes it is waited for, or it would be asked for for ever.
+# How many keys a transaction may name, according to the platform's documentation.
+MAX_TRANSACTION_ENTRIES = 32
+READ_TIMEOUT = timedelta(milliseconds=1500)
+# A value or a page has up to a megabyte, which takes 4 s on the slowest links (2
+# Mbit/s). A transfer that makes progress must not time out, because every retry would
+# time out as well.
 TRANSFER_TIMEOUT = timedelta(seconds=12)
 COMMIT_TIMEOUT = timedelta(milliseconds=1500)
-# Renewals also tell how the store is; silence must show soon.
+# Short, because renewals also serve to detect soon that the store doesn't answer.
 LEASE_TIMEOUT = timedelta(milliseconds=700)
-# A watch that stays silent for so much longer than it was to wait is dead.
-WATCH_SLACK = timedelta(milliseconds=1200)
+# A watch that receives nothing for this long after its wait has ended is abandoned.
+WATCH_TIMEOUT_MARGIN = timedelta(milliseconds=1200)
 
 
-class _Item(TypedDict):
+class _StoredItem(TypedDict):
     key: str
     revision: int
     value: NotRequired[str]
@@ -60,66 +61,66 @@
     deleted: NotRequired[bool]
 
 
-class _One(_Item):
+class _EntryResponse(_StoredItem):
     as_of: int
 
 
-class _Absent(TypedDict):
+class _MissingResponse(TypedDict):
     as_of: NotRequired[int]
 
 
-class _Range(TypedDict):
-    items: list[_Item]
+class _RangeResponse(TypedDict):
+    items: list[_StoredItem]
     has_more: NotRequired[bool]
     as_of: int
 
 
-class _Watched(TypedDict):
-    events: list[_Item]
+class _WatchResponse(TypedDict):
+    events: list[_StoredItem]
     as_of: int
 
 
-class _Revised(TypedDict):
+class _CommitResponse(TypedDict):
     revision: int
 
 
-class _Mismatched(TypedDict):
-    items: list[_Item]
+class _MismatchResponse(TypedDict):
+    items: list[_StoredItem]
 
 
-class _Leased(TypedDict):
+class _LeaseResponse(TypedDict):
     lease: int
     ttl_ms: int
 
 
-class _Kept(TypedDict):
+class _RenewalResponse(TypedDict):
     ttl_ms: int
 
 
-_one = msgspec.json.Decoder(_One)
-_absent = msgspec.json.Decoder(_Absent)
-_range = msgspec.json.Decoder(_Range)
-_watched = msgspec.json.Decoder(_Watched)
-_revised = msgspec.json.Decoder(_Revised)
-_mismatched = msgspec.json.Decoder(_Mismatched)
-_leased = msgspec.json.Decoder(_Leased)
-_kept = msgspec.json.Decoder(_Kept)
+_entry_decoder = msgspec.json.Decoder(_EntryResponse)
+_missing_decoder = msgspec.json.Decoder(_MissingResponse)
+_range_decoder = msgspec.json.Decoder(_RangeResponse)
+_watch_decoder = msgspec.json.Decoder(_WatchResponse)
+_commit_decoder = msgspec.json.Decoder(_CommitResponse)
+_mismatch_decoder = msgspec.json.Decoder(_MismatchResponse)
+_lease_decoder = msgspec.json.Decoder(_LeaseResponse)
+_renewal_decoder = msgspec.json.Decoder(_RenewalResponse)
 
 
 class PlatformStore:
-    """Implements ``TransactionalStore``.
+    """Implements ``TransactionalStore`` over HTTP.
 
-    :param address: IP and port of the platform's store.
+    :param address: ``IP:port`` of the platform's store.
     """
 
-    entry_limit = ENTRY_LIMIT
+    entry_limit = MAX_TRANSACTION_ENTRIES
 
     def __init__(self, client: PlatformClient, address: str) -> None:
         self._client = client
         self._address = address
 
-    def move(self, address: str) -> None:
-        """Use another address from the next call on."""
+    def set_address(self, address: str) -> None:
+        """Use ``address`` from the next call on."""
         self._address = address
 
     async def _call(
@@ -129,10 +130,10 @@
         path: str,
         timeout: timedelta,
         body: Any = None,
-        silence: timedelta | None = None,
+        read_timeout: timedelta | None = None,
         max_reply_bytes: int | None = None,
-        within: timedelta | None = None,
-    ) -> Reply | Oversized | Rejected | Lost:
+        first_byte_timeout: timedelta | None = None,
+    ) -> Reply | OversizedReply | Rejected | Lost:
         count_store_call(kind)
         return await self._client.call(
             method,
@@ -140,31 +141,34 @@
             path,
             timeout,
             body,
-            silence=silence,
+            read_timeout=read_timeout,
             max_reply_bytes=max_reply_bytes,
-            within=within,
+            first_byte_timeout=first_byte_timeout,
         )
 
     async def read(self, key: str) -> Found | Missing | Rejected | Lost:
         """Read one key."""
         path = f"/kv-key?key={quote(key, safe='/')}"
         reply = await self._call(
-            "read", "GET", path, TRANSFER_TIMEOUT, silence=READ_SILENCE
+            "read", "GET", path, TRANSFER_TIMEOUT, read_timeout=READ_TIMEOUT
         )
         if not isinstance(reply, Reply):
             return reply
         if reply.status == 404:
-            absent = decode_body(reply, _absent)
-            return Missing(0 if isinstance(absent, Lost) else absent.get("as_of", 0))
-        found = _decode(reply, 200, _one)
-        return found if isinstance(found, Lost) else Found(_read_item(found))
+            response = decode_body(reply, _missing_decoder)
+            return Missing(
+                0 if isinstance(response, Lost) else response.get("as_of", 0)
+            )
+        response = _decode(reply, 200, _entry_decoder)
+        return response if isinstance(response, Lost) else Found(_build_entry(response))
 
     async def read_changed(
-        self, key: str, revision: int, within: timedelta | None = None
+        self, key: str, revision: int, first_byte_timeout: timedelta | None = None
     ) -> Found | Missing | Unchanged | Rejected | Lost:
-        """Read one key unless ``revision`` still is its last.
+        """Read one key unless ``revision`` is still its latest revision.
 
-        A transaction that writes nothing is refused with the entry as it is now.
+        This sends a transaction without writes that expects ``revision``. If the key
+        has changed, the store rejects it with the current entry.
         """
         body = {
             "expected": [{"key": key, "revision": revision}],
@@ -177,35 +181,37 @@
             "/kv-txn",
             TRANSFER_TIMEOUT,
             body,
-            READ_SILENCE,
-            within=within,
+            READ_TIMEOUT,
+            first_byte_timeout=first_byte_timeout,
         )
         if not isinstance(reply, Reply):
             return reply
         if reply.status == 412:
-            found = _read_mismatch(reply)
-            if isinstance(found, Lost):
-                return found
-            entry = found.find(key)
+            mismatch = _parse_mismatch(reply)
+            if isinstance(mismatch, Lost):
+                return mismatch
+            entry = mismatch.find(key)
             return Missing(0) if entry is None else Found(entry)
-        done = _decode(reply, 200, _revised)
-        return done if isinstance(done, Lost) else Unchanged(done["revision"])
+        response = _decode(reply, 200, _commit_decoder)
+        return (
+            response if isinstance(response, Lost) else Unchanged(response["revision"])
+        )
 
     async def read_page(self, prefix: str, after: str) -> Page | Rejected | Lost:
-        """Read a page of the keys below ``prefix``."""
+        """Read a page of keys below ``prefix`` that come after the key ``after``."""
         path = f"/kv-range?path_prefix={quote(prefix, safe='/')}"
         if after:
             path += f"&after={quote(after, safe='/')}"
         reply = await self._call(
-            "list", "GET", path, TRANSFER_TIMEOUT, silence=READ_SILENCE
+            "list", "GET", path, TRANSFER_TIMEOUT, read_timeout=READ_TIMEOUT
         )
         if not isinstance(reply, Reply):
             return reply
-        found = _decode(reply, 200, _range)
-        if isinstance(found, Lost):
-            return found
-        entries = tuple(_read_item(item) for item in found["items"])
-        return Page(entries, found.get("has_more", False), found["as_of"])
+        response = _decode(reply, 200, _range_decoder)
+        if isinstance(response, Lost):
+            return response
+        entries = tuple(_build_entry(item) for item in response["items"])
+        return Page(entries, response.get("has_more", False), response["as_of"])
 
     async def commit(
         self,
@@ -213,7 +219,7 @@
         timeout: timedelta | None = None,
         max_reply_bytes: int | None = None,
     ) -> CommitResult | ReplyTooLarge:
-        """Make changes that take effect together or not at all."""
+        """Commit a transaction, whose changes take effect together or not at all."""
         body = {
             "expected": [
                 {"key": key, "revision": revision}
@@ -226,17 +232,17 @@
         reply = await self._call(
             "commit", "POST", "/kv-txn", limit, body, max_reply_bytes=max_reply_bytes
         )
-        if isinstance(reply, Oversized):
-            is_refused = reply.status == 412
-            return ReplyTooLarge(reply.size) if is_refused else Lost("unexpected_size")
+        if isinstance(reply, OversizedReply):
+            is_mismatch = reply.status == 412
+            return ReplyTooLarge(reply.size) if is_mismatch else Lost("unexpected_size")
         if not isinstance(reply, Reply):
             return reply
         if reply.status == 404:
             return Lapsed("")
         if reply.status == 412:
-            return _read_mismatch(reply)
-        done = _decode(reply, 200, _revised)
-        return done if isinstance(done, Lost) else Written(done["revision"])
+            return _parse_mismatch(reply)
+        response = _decode(reply, 200, _commit_decoder)
+        return response if isinstance(response, Lost) else Written(response["revision"])
 
     async def watch(
         self,
@@ -255,32 +261,34 @@
             "GET",
             path,
             wait + TRANSFER_TIMEOUT,
-            silence=wait + WATCH_SLACK,
+            read_timeout=wait + WATCH_TIMEOUT_MARGIN,
             max_reply_bytes=max_reply_bytes,
         )
-        if isinstance(reply, Oversized):
-            is_told = reply.status == 200
-            return ReplyTooLarge(reply.size) if is_told else Lost("unexpected_size")
+        if isinstance(reply, OversizedReply):
+            is_successful = reply.status == 200
+            return (
+                ReplyTooLarge(reply.size) if is_successful else Lost("unexpected_size")
+            )
         if not isinstance(reply, Reply):
             return reply
         if reply.status == 410:
             return RevisionTooOld(0)
-        found = _decode(reply, 200, _watched)
-        if isinstance(found, Lost):
-            return found
-        events = tuple(_read_event(item) for item in found["events"])
-        return Events(events, found["as_of"])
+        response = _decode(reply, 200, _watch_decoder)
+        if isinstance(response, Lost):
+            return response
+        events = tuple(_build_event(item) for item in response["events"])
+        return Events(events, response["as_of"])
 
     async def grant_lease(self, ttl: timedelta) -> Granted | Rejected | Lost:
-        """Open a lease."""
+        """Create a lease."""
         body = {"ttl_ms": to_milliseconds(ttl)}
         reply = await self._call("grant", "POST", "/kv-lease", LEASE_TIMEOUT, body)
         if not isinstance(reply, Reply):
             return reply
-        done = _decode(reply, 200, _leased)
-        if isinstance(done, Lost):
-            return done
-        return Granted(str(done["lease"]), read_duration(done["ttl_ms"]))
+        response = _decode(reply, 200, _lease_decoder)
+        if isinstance(response, Lost):
+            return response
+        return Granted(str(response["lease"]), to_duration(response["ttl_ms"]))
 
     async def renew_lease(self, lease: str) -> Granted | Lapsed | Rejected | Lost:
         """Renew a lease."""
@@ -289,10 +297,10 @@
             return reply
         if reply.status == 404:
             return Lapsed(lease)
-        done = _decode(reply, 200, _kept)
-        if isinstance(done, Lost):
-            return done
-        return Granted(lease, read_duration(done["ttl_ms"]))
+        response = _decode(reply, 200, _renewal_decoder)
+        if isinstance(response, Lost):
+            return response
+        return Granted(lease, to_duration(response["ttl_ms"]))
 
 
 def _decode(reply: Reply, status: int, decoder: msgspec.json.Decoder[Any]) -> Any:
@@ -301,29 +309,29 @@
     return decode_body(reply, decoder)
 
 
-def _read_mismatch(reply: Reply) -> Mismatch | Lost:
-    found = decode_body(reply, _mismatched)
-    if isinstance(found, Lost):
-        return found
-    present = (item for item in found["items"] if item["revision"])
-    return Mismatch(tuple(map(_read_item, present)))
+def _parse_mismatch(reply: Reply) -> Mismatch | Lost:
+    response = decode_body(reply, _mismatch_decoder)
+    if isinstance(response, Lost):
+        return response
+    present = (item for item in response["items"] if item["revision"])
+    return Mismatch(tuple(map(_build_entry, present)))
 
 
 def _decode_value(text: str) -> bytes:
     try:
         return base64.b64decode(text, validate=True)
     except binascii.Error:
-        # What is no base64 can't be a record of ours; decoding it will say so.
+        # Not one of our records, as these are base64; decoding the record will fail.
         return text.encode()
 
 
-def _read_item(item: _Item) -> Entry:
+def _build_entry(item: _StoredItem) -> Entry:
     lease = item.get("lease", 0)
     value = _decode_value(item.get("value", ""))
     return Entry(item["key"], value, item["revision"], str(lease) if lease else "")
 
 
-def _read_event(item: _Item) -> Event:
+def _build_event(item: _StoredItem) -> Event:
     if item.get("deleted", False):
         return Event(item["key"], None, item["revision"])
     return Event(item["key"], _decode_value(item.get("value", "")), item["revision"])
@@ -331,7 +339,7 @@
 
 def _build_write(write: Any) -> dict[str, Any]:
     value = base64.b64encode(write.value).decode()
-    built: dict[str, Any] = {"key": write.key, "value": value}
+    item: dict[str, Any] = {"key": write.key, "value": value}
     if write.lease:
-        built["lease"] = int(write.lease)
-    return built
+        item["lease"] = int(write.lease)
+    return item
--- a/src/damaskdeck/platform/workers.py
+++ b/src/damaskdeck/platform/workers.py
@@ -1,4 +1,4 @@
-"""The platform's workers: orders, leases and inventories over HTTP."""
+"""Adapter to the platform's workers: orders, leases and inventories over HTTP."""
 
 from datetime import timedelta
 from typing import Any, NotRequired, TypedDict
@@ -14,7 +14,7 @@
     decode_body,
     to_milliseconds,
 )
-from damaskdeck.platform.fields import Moment, read_duration
+from damaskdeck.platform.fields import TimestampMs, to_duration
 from damaskdeck.platform.tasks import format_task, parse_task
 from damaskdeck.protocol.pools import (
     Declined,
@@ -32,21 +32,21 @@
 from damaskdeck.protocol.ports import Lost, Rejected
 from damaskdeck.protocol.queues import TaskName
 
-# Answers come within some 10 ms. With 0.6 and 0.7 s, workers that lose three answers
-# in ten made short jobs late; below these figures nothing more was gained.
+# Workers usually respond within about 10 ms. With 0.6 and 0.7 s, short jobs were late
+# on workers that lose three responses in ten; lower values than these gained nothing.
 _ORDER_TIMEOUT = timedelta(milliseconds=300)
-_HOLD_SLACK = timedelta(milliseconds=350)
-_LIFE_HEADER = "Expected-Instance"
-_OTHER_LIFE = 421
+_POLL_TIMEOUT_MARGIN = timedelta(milliseconds=350)
+_INCARNATION_HEADER = "Expected-Instance"
+_INCARNATION_MISMATCH_STATUS = 421
 
-_REASONS = {
+_REFUSAL_CODES = {
     "fence": RefusalCode.STALE_EPOCH,
     "old": RefusalCode.STALE_ATTEMPT,
     "late": RefusalCode.LATE,
     "room": RefusalCode.NO_ROOM,
     "ticket": RefusalCode.NO_TICKET,
 }
-_ENDS = {
+_END_KINDS = {
     "done": EndKind.COMPLETED,
     "failed": EndKind.FAILED,
     "stopped": EndKind.STOPPED,
@@ -55,61 +55,63 @@
     "alone": EndKind.ALONE,
 }
 
-# Channels to a worker that orders have opened and that are kept for the next: up to
-# nine were seen (1,630 descriptors, 176 workers).
-CHANNELS_EACH = 10
-# Where so many would be more than the process may open, channels of orders are kept for
-# no longer than a gang's orders take. A process that may open 137 for 100 workers then
-# served 164 of 260 jobs, and 40 of them with channels that are kept for ten seconds.
-SCARCE_KEEP_SECONDS = 0.5
+# Connections to a worker that orders open and that are kept for further orders. Up to
+# nine were observed (1,630 descriptors with 176 workers).
+CONNECTIONS_PER_WORKER = 10
+# Used when CONNECTIONS_PER_WORKER connections to each worker would exceed the
+# descriptor limit: connections are kept just long enough for the orders of one gang.
+# With 137 descriptors for 100 workers, a process completed 164 of 260 jobs this way,
+# and 40 when it kept connections for ten seconds.
+SHORT_KEEPALIVE_SECONDS = 0.5
 
 _log = get_logger("workers")
 
 
-class _Ordered(TypedDict):
-    clock_ms: NotRequired[Moment]
+class _OrderResponse(TypedDict):
+    clock_ms: NotRequired[TimestampMs]
     reason: NotRequired[str]
 
 
-class _Held(TypedDict):
-    clock_ms: Moment
+class _PollResponse(TypedDict):
+    clock_ms: TimestampMs
     running: list[list[Any]]
     finished: list[list[Any]]
 
 
-_ordered = msgspec.json.Decoder(_Ordered)
-_held = msgspec.json.Decoder(_Held)
+_order_decoder = msgspec.json.Decoder(_OrderResponse)
+_poll_decoder = msgspec.json.Decoder(_PollResponse)
 
 
 class PlatformWorkers:
-    """Implements ``PoolWorkers``.
+    """Implements ``PoolWorkers`` over HTTP.
 
-    :param delay: how late this process is, which answers are waited for longer by.
-    :param descriptors: how many the process may have open.
+    :param loop_delay: delay of this process's event loop, by which timeouts are
+        extended.
+    :param descriptors: how many file descriptors the process may have open.
     """
 
     def __init__(
-        self, client: PlatformClient, delay: LoopDelay, descriptors: int
+        self, client: PlatformClient, loop_delay: LoopDelay, descriptors: int
     ) -> None:
         self._client = client
-        self._delay = delay
-        self._many = descriptors // CHANNELS_EACH
-        self._addresses: set[str] = set()
+        self._loop_delay = loop_delay
+        self._max_workers_with_keepalive = descriptors // CONNECTIONS_PER_WORKER
+        self._polled_addresses: set[str] = set()
 
     @property
-    def _keep(self) -> float:
-        """For how many seconds channels of orders are kept."""
-        is_scarce = len(self._addresses) > self._many
-        return SCARCE_KEEP_SECONDS if is_scarce else KEEPALIVE_SECONDS
+    def _order_keepalive_seconds(self) -> float:
+        """How many seconds idle connections of orders are kept."""
+        is_fleet_large = len(self._polled_addresses) > self._max_workers_with_keepalive
+        return SHORT_KEEPALIVE_SECONDS if is_fleet_large else KEEPALIVE_SECONDS
 
     @property
-    def _allowance(self) -> timedelta:
-        return timedelta(seconds=self._delay.seconds)
+    def _delay_allowance(self) -> timedelta:
+        return timedelta(seconds=self._loop_delay.seconds)
 
     async def start(
         self, worker: PoolWorker, epoch: int, order: TaskStart
     ) -> StartResult:
-        """Start a task."""
+        """Order a worker to start a task."""
         body: dict[str, Any] = {
             "task": format_task(order.task),
             "run": order.attempt,
@@ -121,38 +123,38 @@
             body["checkpoint"] = order.checkpoint
         if order.ticket:
             body["ticket"] = order.ticket
-        return await self._order(worker, "/run-start", body)
+        return await self._send_order(worker, "/run-start", body)
 
     async def stop(
         self, worker: PoolWorker, epoch: int, task: TaskName, attempt: int
     ) -> StartResult:
-        """Stop a run."""
+        """Order a worker to stop a run."""
         body = {"task": format_task(task), "run": attempt, "fencing_token": epoch}
-        return await self._order(worker, "/run-stop", body)
+        return await self._send_order(worker, "/run-stop", body)
 
-    async def _order(
+    async def _send_order(
         self, worker: PoolWorker, path: str, body: dict[str, Any]
     ) -> StartResult:
         reply = await self._client.call(
             "POST",
             worker.address,
             path,
-            _ORDER_TIMEOUT + self._allowance,
+            _ORDER_TIMEOUT + self._delay_allowance,
             body,
-            {_LIFE_HEADER: worker.identifier},
-            keep=self._keep,
+            {_INCARNATION_HEADER: worker.identifier},
+            keepalive_seconds=self._order_keepalive_seconds,
         )
         if not isinstance(reply, Reply):
             if isinstance(reply, Rejected) and reply.code == "busy":
                 return Declined(RefusalCode.UNHEALTHY)
             return reply
-        refusal = _read_refusal(reply)
+        refusal = _parse_refusal(reply)
         if refusal is not None:
             return refusal
-        answer = decode_body(reply, _ordered)
-        if isinstance(answer, Lost):
-            return answer
-        return Done(read_duration(answer.get("clock_ms", 0)))
+        response = decode_body(reply, _order_decoder)
+        if isinstance(response, Lost):
+            return response
+        return Done(to_duration(response.get("clock_ms", 0)))
 
     async def poll(
         self,
@@ -162,90 +164,96 @@
         deadline: timedelta | None,
         wait: timedelta,
     ) -> WorkerTasks | Declined | Replaced | Rejected | Lost:
-        """Extend the lease and list what the worker runs."""
+        """Extend the worker's lease and return its tasks.
+
+        :param observed: number of the last end that is durable; the worker discards
+            ends up to it.
+        :param deadline: end of the lease on the worker's clock; ``None`` leaves it.
+        :param wait: how long the worker may wait for an end before it replies.
+        """
         body: dict[str, Any] = {"fencing_token": epoch, "observed": observed}
         if deadline is not None:
             body["deadline_ms"] = to_milliseconds(deadline)
         if wait:
             body["wait_ms"] = to_milliseconds(wait)
-        self._addresses.add(worker.address)
+        self._polled_addresses.add(worker.address)
         reply = await self._client.call(
             "POST",
             worker.address,
             "/hold",
-            wait + _HOLD_SLACK + self._allowance,
+            wait + _POLL_TIMEOUT_MARGIN + self._delay_allowance,
             body,
-            {_LIFE_HEADER: worker.identifier},
+            {_INCARNATION_HEADER: worker.identifier},
         )
         if not isinstance(reply, Reply):
             return reply
-        refusal = _read_refusal(reply)
+        refusal = _parse_refusal(reply)
         if refusal is not None:
             return refusal
-        return read_inventory(reply)
+        return parse_inventory(reply)
 
 
-def read_inventory(reply: Reply) -> WorkerTasks | Lost:
-    """Read what a worker runs and what has ended there."""
-    answer = decode_body(reply, _held)
-    if isinstance(answer, Lost):
-        return answer
+def parse_inventory(reply: Reply) -> WorkerTasks | Lost:
+    """Parse a worker's inventory: its running tasks and the ends of others."""
+    response = decode_body(reply, _poll_decoder)
+    if isinstance(response, Lost):
+        return response
     try:
-        return _read_contents(answer)
+        return _build_worker_tasks(response)
     except (ValueError, TypeError, KeyError, IndexError, OverflowError) as error:
         _log.error(
-            "An inventory makes no sense.", code="unreadable_answer", error=repr(error)
+            "An inventory is malformed.", code="unreadable_answer", error=repr(error)
         )
         return Lost("unreadable_answer", repr(error))
 
 
-def _read_refusal(reply: Reply) -> Declined | Replaced | Lost | None:
+def _parse_refusal(reply: Reply) -> Declined | Replaced | Lost | None:
     if reply.status == 200:
         return None
-    if reply.status == _OTHER_LIFE:
+    if reply.status == _INCARNATION_MISMATCH_STATUS:
         return Replaced()
     if reply.status == 409:
-        answer = decode_body(reply, _ordered)
-        if isinstance(answer, Lost):
-            return answer
-        code = _REASONS.get(answer.get("reason", ""), RefusalCode.INVALID)
-        clock = answer.get("clock_ms")
-        return Declined(code, read_duration(clock) if clock else None)
+        response = decode_body(reply, _order_decoder)
+        if isinstance(response, Lost):
+            return response
+        code = _REFUSAL_CODES.get(response.get("reason", ""), RefusalCode.INVALID)
+        clock = response.get("clock_ms")
+        return Declined(code, to_duration(clock) if clock else None)
     if reply.status == 400:
         _log.error("An order was malformed.", answer=reply.body[:200].decode("latin-1"))
         return Declined(RefusalCode.INVALID)
     return Lost("unexpected_status", str(reply.status))
 
 
-def _read_contents(answer: _Held) -> WorkerTasks:
+def _build_worker_tasks(response: _PollResponse) -> WorkerTasks:
     running = tuple(
         RunningTask(
             parse_task(row[0]),
             int(row[1]),
-            _read_text(row[2] or ""),
+            _require_text(row[2] or ""),
             int(row[3]),
             int(row[4]) if len(row) > 4 else 0,
         )
-        for row in answer["running"]
+        for row in response["running"]
     )
     ended = tuple(
         EndedTask(
             int(row[0]),
             parse_task(row[1]),
             int(row[2]),
-            _ENDS[row[3]],
-            _read_text(row[4]),
+            _END_KINDS[row[3]],
+            _require_text(row[4]),
         )
-        for row in answer["finished"]
+        for row in response["finished"]
     )
-    return WorkerTasks(read_duration(answer["clock_ms"]), running, ended)
+    return WorkerTasks(to_duration(response["clock_ms"]), running, ended)
 
 
-def _read_text(value: Any) -> str:
-    """Return a text.
+def _require_text(value: Any) -> str:
+    """Return ``value`` if it is a string.
 
-    :raises TypeError: when it is something else.
+    :raises TypeError: if it isn't.
     """
     if not isinstance(value, str):
-        raise TypeError(f"no text: {type(value).__name__}")
+        raise TypeError(f"must be a string, not {type(value).__name__}")
     return value
--- a/src/damaskdeck/pooldaemon.py
+++ b/src/damaskdeck/pooldaemon.py
@@ -1,4 +1,7 @@
-"""The daemon on the users' platform: callers' queues and the pools behind them."""
+"""The daemon on the users' platform.
+
+It serves callers' queues and schedules their jobs on the workers of the pools.
+"""
 
 import asyncio
 import signal
@@ -32,7 +35,7 @@
     PlatformStore,
     PlatformWorkers,
     build_callers_app,
-    load_node,
+    load_node_settings,
 )
 from damaskdeck.state.jobrecords import MemberRecord
 from damaskdeck.transport.api.server import HttpServer
@@ -40,31 +43,35 @@
 from damaskdeck.transport.listeners import open_listener, show_address
 from damaskdeck.transport.peers import PeerNetwork
 
-# Daemons of one deployment alone reach the internal ports; it tells versions apart.
+# Distinguishes incompatible versions. It needn't be secret, because only daemons of the
+# same deployment can reach the internal ports.
 PEER_TOKEN = "damaskdeck-pools-1"
-# Callers' idle channels stay open for longer than the platform keeps its own.
+# Longer than the platform keeps its own idle connections.
 CALLER_KEEP_ALIVE = timedelta(seconds=75)
-# What of the grace is left for closing when callers have stopped coming.
-CLOSING_SHARE = 0.3
-# The balancer asks once a second and believes the second miss.
-BALANCER_DELAY = timedelta(milliseconds=2300)
-# The settings file may change without a signal.
-SETTINGS_INTERVAL = timedelta(seconds=2)
-# Long enough for all to be up after a start of the whole system.
-STRENGTH_INTERVAL = timedelta(seconds=3)
-# Each tenth of a second without the store is one in which nothing new is taken in.
-AWAY_INTERVAL = timedelta(milliseconds=100)
-DRAIN_LIMIT = timedelta(milliseconds=800)
+# Share of the grace period that is reserved for closing connections after callers have
+# stopped sending requests.
+CLOSING_GRACE_SHARE = 0.3
+# The balancer checks once a second and acts on the second failed check.
+BALANCER_DETECTION_TIME = timedelta(milliseconds=2300)
+# The settings file may also change without SIGHUP.
+SETTINGS_CHECK_INTERVAL = timedelta(seconds=2)
+# Long enough for all daemons to be up after the whole system has started.
+STRONGER_MEMBER_CHECK_INTERVAL = timedelta(seconds=3)
+# Short, because the owner accepts no new jobs while it can't reach the store.
+STORE_CHECK_INTERVAL = timedelta(milliseconds=100)
+DRAIN_STEP_TIMEOUT = timedelta(milliseconds=800)
 
 _log = get_logger("daemon")
 
 
 class PoolDaemon:
-    """All parts of one daemon on the platform, put together.
+    """Creates, connects and runs the components of one daemon on the platform.
+
+    The addresses are ``IP:port`` and set by :meth:`start`.
 
-    :ivar callers_address: where callers connect, once :meth:`start` has returned.
-    :ivar ready_address: where the balancer asks whether callers may.
-    :ivar metrics_address: where the metrics are read.
+    :ivar callers_address: serves callers.
+    :ivar ready_address: serves the balancer's readiness checks.
+    :ivar metrics_address: serves the metrics.
     """
 
     def __init__(self, settings: NodeSettings, clock: Clock) -> None:
@@ -72,21 +79,21 @@
         self.callers_address = self.ready_address = self.metrics_address = ""
         self._clock = clock
         self._times = derive_times(settings.bounds)
-        self._delay = LoopDelay()
+        self._loop_delay = LoopDelay()
         self._is_leaving = False
-        self._stop = asyncio.Event()
-        self._may_have_changed = asyncio.Event()
+        self._stop_requested = asyncio.Event()
+        self._settings_reload_requested = asyncio.Event()
         self._owner: PoolOwner | None = None
         self._owner_task: asyncio.Task[None] | None = None
-        self._failed: asyncio.Future[None] | None = None
+        self._owner_failure: asyncio.Future[None] | None = None
 
     async def start(self) -> None:
-        """Bind the addresses and put the parts together.
+        """Bind the addresses and create the components.
 
-        :raises SettingsError: when an address is taken or isn't of this machine.
+        :raises SettingsError: if an address is in use or isn't local.
         """
         settings, clock = self.settings, self._clock
-        self._failed = asyncio.get_running_loop().create_future()
+        self._owner_failure = asyncio.get_running_loop().create_future()
         self._network = PeerNetwork(
             settings.instance,
             settings.host,
@@ -107,7 +114,7 @@
             self._times.document_max_age,
             self._store.measure_silence,
         )
-        self._admission = CallAuthorizer(self.declarations)
+        self._authorizer = CallAuthorizer(self.declarations)
         member = MemberRecord(
             settings.instance,
             uuid.uuid4().hex,
@@ -117,7 +124,7 @@
             clock.now().timestamp(),
         )
         self.leadership = Leadership(
-            member, self._store, clock, self._times, self._begin_mandate, self._end
+            member, self._store, clock, self._times, self._begin_term, self._end_term
         )
         self.frontend = JobFrontend(
             settings.instance,
@@ -129,16 +136,16 @@
             self._times,
             self.declarations,
             lambda: self._owner,
-            lambda epoch: self.watch.record_heartbeat(epoch),
+            lambda epoch: self.owner_monitor.record_heartbeat(epoch),
         )
-        self.watch = OwnerMonitor(
+        self.owner_monitor = OwnerMonitor(
             settings.instance,
             self._network,
             self.leadership,
             clock,
             self.get_epoch,
         )
-        self._commits = DelegatingStore(
+        self._delegating_store = DelegatingStore(
             self._store,
             self._network,
             clock,
@@ -157,7 +164,7 @@
         )
         if settings.unserved_duties:
             _log.error(
-                "The platform asks for duties that are not served.",
+                "The platform requests duties that are not supported.",
                 code="unsupported",
                 duties=settings.unserved_duties,
             )
@@ -173,11 +180,11 @@
         for address in addresses:
             host, _, port = address.rpartition(":")
             listeners.append(open_listener(host, int(port)))
-        shown = tuple(map(show_address, listeners))
-        self.callers_address, self.ready_address, self.metrics_address = shown
+        bound_addresses = tuple(map(show_address, listeners))
+        self.callers_address, self.ready_address, self.metrics_address = bound_addresses
         app = build_callers_app(
             self.frontend,
-            self._admission,
+            self._authorizer,
             self.is_ready,
             lambda: not self.is_ready(),
             read_metrics,
@@ -189,21 +196,21 @@
         )
 
     def is_ready(self) -> bool:
-        """Whether the balancer may send callers here."""
-        is_informed = self.declarations.table is not None and self.leadership.is_synced
+        """Return whether the balancer may send callers to this daemon."""
+        is_synced = self.declarations.table is not None and self.leadership.is_synced
         is_cut_off = self._store.measure_outage() > self._times.unready_after
-        is_sure = self.declarations.can_verify_keys
-        return is_informed and is_sure and not is_cut_off and not self._is_leaving
+        can_verify_keys = self.declarations.can_verify_keys
+        return is_synced and can_verify_keys and not is_cut_off and not self._is_leaving
 
     def get_epoch(self) -> int:
-        """Return the epoch that this daemon decides under, 0 if it doesn't."""
+        """Return the epoch of this daemon's term, or 0 if it may not decide."""
         owner = self._owner
         is_deciding = owner is not None and owner.may_decide()
         return owner.term.epoch if owner is not None and is_deciding else 0
 
-    # Mandate -----------------------------------------------------------------
+    # Owner term --------------------------------------------------------------
 
-    def _begin_mandate(self, term: OwnerTerm) -> None:
+    def _begin_term(self, term: OwnerTerm) -> None:
         owner = PoolOwner(
             term,
             OwnerDependencies(
@@ -211,172 +218,189 @@
                     self.leadership,
                     self._store,
                     PlatformWorkers(
-                        self._client, self._delay, self.settings.descriptors
+                        self._client, self._loop_delay, self.settings.descriptors
                     ),
                     PlatformRegistry(self._store),
                     self._clock,
                     self._times,
                     self.declarations.is_pool_declared,
-                    self._delay,
+                    self._loop_delay,
                     self._store.write_times.find_write_time,
                 ),
                 self._network,
                 self.declarations,
-                self._commits,
+                self._delegating_store,
             ),
         )
         self._owner = owner
         self._owner_task = asyncio.ensure_future(owner.run())
-        self._owner_task.add_done_callback(self._note_end)
+        self._owner_task.add_done_callback(self._on_owner_task_done)
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
+    def _on_owner_task_done(self, task: asyncio.Task[None]) -> None:
         error = None if task.cancelled() else task.exception()
-        if error is not None and self._failed is not None and not self._failed.done():
-            self._failed.set_exception(error)
-
-    def _end(self) -> None:
+        if (
+            error is not None
+            and self._owner_failure is not None
+            and not self._owner_failure.done()
+        ):
+            self._owner_failure.set_exception(error)
+
+    def _end_term(self) -> None:
         self._owner = None
         if self._owner_task is not None:
             self._owner_task.cancel()
             self._owner_task = None
 
-    async def _yield_to_strength(self) -> None:
-        """Hand over to a stronger instance once it has been up for a while."""
+    async def _hand_over_to_stronger_member(self) -> None:
+        """Hand over to a more powerful instance once it has been up for a while."""
         while True:
-            await self._clock.sleep(STRENGTH_INTERVAL)
+            await self._clock.sleep(STRONGER_MEMBER_CHECK_INTERVAL)
             owner, successor = self._owner, self.leadership.find_stronger_member()
             if owner is not None and successor and not self._is_leaving:
                 _log.info("Handing over to a stronger instance.", heir=successor)
-                await self._finish(owner.drain())
-                await self._finish(
+                await self._run_drain_step(owner.drain())
+                await self._run_drain_step(
                     self.leadership.release(owner.fence, is_leaving=False)
                 )
 
-    async def _yield_when_turned_away(self) -> None:
-        """Hand over to a daemon that the store answers, once it turns this one away."""
+    async def _hand_over_when_store_unavailable(self) -> None:
+        """Hand over to a daemon that can reach the store once this one can't."""
         while True:
-            await self._clock.sleep(AWAY_INTERVAL)
+            await self._clock.sleep(STORE_CHECK_INTERVAL)
             owner = self._owner
-            is_away = self._store.measure_outage() > self._times.unready_after
-            if owner is None or not is_away or not self._commits.is_delegating:
+            is_store_unavailable = (
+                self._store.measure_outage() > self._times.unready_after
+            )
+            if (
+                owner is None
+                or not is_store_unavailable
+                or not self._delegating_store.is_delegating
+            ):
                 continue
-            _log.info("Handing over, as the store turns this daemon away.")
-            await self._finish(owner.drain())
-            await self._finish(
+            _log.info("Handing over, as the store is unavailable to this daemon.")
+            await self._run_drain_step(owner.drain())
+            await self._run_drain_step(
                 self.leadership.release_via_delegate(
-                    owner.fence, self._commits.commit_via_delegate
+                    owner.fence, self._delegating_store.commit_via_delegate
                 )
             )
 
     # Settings ----------------------------------------------------------------
 
-    def note_settings(self) -> None:
-        """Look at the settings file soon; it says that it has changed."""
-        self._may_have_changed.set()
+    def request_settings_reload(self) -> None:
+        """Check the settings file for changes now rather than at the next interval."""
+        self._settings_reload_requested.set()
 
-    async def _follow_settings(self) -> None:
-        """Take over what may change while the process runs: addresses."""
+    async def _watch_settings(self) -> None:
+        """Apply changes of the settings file while the process runs.
+
+        Only the addresses of the platform's services take effect.
+        """
         while True:
-            await wait_for_event(self._may_have_changed, SETTINGS_INTERVAL, self._clock)
-            self._may_have_changed.clear()
+            await wait_for_event(
+                self._settings_reload_requested, SETTINGS_CHECK_INTERVAL, self._clock
+            )
+            self._settings_reload_requested.clear()
             try:
-                settings = load_node()
+                settings = load_node_settings()
             except SettingsError as error:
                 _log.error("The settings can't be used.", error=str(error))
                 continue
             if settings != self.settings:
-                self._apply(settings)
+                self._apply_settings(settings)
 
-    def _apply(self, settings: NodeSettings) -> None:
-        self._platform_store.move(settings.store_address)
-        self._advisor.move(settings.advisor_address)
+    def _apply_settings(self, settings: NodeSettings) -> None:
+        self._platform_store.set_address(settings.store_address)
+        self._advisor.set_address(settings.advisor_address)
         old, self.settings = self.settings, settings
         changed = [
             name
-            for name, before, now in zip(settings._fields, old, settings, strict=True)
-            if before != now
+            for name, before, after in zip(settings._fields, old, settings, strict=True)
+            if before != after
         ]
         _log.info("Settings have changed.", changed=changed)
 
-    # Life --------------------------------------------------------------------
+    # Lifecycle ---------------------------------------------------------------
 
     def request_stop(self) -> None:
-        """Let :meth:`run` shut down gracefully."""
-        self._stop.set()
+        """Make :meth:`run` shut down gracefully."""
+        self._stop_requested.set()
 
     async def run(self) -> None:
-        """Run until asked to stop, then shut down gracefully; call it once.
+        """Run until a stop is requested, then shut down gracefully.
+
+        This method may be called only once.
 
-        :raises Exception: that of the first part that failed.
+        :raises Exception: that of the first component that failed.
         """
-        assert self._failed is not None
-        parts = [
+        assert self._owner_failure is not None
+        tasks = [
             asyncio.ensure_future(self.leadership.run()),
             asyncio.ensure_future(self.declarations.run()),
-            asyncio.ensure_future(self.watch.run()),
-            asyncio.ensure_future(self._delay.run(self._clock)),
-            asyncio.ensure_future(self._follow_settings()),
-            asyncio.ensure_future(self._yield_to_strength()),
-            asyncio.ensure_future(self._yield_when_turned_away()),
+            asyncio.ensure_future(self.owner_monitor.run()),
+            asyncio.ensure_future(self._loop_delay.run(self._clock)),
+            asyncio.ensure_future(self._watch_settings()),
+            asyncio.ensure_future(self._hand_over_to_stronger_member()),
+            asyncio.ensure_future(self._hand_over_when_store_unavailable()),
         ]
-        stop = asyncio.ensure_future(self._stop.wait())
+        stop = asyncio.ensure_future(self._stop_requested.wait())
         try:
-            waited = {stop, self._failed, *parts}
+            waited = {stop, self._owner_failure, *tasks}
             done, _ = await asyncio.wait(waited, return_when=asyncio.FIRST_COMPLETED)
-            for part in done:
-                part.result()
-            await self._drain()
+            for completed in done:
+                completed.result()
+            await self._shut_down()
         finally:
-            self._end()
-            for task in (stop, *parts):
+            self._end_term()
+            for task in (stop, *tasks):
                 task.cancel()
-            await asyncio.gather(stop, *parts, return_exceptions=True)
+            await asyncio.gather(stop, *tasks, return_exceptions=True)
             await self._server.stop()
             await self._network.close()
             await self._client.close()
             _log.info("Stopped.")
 
-    async def _drain(self) -> None:
-        began = self._clock.monotonic()
+    async def _shut_down(self) -> None:
+        started_at = self._clock.monotonic()
         self._is_leaving = True
         _log.info("Shutting down.", is_owner=self._owner is not None)
         owner = self._owner
         if owner is not None:
-            await self._finish(owner.drain())
-        await self._finish(self.leadership.release(owner.fence if owner else 0))
-        spent = self._clock.monotonic() - began
-        latest = self.settings.bounds.grace * (1 - CLOSING_SHARE)
-        rest = min(BALANCER_DELAY, latest) - spent
-        if rest > timedelta():
-            await self._clock.sleep(rest)
-        await self._finish(self.leadership.leave())
+            await self._run_drain_step(owner.drain())
+        await self._run_drain_step(self.leadership.release(owner.fence if owner else 0))
+        elapsed = self._clock.monotonic() - started_at
+        latest = self.settings.bounds.grace * (1 - CLOSING_GRACE_SHARE)
+        remaining = min(BALANCER_DETECTION_TIME, latest) - elapsed
+        if remaining > timedelta():
+            await self._clock.sleep(remaining)
+        await self._run_drain_step(self.leadership.leave())
         await self._server.stop()
 
-    async def _finish(self, step) -> None:
+    async def _run_drain_step(self, step) -> None:
         try:
-            async with asyncio.timeout(DRAIN_LIMIT.total_seconds()):
+            async with asyncio.timeout(DRAIN_STEP_TIMEOUT.total_seconds()):
                 await step
         except TimeoutError:
             _log.warn("A step of the shutdown took too long.")
 
 
 async def serve_pools(settings: NodeSettings) -> None:
-    """Run a daemon on the platform until SIGTERM or SIGINT ends it."""
+    """Run a daemon on the platform until SIGTERM or SIGINT stops it."""
     daemon = PoolDaemon(settings, SystemClock())
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, daemon.request_stop)
-    loop.add_signal_handler(signal.SIGHUP, daemon.note_settings)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, daemon.request_stop)
+    loop.add_signal_handler(signal.SIGHUP, daemon.request_settings_reload)
     await daemon.start()
     await daemon.run()
 
 
 def run_on_platform() -> None:
-    """Read the platform's settings file and run the daemon.
+    """Load the platform's settings file and run the daemon.
 
-    :raises SettingsError: when the file can't be used.
+    :raises SettingsError: if the file can't be read or is invalid.
     """
-    settings = load_node()
+    settings = load_node_settings()
     install_exporter()
     handler = LineHandler(LineWriter(sys.stdout.fileno()), settings.instance, "info")
     handler.push_application()
--- a/src/standins/narrow.py
+++ b/src/standins/narrow.py
@@ -8,7 +8,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from damaskdeck.clock import Clock
-from damaskdeck.platform.client import Oversized, Reply
+from damaskdeck.platform.client import OversizedReply, Reply
 from damaskdeck.protocol.ports import Lost, Rejected
 from standins.wire import WireStore
 
@@ -43,15 +43,15 @@
         timeout: timedelta,
         body: Any = None,
         max_reply_bytes: int | None = None,
-        within: timedelta | None = None,
+        first_byte_timeout: timedelta | None = None,
         **options: Any,
-    ) -> Reply | Oversized | Rejected | Lost:
+    ) -> Reply | OversizedReply | Rejected | Lost:
         """Make a call; what came of an answer that is given up is thrown away."""
         if self.is_cut:
             await self._clock.sleep(LATENCY)
             return Rejected("unreachable")
         if self.loses(path):
-            await self._clock.sleep(within or timeout)
+            await self._clock.sleep(first_byte_timeout or timeout)
             return Lost("timeout")
         try:
             async with asyncio.timeout(timeout.total_seconds()):
@@ -61,14 +61,14 @@
 
     async def _exchange(
         self, method: str, path: str, body: Any, max_reply_bytes: int | None
-    ) -> Reply | Oversized:
+    ) -> Reply | OversizedReply:
         await self._clock.sleep(LATENCY)
         parts = urlsplit(path)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         status, answer = await self._store.answer(method, parts.path, query, {}, body)
         data = b"" if answer is None else json.dumps(answer).encode()
         if max_reply_bytes is not None and len(data) > max_reply_bytes:
-            return Oversized(status, len(data))
+            return OversizedReply(status, len(data))
         await self._receive(len(data))
         return Reply(status, data)
 
--- a/src/standins/poolstore.py
+++ b/src/standins/poolstore.py
@@ -205,7 +205,7 @@
         return Found(entry) if entry else Missing(self._store.revision)
 
     async def read_changed(
-        self, key: str, revision: int, within: timedelta | None = None
+        self, key: str, revision: int, first_byte_timeout: timedelta | None = None
     ) -> Found | Missing | Unchanged | Rejected | Lost:
         """Read one key unless it is as it was."""
         found = await self.read(key)
--- a/tests/test_client_accounts.py
+++ b/tests/test_client_accounts.py
@@ -10,7 +10,7 @@
 from damaskdeck.coordination.pools.authorization import AuthorizedCall, CallAuthorizer
 from damaskdeck.coordination.pools.declarations import Declarations
 from damaskdeck.platform import PlatformQueues
-from damaskdeck.platform.nodes import read_node
+from damaskdeck.platform.nodes import parse_node_settings
 from damaskdeck.protocol.callresults import Caller, CallRejected, CallRejectionCode
 from damaskdeck.protocol.clientaccounts import (
     UNLIMITED,
@@ -121,16 +121,16 @@
     def test_the_settings_tell_whether_keys_are_shown(self):
         with open("tests/node.conf") as file:
             text = file.read()
-        self.assertFalse(read_node(text).needs_keys)
+        self.assertFalse(parse_node_settings(text).needs_keys)
         more = (
             "\ncontracts=base,tenants\nbounds.strict_revocation=true\n"
             "bounds.revoke_ms=4000\nbounds.config_apply_ms=2000\n"
         )
-        settings = read_node(text + more)
+        settings = parse_node_settings(text + more)
         self.assertTrue(settings.needs_keys)
         self.assertEqual(settings.bounds.revocation, 4 * SECOND)
         self.assertEqual(settings.bounds.in_force, 2 * SECOND)
-        lax = read_node(text + more.replace("=true", "=false"))
+        lax = parse_node_settings(text + more.replace("=true", "=false"))
         self.assertIsNone(lax.bounds.revocation)
 
 
--- a/tests/test_foreign.py
+++ b/tests/test_foreign.py
@@ -13,9 +13,9 @@
 from damaskdeck.errors import MessageError
 from damaskdeck.platform import PlatformQueues, PlatformRegistry
 from damaskdeck.platform.client import Reply
-from damaskdeck.platform.fields import is_address
-from damaskdeck.platform.jobs import read_job
-from damaskdeck.platform.workers import read_inventory
+from damaskdeck.platform.fields import is_callable_address
+from damaskdeck.platform.jobs import parse_job
+from damaskdeck.platform.workers import parse_inventory
 from damaskdeck.protocol.pools import (
     DeclaredQueues,
     PoolWorker,
@@ -180,7 +180,7 @@
             listed = await PlatformRegistry(store).list_workers()
             self.assertIn("i-good", [w.identifier for w in listed.workers])
             for worker in listed.workers:
-                self.assertTrue(is_address(worker.address))
+                self.assertTrue(is_callable_address(worker.address))
 
         play(self)
 
@@ -223,16 +223,16 @@
         for odd in ({"estimated_ms": 1e300}, {"cpu": -1}, {"task_count": 10**9}):
             body = json.dumps({"spec": "", "steps": [{**step, **odd}]}).encode()
             with self.assertRaises(MessageError):
-                read_job(body)
+                parse_job(body)
         body = {"spec": "", "steps": [step], "repeat_count": 2, "start_at_ms": 1e300}
         with self.assertRaises(MessageError):
-            read_job(json.dumps(body).encode())
+            parse_job(json.dumps(body).encode())
 
     @settings(derandomize=True, max_examples=150, deadline=None)
     @given(mix({"spec": "", "steps": [{"task_count": 1}]}, ("spec", "steps")))
     def test_any_body_is_a_job_or_refused(self, body):
         try:
-            read_job(body)
+            parse_job(body)
         except MessageError as error:
             self.assertEqual(error.code, "invalid_message")
 
@@ -244,7 +244,7 @@
         )
     )
     def test_any_inventory_is_read_or_lost(self, body):
-        found = read_inventory(Reply(200, body))
+        found = parse_inventory(Reply(200, body))
         self.assertIsInstance(found, WorkerTasks | Lost)
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -25,8 +25,8 @@
     PlatformWorkers,
 )
 from damaskdeck.platform.client import _read_body
-from damaskdeck.platform.jobs import read_job
-from damaskdeck.platform.nodes import read_node
+from damaskdeck.platform.jobs import parse_job
+from damaskdeck.platform.nodes import parse_node_settings
 from damaskdeck.platform.tasks import format_task, parse_task
 from damaskdeck.protocol.pools import (
     Advice,
@@ -110,11 +110,11 @@
 class TestClient(unittest.IsolatedAsyncioTestCase):
     """The one client for all that the platform offers."""
 
-    async def test_an_answer_that_is_given_up_while_it_comes_is_told_of(self):
+    async def test_timeout_while_reading_a_body_is_logged(self):
         with TestHandler() as handler, self.assertRaises(TimeoutError):
             await _read_body(_StalledAnswer())
         (record,) = handler.records
-        self.assertEqual(record.message, "An answer was given up while it came.")
+        self.assertEqual(record.message, "Timed out while reading a response body.")
         self.assertEqual(
             (record.extra["path"], record.extra["read"], record.extra["size"]),
             ("/kv-key", 70, 9000),
@@ -156,7 +156,7 @@
         timeouts = []
 
         async def call(*args, **options):
-            timeouts.append((args[3], options["silence"]))
+            timeouts.append((args[3], options["read_timeout"]))
             return Lost("timeout")
 
         self.client.call = call
@@ -343,7 +343,7 @@
     def read(self, **fields: Any) -> StepSpec:
         """Decode a job of one step."""
         body = json.dumps({"spec": "s", "steps": [fields]}).encode()
-        (step,) = read_job(body).steps
+        (step,) = parse_job(body).steps
         return step
 
     def test_each_field_of_a_step_is_decoded(self):
@@ -392,7 +392,7 @@
                 self.read(**step)
         for body in (b"{", b'{"spec":"s","steps":[]}', b'{"steps":[{}]}'):
             with self.assertRaises(MessageError):
-                read_job(body)
+                parse_job(body)
 
 
 class TestSettings(unittest.TestCase):
@@ -400,20 +400,20 @@
 
     def test_an_installation_that_cannot_be_served_is_refused(self):
         with self.assertRaises(SettingsError) as caught:
-            read_node("commands=heartbeat\nplatform.form=log")
+            parse_node_settings("commands=heartbeat\nplatform.form=log")
         codes = {fault.path: fault.code for fault in caught.exception.faults}
         self.assertEqual(codes["commands"], "unsupported")
         self.assertEqual(codes["platform.form"], "unsupported")
 
     def test_duties_that_are_not_served_are_named(self):
         reader = Path(__file__).with_name("node.conf").read_text()
-        settings = read_node(reader + "cloud_api.duties=upkeep,move\n")
+        settings = parse_node_settings(reader + "cloud_api.duties=upkeep,move\n")
         self.assertEqual(settings.unserved_duties, ("upkeep", "move"))
-        self.assertEqual(read_node(reader).unserved_duties, ())
+        self.assertEqual(parse_node_settings(reader).unserved_duties, ())
 
     def test_what_is_missing_is_named_all_at_once(self):
         with self.assertRaises(SettingsError) as caught:
-            read_node("node_name=a\nbounds.grace_s=soon")
+            parse_node_settings("node_name=a\nbounds.grace_s=soon")
         paths = {fault.path for fault in caught.exception.faults}
         self.assertIn("platform.address", paths)
         self.assertIn("listen.frontend", paths)
