--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon's process at its edges: settings and exit codes."""
+"""Start of the daemon's process: invalid settings and exit codes."""
 
 import asyncio
 import socket
@@ -23,10 +23,10 @@
 
 
 class TestExitCodes(unittest.IsolatedAsyncioTestCase):
-    """What can't be used is told, and nothing is started."""
+    """With invalid settings, the daemon prints the faults and exits."""
 
     async def run_daemon(self, document: Any) -> tuple[int, str]:
-        """Run a daemon to its end; return its exit code and what it printed."""
+        """Run a daemon until it exits; return its exit code and standard error."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "settings.yaml"
             path.write_text(yaml.safe_dump(document))
@@ -41,14 +41,14 @@
             _, errors = await process.communicate()
         return process.returncode, errors.decode()
 
-    async def test_faults_of_the_settings_are_all_told(self):
+    async def test_all_faults_of_the_settings_are_printed(self):
         document = {**DOCUMENT, "zone": "Zone A", "listens": {}}
         code, errors = await self.run_daemon(document)
         self.assertEqual(code, EXIT_SETTINGS, errors)
         self.assertIn("zone: bad_value", errors)
         self.assertIn("listens: unknown_field", errors)
 
-    async def test_taken_port_is_told_as_a_fault_of_the_settings(self):
+    async def test_port_in_use_is_printed_as_settings_fault(self):
         with socket.create_server(("127.0.0.1", 0)) as other:
             port = other.getsockname()[1]
             listen = {"host": "127.0.0.1", "api_port": port}
@@ -58,9 +58,9 @@
 
 
 class TestStart(unittest.IsolatedAsyncioTestCase):
-    """The stand-in that starts daemons."""
+    """The test helper that starts daemons."""
 
-    async def test_daemon_that_ends_at_its_start_is_told_with_its_last_lines(self):
+    async def test_failed_start_is_reported_with_last_lines(self):
         with tempfile.TemporaryDirectory() as folder:
             daemon = DaemonProcess({**DOCUMENT, "zone": "Zone A"}, Path(folder))
             with self.assertRaisesRegex(StartError, "zone: bad_value"):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A fleet that is large for what a process may open."""
+"""Connections to workers when the fleet is large for the descriptor limit."""
 
 import unittest
 from datetime import timedelta
@@ -13,25 +13,25 @@
 from damaskdeck.protocol.sizes import ZERO_SIZE
 
 
-class _Client:
-    """Answers nothing and remembers for how long channels are kept."""
+class _RecordingClient:
+    """Never gets a response, and records the keep-alive time of each call."""
 
     def __init__(self) -> None:
-        self.kept: list[float] = []
+        self.keepalive_times: list[float] = []
 
     async def call(
         self, *args, keepalive_seconds: float = KEEPALIVE_SECONDS, **options
     ) -> Lost:
-        """Make a call."""
-        self.kept.append(keepalive_seconds)
+        """Record a call."""
+        self.keepalive_times.append(keepalive_seconds)
         return Lost("timeout")
 
 
-class TestChannels(unittest.IsolatedAsyncioTestCase):
-    """For how long channels of orders are kept."""
+class TestConnections(unittest.IsolatedAsyncioTestCase):
+    """Keep-alive time of connections that orders use."""
 
-    async def test_they_are_kept_shortly_where_there_are_many_workers(self):
-        client = _Client()
+    async def test_order_connections_of_large_fleets_are_kept_shortly(self):
+        client = _RecordingClient()
         workers = PlatformWorkers(client, LoopDelay(), 20 * CONNECTIONS_PER_WORKER)
         task = TaskName("j", 0, 0, 0)
         order = TaskStart(task, 1, "", timedelta(seconds=1))
@@ -40,6 +40,6 @@
             await workers.start(info, 1, order)
             await workers.poll(info, 1, 0, None, timedelta())
         await workers.start(info, 1, order)
-        self.assertEqual(client.kept[-1], SHORT_KEEPALIVE_SECONDS)
-        # Looks keep theirs, and with fewer workers so do orders.
-        self.assertEqual(set(client.kept[:-1]), {KEEPALIVE_SECONDS})
+        self.assertEqual(client.keepalive_times[-1], SHORT_KEEPALIVE_SECONDS)
+        # Polls always use the usual time, as do orders with fewer workers.
+        self.assertEqual(set(client.keepalive_times[:-1]), {KEEPALIVE_SECONDS})
--- a/tests/test_foreign.py
+++ b/tests/test_foreign.py
@@ -1,4 +1,7 @@
-"""Entries of the store's other writers: used whole, or told of and left alone."""
+"""Entries of the store that other writers create.
+
+A valid entry is used as a whole; an invalid one is logged and ignored.
+"""
 
 import asyncio
 import json
@@ -43,14 +46,14 @@
 from tests.poolcluster import SECOND, SMALL, PoolCase, PoolCluster, make_job, make_queue
 from tests.virtual import virtual
 
-GOOD = {
+VALID_REGISTRATION = {
     "service": "hub",
     "address": "10.0.0.9:80",
     "state": "ready",
     "capacity": {"cpu": 4000, "mem_mb": 4096},
     "labels": ["a", "r1-1"],
 }
-ODD_FIELDS: dict[str, list[Any]] = {
+INVALID_FIELDS: dict[str, list[Any]] = {
     "service": [None, 7, "", ["hub"]],
     "address": [None, "", "10.0.0.9", "10.0.0.999:1", "h.example:80", "10.0.0.9:0"],
     "state": [None, "", "READY", "gone", 1],
@@ -65,7 +68,7 @@
     ],
     "services": [{"name": "hub"}],
 }
-ODD_ROUTE: dict[str, list[Any]] = {
+INVALID_ROUTE_FIELDS: dict[str, list[Any]] = {
     "target_latency_ms": [1e300, -1, "1"],
     "slack_factor": [-1, 1e300, None],
     "max_attempts": [-1, 2**80, "3"],
@@ -75,7 +78,7 @@
 
 
 def draw_values(integers: st.SearchStrategy[int]) -> st.SearchStrategy[Any]:
-    """Draw anything that JSON or MessagePack can hold."""
+    """Draw any value that JSON or MessagePack can represent."""
     return st.recursive(
         st.none() | st.booleans() | integers | st.floats() | st.text(max_size=8),
         lambda inner: (
@@ -87,27 +90,34 @@
 
 
 VALUES = draw_values(st.integers())
-# MessagePack has no larger numbers.
-PACKED = draw_values(st.integers(-(2**63), 2**64 - 1)).map(encode_record)
+# MessagePack can't represent integers outside of this range.
+PACKED_VALUES = draw_values(st.integers(-(2**63), 2**64 - 1)).map(encode_record)
 
 
-def mix(fields: dict[str, Any], names: tuple[str, ...]) -> st.SearchStrategy[bytes]:
-    """Draw a document of which some fields hold anything."""
-    odd = st.dictionaries(st.sampled_from(names), VALUES, max_size=3)
+def draw_corrupted(
+    fields: dict[str, Any], names: tuple[str, ...]
+) -> st.SearchStrategy[bytes]:
+    """Draw arbitrary bytes, or a document with arbitrary values in some fields."""
+    invalid = st.dictionaries(st.sampled_from(names), VALUES, max_size=3)
     return st.one_of(
         st.binary(max_size=40),
-        odd.map(lambda drawn: json.dumps({**fields, **drawn}).encode()),
+        invalid.map(lambda drawn: json.dumps({**fields, **drawn}).encode()),
     )
 
 
 def register(identifier: str, **fields: Any) -> bytes:
-    """Return a registration with some fields of its own."""
-    kept = {**GOOD, **fields}
-    return json.dumps({k: v for k, v in kept.items() if v != "left out"}).encode()
+    """Return an encoded registration.
+
+    :param fields: override those of the valid one; ``left out`` removes a field.
+    """
+    registration = {**VALID_REGISTRATION, **fields}
+    return json.dumps(
+        {k: v for k, v in registration.items() if v != "left out"}
+    ).encode()
 
 
-class Client(PoolStoreClient):
-    """A store in this process, with keys that anybody may write."""
+class ForeignStore(PoolStoreClient):
+    """A store in this process whose entries tests write as other writers do."""
 
     def __init__(self) -> None:
         clock = LoopClock()
@@ -115,19 +125,19 @@
         super().__init__(self.entries, clock)
 
     def set(self, key: str, value: bytes | None) -> None:
-        """Write as another writer does."""
+        """Write an entry as another writer."""
         self.entries.set(key, value)
 
 
 class TestRegistrations(unittest.TestCase):
-    """What workers, or others in their place, have written of themselves."""
+    """Registrations of workers, or of other writers under the same prefix."""
 
-    def assert_left_out(self, value: bytes) -> None:
-        """Expect that an entry names no worker, and that the others hold."""
+    def assert_ignored(self, value: bytes) -> None:
+        """Check that an entry is ignored with one log line and another one is used."""
 
         @virtual
-        async def play(_):
-            store = Client()
+        async def check(_):
+            store = ForeignStore()
             store.set("servers/i-odd", value)
             store.set("servers/i-good", register("i-good"))
             registry = PlatformRegistry(store)
@@ -136,45 +146,49 @@
                 await registry.list_workers()
             self.assertIsInstance(listed, RegisteredWorkers)
             self.assertEqual([w.identifier for w in listed.workers], ["i-good"], value)
-            told = [r for r in log.records if "can't be used" in r.message]
-            self.assertEqual(len(told), 1, value)
+            errors = [r for r in log.records if "can't be used" in r.message]
+            self.assertEqual(len(errors), 1, value)
 
-        play(self)
+        check(self)
 
-    def test_a_field_that_makes_no_sense_names_no_worker(self):
-        for name, odd in ODD_FIELDS.items():
-            for value in odd:
+    def test_registration_with_invalid_field_is_ignored(self):
+        for name, invalid in INVALID_FIELDS.items():
+            for value in invalid:
                 if not (name == "remaining_ms" and value is None):
-                    self.assert_left_out(register("i-odd", **{name: value}))
+                    self.assert_ignored(register("i-odd", **{name: value}))
 
-    def test_a_field_that_is_missing_names_no_worker(self):
+    def test_registration_with_missing_field_is_ignored(self):
         for name in ("service", "address", "state"):
-            self.assert_left_out(register("i-odd", **{name: "left out"}))
+            self.assert_ignored(register("i-odd", **{name: "left out"}))
 
-    def test_bytes_that_cannot_be_read_name_no_worker(self):
+    def test_undecodable_registration_is_ignored(self):
         for value in (b"", b"{", b"\xff\xfe", b"[]", b"[" * 5000, b"null"):
-            self.assert_left_out(value)
+            self.assert_ignored(value)
 
     @virtual
-    async def test_a_worker_is_back_with_an_entry_that_can_be_used(self):
-        store = Client()
+    async def test_worker_returns_with_a_usable_entry(self):
+        store = ForeignStore()
         store.set("servers/i-1", register("i-1"))
         registry = PlatformRegistry(store)
         listed = await registry.list_workers()
         store.set("servers/i-1", register("i-1", state="?"))
-        bad = await registry.follow_workers(listed.revision, SECOND)
-        self.assertIsInstance(bad, RegistryChanges)
-        self.assertEqual([change.worker for change in bad.changes], [None])
+        unusable = await registry.follow_workers(listed.revision, SECOND)
+        self.assertIsInstance(unusable, RegistryChanges)
+        self.assertEqual([change.worker for change in unusable.changes], [None])
         store.set("servers/i-1", register("i-1"))
-        good = await registry.follow_workers(bad.revision, SECOND)
-        self.assertIsInstance(good.changes[0].worker, PoolWorker)
+        usable = await registry.follow_workers(unusable.revision, SECOND)
+        self.assertIsInstance(usable.changes[0].worker, PoolWorker)
 
     @settings(derandomize=True, max_examples=150, deadline=None)
-    @given(mix(GOOD, (*GOOD, "remaining_ms", "zone")))
-    def test_whatever_stands_there_the_others_hold(self, value):
+    @given(
+        draw_corrupted(
+            VALID_REGISTRATION, (*VALID_REGISTRATION, "remaining_ms", "zone")
+        )
+    )
+    def test_any_registration_leaves_other_workers_listed(self, value):
         @virtual
-        async def play(_):
-            store = Client()
+        async def check(_):
+            store = ForeignStore()
             store.set("servers/i-odd", value)
             store.set("servers/i-good", register("i-good"))
             listed = await PlatformRegistry(store).list_workers()
@@ -182,20 +196,20 @@
             for worker in listed.workers:
                 self.assertTrue(is_callable_address(worker.address))
 
-        play(self)
+        check(self)
 
 
 class TestDeclarations(unittest.TestCase):
-    """The operators' document: the one in force stays."""
+    """The operators' document: an invalid one leaves the one in force."""
 
     @virtual
-    async def test_a_number_that_is_too_large_leaves_the_document_in_force(self):
-        for name, odd in ODD_ROUTE.items():
-            for value in odd:
+    async def test_document_with_invalid_route_is_not_applied(self):
+        for name, invalid in INVALID_ROUTE_FIELDS.items():
+            for value in invalid:
                 if name == "advice" and value is None:
                     continue
                 route = {**DOCUMENT["routes"][0], name: value}
-                store = Client()
+                store = ForeignStore()
                 text = json.dumps({**DOCUMENT, "routes": [route]})
                 store.set("op/config", text.encode())
                 found = await PlatformQueues(store).read_queues()
@@ -203,25 +217,25 @@
                 self.assertIsNone(found.table, (name, value))
 
     @settings(derandomize=True, max_examples=150, deadline=None)
-    @given(mix(DOCUMENT, ("version", "routes", "services", "limits")))
-    def test_any_document_is_read_or_left(self, value):
+    @given(draw_corrupted(DOCUMENT, ("version", "routes", "services", "limits")))
+    def test_any_document_is_decoded_or_ignored(self, value):
         @virtual
-        async def play(_):
-            store = Client()
+        async def check(_):
+            store = ForeignStore()
             store.set("op/config", value)
             found = await PlatformQueues(store).read_queues()
             self.assertIsInstance(found, DeclaredQueues)
 
-        play(self)
+        check(self)
 
 
 class TestBodies(unittest.TestCase):
-    """What callers and workers send."""
+    """Bodies that callers and workers send."""
 
-    def test_a_job_out_of_all_measure_is_refused(self):
+    def test_job_with_out_of_range_values_is_rejected(self):
         step = {"task_count": 1, "cpu": 100, "estimated_ms": 10}
-        for odd in ({"estimated_ms": 1e300}, {"cpu": -1}, {"task_count": 10**9}):
-            body = json.dumps({"spec": "", "steps": [{**step, **odd}]}).encode()
+        for invalid in ({"estimated_ms": 1e300}, {"cpu": -1}, {"task_count": 10**9}):
+            body = json.dumps({"spec": "", "steps": [{**step, **invalid}]}).encode()
             with self.assertRaises(MessageError):
                 parse_job(body)
         body = {"spec": "", "steps": [step], "repeat_count": 2, "start_at_ms": 1e300}
@@ -229,8 +243,10 @@
             parse_job(json.dumps(body).encode())
 
     @settings(derandomize=True, max_examples=150, deadline=None)
-    @given(mix({"spec": "", "steps": [{"task_count": 1}]}, ("spec", "steps")))
-    def test_any_body_is_a_job_or_refused(self, body):
+    @given(
+        draw_corrupted({"spec": "", "steps": [{"task_count": 1}]}, ("spec", "steps"))
+    )
+    def test_any_body_is_a_job_or_rejected(self, body):
         try:
             parse_job(body)
         except MessageError as error:
@@ -238,27 +254,27 @@
 
     @settings(derandomize=True, max_examples=150, deadline=None)
     @given(
-        mix(
+        draw_corrupted(
             {"clock_ms": 1, "running": [], "finished": []},
             ("clock_ms", "running", "finished"),
         )
     )
-    def test_any_inventory_is_read_or_lost(self, body):
+    def test_any_inventory_is_parsed_or_lost(self, body):
         found = parse_inventory(Reply(200, body))
         self.assertIsInstance(found, WorkerTasks | Lost)
 
 
 class TestRecords(unittest.TestCase):
-    """The owner's own records, as another writer may leave them."""
+    """Records of the owner that another writer may have replaced."""
 
-    def test_a_step_after_one_that_does_not_exist_is_no_job(self):
+    def test_record_with_unknown_dependency_is_rejected(self):
         spec = make_job(StepSpec(1, SMALL, SECOND, after=(3,)))
         record = JobRecord("j", make_queue(), spec, 1, 0.0)
         with self.assertRaises(MessageError):
             decode_job(encode_record(record))
 
     @settings(derandomize=True, max_examples=150, deadline=None)
-    @given(st.binary(max_size=60) | PACKED)
+    @given(st.binary(max_size=60) | PACKED_VALUES)
     def test_any_bytes_are_a_record_or_refused(self, value):
         for kind in (JobRecord, ProgressRecord):
             try:
@@ -267,15 +283,15 @@
                 self.assertEqual(error.code, "invalid_message")
 
 
-class WiredCluster(PoolCluster):
-    """Workers register as the platform's do, beside whoever else writes there."""
+class WireCluster(PoolCluster):
+    """A cluster whose workers register in the platform's wire format."""
 
     def build_registry(self, store: PoolStoreClient) -> WorkerRegistry:
         """Return the platform's registry."""
         return PlatformRegistry(store)
 
     def register(self, worker: StandinWorker) -> None:
-        """Write a worker's registration as it stands on the wire."""
+        """Write a worker's registration in the wire format."""
         info = worker.info
         self.store.set(
             f"servers/{info.identifier}",
@@ -289,16 +305,16 @@
 
 
 class TestOwner(PoolCase):
-    """An owner goes on deciding whatever others write."""
+    """An owner continues to schedule whatever other writers store."""
 
-    kind = WiredCluster
+    kind = WireCluster
 
-    def write_foreign(self) -> None:
-        """Write entries of all odd kinds."""
+    def write_invalid_entries(self) -> None:
+        """Write registrations with each kind of invalid field."""
         store = self.cluster.store
         number = 0
-        for name, odd in ODD_FIELDS.items():
-            for value in odd:
+        for name, invalid in INVALID_FIELDS.items():
+            for value in invalid:
                 number += 1
                 entry = register("", **{name: value})
                 store.set(f"servers/i-odd{number}", entry)
@@ -306,15 +322,15 @@
         store.set("servers/", register(""))
 
     @virtual
-    async def test_foreign_entries_from_the_start_stop_nobody(self):
-        self.cluster = cluster = WiredCluster(workers=2)
-        self.write_foreign()
+    async def test_invalid_entries_at_start_do_not_stop_owners(self):
+        self.cluster = cluster = WireCluster(workers=2)
+        self.write_invalid_entries()
         await cluster.start()
         await cluster.submit("j1", make_job(StepSpec(4, SMALL, SECOND)))
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=5)
         contacts = cluster.find_owner().owner.contacts
         self.assertEqual(set(contacts), {"w0", "w1"})
-        # A successor doesn't wait for what never was a worker.
+        # A successor doesn't wait for entries that never belonged to a worker.
         owner = cluster.find_owner()
         owner.kill()
         await cluster.wait(lambda: cluster.find_owner() is not None)
@@ -325,7 +341,7 @@
         self.end()
 
     @virtual
-    async def test_a_used_workers_entry_turns_bad_and_good_again(self):
+    async def test_entry_of_a_busy_worker_becomes_unusable_and_usable_again(self):
         cluster = await self.begin(
             workers=1, behave=lambda t, a: Work(timedelta(seconds=4))
         )
@@ -345,18 +361,18 @@
         self.end()
 
     @virtual
-    async def test_progress_that_cannot_be_read_starts_nothing_twice(self):
+    async def test_undecodable_progress_starts_no_task_twice(self):
         cluster = await self.begin(workers=2)
         await cluster.submit("j1", make_job())
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=5)
-        beyond = ProgressRecord("", True, (StepProgress(0, 9, (4,)),))
-        for value in (b"\xc1", encode_record(beyond)):
+        out_of_range = ProgressRecord("", True, (StepProgress(0, 9, (4,)),))
+        for value in (b"\xc1", encode_record(out_of_range)):
             cluster.store.set(PROGRESS_PREFIX + "j1", value)
             cluster.store.set(JOBS_PREFIX + "odd", b"\xc1")
             old = cluster.find_owner()
             old.kill()
             await cluster.wait(
-                lambda gone=old: cluster.find_owner() not in (None, gone)
+                lambda killed=old: cluster.find_owner() not in (None, killed)
             )
             name = cluster.find_owner().name
             await cluster.submit(f"k{name}", make_job(), name)
@@ -365,12 +381,12 @@
         self.end()
 
     @virtual
-    async def test_a_job_of_an_epoch_that_there_is_not_deposes_nobody(self):
+    async def test_job_with_unknown_epoch_deposes_no_owner(self):
         cluster = await self.begin(workers=2)
         await cluster.run_first_job()
         owner = cluster.find_owner()
-        odd = JobRecord("odd", make_queue(), make_job(), 10**9, 0.0)
-        cluster.store.set(JOBS_PREFIX + "odd", encode_record(odd))
+        invalid = JobRecord("odd", make_queue(), make_job(), 10**9, 0.0)
+        cluster.store.set(JOBS_PREFIX + "odd", encode_record(invalid))
         await asyncio.sleep(1)
         self.assertIs(cluster.find_owner(), owner)
         await cluster.submit("j1", make_job())
@@ -379,7 +395,7 @@
         self.end()
 
     @virtual
-    async def test_a_roster_that_cannot_be_read_makes_older_jobs_wait(self):
+    async def test_undecodable_roster_delays_older_jobs(self):
         cluster = await self.begin(workers=2)
         await cluster.run_first_job()
         cluster.store.set(ROSTER_KEY, b"\xc1")
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Log lines: their contract, their bounds, and the life of a job told from them."""
+"""Log lines: their fields, their limits, and the command that explains a job."""
 
 import asyncio
 import json
@@ -10,16 +10,16 @@
 from typer.testing import CliRunner
 
 from damaskdeck.cli import app as command_line
-from damaskdeck.cli import logs as explaining
+from damaskdeck.cli import logs as log_commands
 from damaskdeck.lines import MAX_LINES_PER_IDENTIFIER, LineHandler, LineWriter
 from damaskdeck.logs import get_logger
 from damaskdeck.protocol.queues import QueueJobState, StepSpec
 from tests.poolcluster import SECOND, SMALL, PoolCluster, make_job
 from tests.virtual import virtual
 
-# What every line has, and what a decision that touches a job has besides.
-COMMON = {"time", "level", "instance", "part", "message"}
-DECISIONS = {
+# Fields of every line, and further fields of lines about decisions on a job.
+COMMON_FIELDS = {"time", "level", "instance", "part", "message"}
+DECISION_FIELDS = {
     "Taken.": {"id", "queue"},
     "Ordered.": {"id", "step", "attempt", "tasks", "workers", "age", "epoch"},
     "A run has ended.": {"id", "task", "attempt", "worker", "outcome"},
@@ -29,23 +29,23 @@
 
 
 class LineCase(unittest.TestCase):
-    """A handler that writes into a pipe."""
+    """Base of tests with a handler that writes into a pipe."""
 
     def setUp(self) -> None:
-        self.reading, writing = os.pipe()
-        self.writer = LineWriter(writing, max_queue_bytes=100_000)
+        self.read_end, write_end = os.pipe()
+        self.writer = LineWriter(write_end, max_queue_bytes=100_000)
         self.handler = LineHandler(self.writer, "entry-1", "info")
-        self.addCleanup(os.close, writing)
-        self.addCleanup(os.close, self.reading)
+        self.addCleanup(os.close, write_end)
+        self.addCleanup(os.close, self.read_end)
 
-    def read(self) -> list[dict]:
-        """Return the lines that were written."""
+    def read_lines(self) -> list[dict]:
+        """Return the lines written so far, decoded."""
         self.handler.flush()
-        os.set_blocking(self.reading, False)
+        os.set_blocking(self.read_end, False)
         text = b""
         while True:
             try:
-                part = os.read(self.reading, 1 << 20)
+                part = os.read(self.read_end, 1 << 20)
             except BlockingIOError:
                 break
             if not part:
@@ -55,11 +55,11 @@
 
 
 class TestContract(LineCase):
-    """The fields that whoever reads the logs may count on."""
+    """The fields that readers of the logs may rely on."""
 
-    def test_a_job_leaves_its_decisions(self):
+    def test_decisions_on_a_job_are_logged(self):
         @virtual
-        async def serve(case):
+        async def run_job(case):
             cluster = PoolCluster()
             await cluster.start()
             await cluster.submit("j1", make_job(StepSpec(2, SMALL, SECOND)))
@@ -67,12 +67,12 @@
             cluster.close()
 
         with self.handler.applicationbound():
-            serve(self)
-        lines = self.read()
+            run_job(self)
+        lines = self.read_lines()
         for line in lines:
-            self.assertLessEqual(COMMON, line.keys(), line)
+            self.assertLessEqual(COMMON_FIELDS, line.keys(), line)
             self.assertEqual(line["instance"], "entry-1")
-        for message, fields in DECISIONS.items():
+        for message, fields in DECISION_FIELDS.items():
             found = [line for line in lines if line["message"] == message]
             self.assertTrue(found, message)
             for line in found:
@@ -80,9 +80,9 @@
 
 
 class TestBounds(LineCase):
-    """Floods of lines."""
+    """Limits on the number and size of lines."""
 
-    def test_a_reader_that_stands_still_holds_up_nothing(self):
+    def test_stalled_reader_does_not_block_the_loop(self):
         async def flood() -> int:
             log = get_logger("flood")
             ticks = 0
@@ -97,49 +97,51 @@
             self.assertEqual(asyncio.run(flood()), 30)
         self.assertGreater(self.writer.dropped, 0)
 
-    def test_no_write_is_longer_than_a_pipe_takes_in_one_piece(self):
+    def test_no_write_exceeds_pipe_buf(self):
         writes = []
         write = os.write
 
-        def note(descriptor: int, chunk: bytes) -> int:
+        def record_write(descriptor: int, chunk: bytes) -> int:
             writes.append(len(chunk))
             return write(descriptor, chunk)
 
-        with unittest.mock.patch("os.write", note):
+        with unittest.mock.patch("os.write", record_write):
             with self.handler.applicationbound():
                 for number in range(60):
                     get_logger("part").info(
                         "A sentence.", id=str(number), text="x" * 90
                     )
             self.handler.flush()
-        self.assertEqual(len(self.read()), 60)
+        self.assertEqual(len(self.read_lines()), 60)
         self.assertLessEqual(max(writes), select.PIPE_BUF)
 
-    def test_one_job_does_not_drown_another(self):
+    def test_flood_about_one_job_does_not_displace_others(self):
         log = get_logger("part")
         with self.handler.applicationbound():
             for _ in range(500):
                 log.info("Again.", id="noisy")
             log.info("Once.", id="quiet")
-        lines = self.read()
+        lines = self.read_lines()
         noisy = [line for line in lines if line.get("id") == "noisy"]
         self.assertLessEqual(len(noisy), 2 * MAX_LINES_PER_IDENTIFIER)
         self.assertEqual(len([x for x in lines if x.get("id") == "quiet"]), 1)
 
-    def test_what_was_left_out_is_told(self):
+    def test_omitted_lines_are_reported(self):
         log = get_logger("part")
         with self.handler.applicationbound():
             for _ in range(500):
                 log.info("Again.", id="noisy")
             self.handler._window -= 1
             log.info("Later.", id="quiet")
-        told = [x for x in self.read() if x["message"] == explaining.LEFT_OUT]
-        self.assertTrue(told)
-        self.assertIn("part: Again.", told[-1]["left_out"])
+        reports = [
+            x for x in self.read_lines() if x["message"] == log_commands.LEFT_OUT
+        ]
+        self.assertTrue(reports)
+        self.assertIn("part: Again.", reports[-1]["left_out"])
 
 
 def write_line(second: int, message: str, **fields) -> str:
-    """Return a line as a daemon writes it, behind what a collector puts first."""
+    """Return a daemon's log line behind the prefix that a log collector adds."""
     line = {
         "time": f"2026-01-01T00:00:{second:02}",
         "level": "info",
@@ -155,15 +157,15 @@
     """``damaskdeck explain``."""
 
     def explain(self, *lines: str) -> tuple[int, str]:
-        """Run the command on lines of logs."""
+        """Run the command on log lines; return its exit code and its output."""
         # Importing the module registers its command.
-        self.assertTrue(explaining.explain)
+        self.assertTrue(log_commands.explain)
         result = CliRunner().invoke(
             command_line, ["explain", "j1"], input="\n".join(lines)
         )
         return result.exit_code, result.output
 
-    def test_a_whole_life_is_told_in_order(self):
+    def test_complete_job_is_explained_in_order(self):
         run = {"id": "j1", "attempt": 1}
         code, text = self.explain(
             write_line(4, "A job has ended.", id="j1", state="completed"),
@@ -179,10 +181,10 @@
         self.assertNotIn("gap:", text)
         self.assertNotIn("j2", text)
 
-    def test_what_is_missing_is_told_as_a_gap(self):
+    def test_missing_lines_are_reported_as_gaps(self):
         code, text = self.explain(
             write_line(2, "Ordered.", id="j1", step=0, tasks=[0, 1], attempt=3),
-            write_line(3, explaining.LEFT_OUT, dropped=4, left_out={}),
+            write_line(3, log_commands.LEFT_OUT, dropped=4, left_out={}),
             write_line(4, "A run has ended.", id="j1", task=[0, 0, 0], attempt=3),
         )
         self.assertEqual(code, 0)
@@ -191,6 +193,6 @@
         self.assertIn("gap: its end", text)
         self.assertIn("gap: a daemon left lines out", text)
 
-    def test_a_job_that_no_line_names_is_said_so(self):
+    def test_unknown_job_is_an_error(self):
         code, _ = self.explain(write_line(1, "Taken.", id="j2"))
         self.assertNotEqual(code, 0)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics as they are read."""
+"""Exported metrics."""
 
 import unittest
 
@@ -9,19 +9,20 @@
 
 
 class TestPeerBatches(unittest.TestCase):
-    """Messages and bytes between daemons, counted without the library."""
+    """Messages and bytes between daemons, which are counted in plain integers."""
 
     def read(self, name: str, direction: str) -> float:
-        wanted = f"damaskdeck_{name}_total"
+        """Return the sum of a counter's samples for a direction."""
+        metric_name = f"damaskdeck_{name}_total"
         samples = (sample for family in REGISTRY.collect() for sample in family.samples)
-        found = [
+        values = [
             sample.value
             for sample in samples
-            if sample.name == wanted and sample.labels["direction"] == direction
+            if sample.name == metric_name and sample.labels["direction"] == direction
         ]
-        return sum(found)
+        return sum(values)
 
-    def test_each_direction_counts_messages_and_bytes(self):
+    def test_messages_and_bytes_are_counted_per_direction(self):
         install_exporter()
         cases = (("out", 3, 500), ("in", 1, 80), ("in", 0, 1))
         directions = [
@@ -30,9 +31,9 @@
         before = {key: self.read(*key) for key in directions}
         for case in cases:
             count_peer_batch(*case)
-        grown = {key: self.read(*key) - before[key] for key in directions}
+        increases = {key: self.read(*key) - before[key] for key in directions}
         self.assertEqual(
-            grown,
+            increases,
             {
                 ("peer_messages", "in"): 1,
                 ("peer_messages", "out"): 3,
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -1,4 +1,4 @@
-"""The public surface of the package and what importing it costs."""
+"""The public API of the package and the modules that it imports."""
 
 import subprocess
 import sys
@@ -18,16 +18,16 @@
 class TestPackage(unittest.TestCase):
     """Names exported by ``damaskdeck``."""
 
-    def test_every_exported_name_is_there(self):
+    def test_every_exported_name_exists(self):
         for name in damaskdeck.__all__:
             self.assertIn(name, dir(damaskdeck))
             self.assertTrue(hasattr(damaskdeck, name), name)
 
-    def test_an_unknown_name_is_an_attribute_error(self):
+    def test_unknown_name_raises_attribute_error(self):
         with self.assertRaisesRegex(AttributeError, "no_such_name"):
             damaskdeck.no_such_name  # noqa: B018
 
-    def test_the_command_line_loads_no_library_of_the_daemon(self):
+    def test_command_line_does_not_load_daemon_libraries(self):
         unwanted = ("damaskdeck.daemon", *DAEMON_LIBRARIES)
         command = [sys.executable, "-c", LIST_LOADED, *unwanted]
         done = subprocess.run(command, capture_output=True, check=True, timeout=60)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform, on a stand-in of its wire."""
+"""The adapter to the users' platform, tested against a stand-in of its services."""
 
 import asyncio
 import json
@@ -75,7 +75,7 @@
 
 
 class WireCase(unittest.IsolatedAsyncioTestCase):
-    """The adapter's parts on the stand-in."""
+    """Base of tests that use the adapter with a stand-in of the platform."""
 
     async def asyncSetUp(self) -> None:
         self.clock = SystemClock()
@@ -90,12 +90,12 @@
         self.workers = PlatformWorkers(self.client, LoopDelay(), 1024)
 
     def behave(self, task: TaskName, attempt: int) -> Work:
-        """Let tasks last."""
+        """Let tasks run for minutes."""
         return Work(timedelta(minutes=5))
 
 
-class _StalledAnswer:
-    """An answer that stops in the middle and is given up."""
+class _StalledResponse:
+    """A response whose body stops arriving until the read times out."""
 
     url = SimpleNamespace(path="/kv-key")
     status = 200
@@ -103,16 +103,16 @@
     content = SimpleNamespace(total_bytes=70)
 
     async def read(self) -> bytes:
-        """Meet the end of the time."""
+        """Raise the timeout."""
         raise TimeoutError
 
 
 class TestClient(unittest.IsolatedAsyncioTestCase):
-    """The one client for all that the platform offers."""
+    """The HTTP client for all services of the platform."""
 
     async def test_timeout_while_reading_a_body_is_logged(self):
         with TestHandler() as handler, self.assertRaises(TimeoutError):
-            await _read_body(_StalledAnswer())
+            await _read_body(_StalledResponse())
         (record,) = handler.records
         self.assertEqual(record.message, "Timed out while reading a response body.")
         self.assertEqual(
@@ -122,37 +122,37 @@
 
 
 class TestStore(WireCase):
-    """The metadata store as a transactional store."""
+    """The adapter to the metadata store."""
 
-    async def test_a_commit_changes_all_or_nothing(self):
+    async def test_commit_is_atomic(self):
         writes = (Write("a/1", b"\x00\xff"), Write("a/2", b"two"))
         done = await self.store.commit(Transaction((("a/1", 0),), writes))
         self.assertIsInstance(done, Written)
         found = await self.store.read("a/1")
         self.assertEqual(found.entry.value, b"\x00\xff")
         self.assertEqual(found.entry.revision, done.revision)
-        again = await self.store.commit(Transaction((("a/1", 0),), writes))
-        self.assertIsInstance(again, Mismatch)
-        self.assertEqual(again.find("a/1").revision, done.revision)
-        self.assertIsNone(again.find("a/9"))
+        repeated = await self.store.commit(Transaction((("a/1", 0),), writes))
+        self.assertIsInstance(repeated, Mismatch)
+        self.assertEqual(repeated.find("a/1").revision, done.revision)
+        self.assertIsNone(repeated.find("a/9"))
 
-    async def test_a_missing_key_is_told_from_a_refusal(self):
+    async def test_missing_key_differs_from_rejection(self):
         self.assertIsInstance(await self.store.read("none"), Missing)
         self.platform.store.faults.plan("/kv-key", FaultKind.REFUSE)
         self.assertIsInstance(await self.store.read("none"), Rejected)
 
-    async def test_a_lost_answer_is_no_refusal(self):
+    async def test_lost_response_is_not_a_rejection(self):
         self.platform.store.faults.plan("/kv-txn", FaultKind.LOSE_ANSWER)
         done = await self.store.commit(Transaction(writes=(Write("a", b"1"),)))
         self.assertIsInstance(done, Lost)
         self.assertIsInstance(await self.store.read("a"), Found)
 
-    async def test_a_store_that_nobody_listens_for_was_not_called(self):
+    async def test_unreachable_store_is_a_rejection(self):
         self.platform.store.listener.close()
         done = await self.store.commit(Transaction(writes=(Write("a", b"1"),)))
         self.assertIsInstance(done, Rejected)
 
-    async def test_a_page_is_waited_for_as_long_as_it_comes(self):
+    async def test_slow_page_does_not_time_out(self):
         timeouts = []
 
         async def call(*args, **options):
@@ -161,28 +161,28 @@
 
         self.client.call = call
         await self.store.read_page("a/", "")
-        # A megabyte at 2 Mbit/s takes 4 s; a store that falls silent is not waited for.
+        # A megabyte at 2 Mbit/s takes 4 s, but a store that sends nothing times out.
         (whole, silence), *_ = timeouts
         self.assertGreater(whole, 8 * SECOND)
         self.assertLess(silence, 2 * SECOND)
 
-    async def test_a_value_is_read_only_when_it_has_changed(self):
+    async def test_read_changed_skips_an_unchanged_value(self):
         self.assertEqual(await self.store.read_changed("v", 7), Missing(0))
         self.platform.store.store.set("v", b"1")
         found = await self.store.read_changed("v", 0)
         self.assertEqual(found.entry.value, b"1")
         revision = self.platform.store.store.revision
-        again = await self.store.read_changed("v", found.entry.revision)
-        self.assertEqual(again, Unchanged(revision))
+        repeated = await self.store.read_changed("v", found.entry.revision)
+        self.assertEqual(repeated, Unchanged(revision))
         self.assertEqual(self.platform.store.store.revision, revision)
 
-    async def test_a_call_that_no_answer_begins_to_is_given_up_in_time(self):
+    async def test_first_byte_timeout_ends_a_call(self):
         self.platform.store.faults.pause()
         lost = await self.store.read_changed("v", 7, SECOND / 10)
         self.assertEqual(lost, Lost("timeout"))
         self.platform.store.faults.resume()
 
-    async def test_an_answer_that_is_too_long_is_left_unread(self):
+    async def test_oversized_reply_is_not_read(self):
         store = self.platform.store.store
         store.set("w/wide", b"x" * 9000)
         watched = await self.store.watch("w/", store.revision - 1, SECOND, 9000)
@@ -193,7 +193,7 @@
         self.assertIsInstance(await self.store.read("w/other"), Missing)
         self.assertIsInstance(await self.store.commit(transaction), Mismatch)
 
-    async def test_pages_follow_each_other(self):
+    async def test_next_page_starts_after_the_last_key(self):
         for number in range(501):
             self.platform.store.store.set(f"p/{number:04}", b"x")
         first = await self.store.read_page("p/", "")
@@ -202,7 +202,7 @@
         second = await self.store.read_page("p/", first.entries[-1].key)
         self.assertEqual([e.key for e in second.entries], ["p/0500"])
 
-    async def test_a_watch_tells_writes_and_deletions(self):
+    async def test_watch_returns_writes_and_deletions(self):
         base = self.platform.store.store.revision
         self.platform.store.store.set("w/a", b"1")
         self.platform.store.store.set("w/a", None)
@@ -214,7 +214,7 @@
             await self.store.watch("w/", base, SECOND), RevisionTooOld
         )
 
-    async def test_leases_carry_keys_and_lapse(self):
+    async def test_writes_are_bound_to_leases(self):
         lease = await self.store.grant_lease(SECOND)
         self.assertIsInstance(lease, Granted)
         write = Transaction(writes=(Write("l", b"1", lease.lease),))
@@ -233,20 +233,22 @@
         deadline = self.clock.monotonic() + window
         return TaskStart(TASK, attempt, "payload", deadline, "", "ticket")
 
-    async def test_a_start_is_listed_and_a_stop_ends_it(self):
+    async def test_started_task_is_listed_until_stopped(self):
         info = self.worker.info
         started = await self.workers.start(info, 3, self.order())
         self.assertIsInstance(started, Done)
-        held = await self.workers.poll(info, 3, 0, None, timedelta())
-        self.assertIsInstance(held, WorkerTasks)
-        self.assertEqual([(r.task, r.attempt) for r in held.running], [(TASK, 1)])
+        inventory = await self.workers.poll(info, 3, 0, None, timedelta())
+        self.assertIsInstance(inventory, WorkerTasks)
+        self.assertEqual([(r.task, r.attempt) for r in inventory.running], [(TASK, 1)])
         self.assertIsInstance(await self.workers.stop(info, 3, TASK, 1), Done)
-        held = await self.workers.poll(info, 3, 0, None, timedelta())
-        self.assertEqual([e.kind for e in held.ended], [EndKind.STOPPED])
-        held = await self.workers.poll(info, 3, held.ended[0].number, None, timedelta())
-        self.assertEqual(held.ended, ())
+        inventory = await self.workers.poll(info, 3, 0, None, timedelta())
+        self.assertEqual([e.kind for e in inventory.ended], [EndKind.STOPPED])
+        inventory = await self.workers.poll(
+            info, 3, inventory.ended[0].number, None, timedelta()
+        )
+        self.assertEqual(inventory.ended, ())
 
-    async def test_refusals_are_told_by_their_reason(self):
+    async def test_refusal_reasons_are_mapped_to_codes(self):
         info = self.worker.info
         late = self.order(window=-SECOND)
         refused = await self.workers.start(info, 3, late)
@@ -255,26 +257,26 @@
         stale = await self.workers.start(info, 2, self.order(attempt=3))
         self.assertEqual(stale.code, RefusalCode.STALE_EPOCH)
         await self.workers.stop(info, 3, TASK, 2)
-        again = await self.workers.start(info, 3, self.order(attempt=2))
-        self.assertEqual(again.code, RefusalCode.STALE_ATTEMPT)
+        repeated = await self.workers.start(info, 3, self.order(attempt=2))
+        self.assertEqual(repeated.code, RefusalCode.STALE_ATTEMPT)
 
-    async def test_a_worker_that_is_busy_has_done_nothing(self):
+    async def test_busy_worker_declines_an_order(self):
         self.platform.workers[0].faults.plan("/run-start", FaultKind.REFUSE)
         refused = await self.workers.start(self.worker.info, 3, self.order())
         self.assertEqual(refused, Declined(RefusalCode.UNHEALTHY))
 
-    async def test_another_life_at_the_same_address_is_told(self):
+    async def test_other_incarnation_at_the_same_address_is_reported(self):
         other = self.worker.info._replace(identifier="i-before")
         done = await self.workers.start(other, 3, self.order())
         self.assertIsInstance(done, Replaced)
 
-    async def test_a_lost_answer_may_have_started_the_task(self):
+    async def test_order_with_lost_response_may_start_the_task(self):
         self.platform.workers[0].faults.plan("/run-start", FaultKind.LOSE_ANSWER)
         done = await self.workers.start(self.worker.info, 3, self.order())
         self.assertIsInstance(done, Lost)
         self.assertIn(TASK, self.worker.running)
 
-    def test_names_of_tasks_are_read_as_they_are_written(self):
+    def test_task_name_round_trip(self):
         self.assertEqual(format_task(TASK), "00000000000000aa.0.1.7")
         self.assertEqual(parse_task(format_task(TASK)), TASK)
 
@@ -282,7 +284,7 @@
 class TestRegistry(WireCase):
     """Registrations, declarations and advice."""
 
-    async def test_workers_are_listed_and_followed(self):
+    async def test_workers_are_listed_and_watched(self):
         registry = PlatformRegistry(self.store)
         listed = await registry.list_workers()
         self.assertIsInstance(listed, RegisteredWorkers)
@@ -294,7 +296,7 @@
         self.assertIsInstance(followed, RegistryChanges)
         self.assertEqual([c.worker for c in followed.changes], [None])
 
-    async def test_a_registration_that_makes_no_sense_is_left_out(self):
+    async def test_malformed_registration_is_ignored(self):
         self.platform.store.store.set("servers/i-bad", b"{")
         listed = await PlatformRegistry(self.store).list_workers()
         self.assertEqual([w.identifier for w in listed.workers], ["i-0"])
@@ -315,7 +317,7 @@
         followed = await queues.follow_queues(found.revision, SECOND)
         self.assertEqual(followed.table.version, 9)
 
-    async def test_an_upkeep_wave_is_told_as_not_served(self):
+    async def test_upkeep_wave_is_logged_as_unsupported(self):
         queues = PlatformQueues(self.store)
         self.platform.declare(7)
         found = await queues.read_queues()
@@ -327,18 +329,18 @@
         self.assertEqual(record.extra["code"], "unsupported")
         self.assertEqual(record.extra["key"], "op/wave/3")
 
-    async def test_the_advisor_consents(self):
+    async def test_advisor_returns_consents(self):
         advisor = PlatformAdvisor(self.client, self.platform.advisor.listener.address)
         answer = await advisor.ask("j.0.0", ("i-0",), SECOND)
         self.assertEqual(answer, Advice((Consent("i-0", "t-i-0"),)))
         self.platform.advisor.faults.plan("/advise", FaultKind.REFUSE)
         self.assertIsInstance(await advisor.ask("j.0.0", ("i-0",), SECOND), Rejected)
-        nobody = PlatformAdvisor(self.client, "")
-        self.assertIsInstance(await nobody.ask("j.0.0", ("i-0",), SECOND), Rejected)
+        no_advisor = PlatformAdvisor(self.client, "")
+        self.assertIsInstance(await no_advisor.ask("j.0.0", ("i-0",), SECOND), Rejected)
 
 
 class TestCallersJobs(unittest.TestCase):
-    """Jobs as callers write them."""
+    """Decoding of callers' jobs."""
 
     def read(self, **fields: Any) -> StepSpec:
         """Decode a job of one step."""
@@ -364,7 +366,7 @@
             image="i",
             may_miss=1,
         )
-        wanted = StepSpec(
+        expected = StepSpec(
             3,
             Size(500, 64, 1),
             timedelta(milliseconds=900),
@@ -379,14 +381,14 @@
             image="i",
             max_missing=1,
         )
-        self.assertEqual(step, wanted)
+        self.assertEqual(step, expected)
 
-    def test_what_is_not_served_is_refused_by_its_name(self):
+    def test_unsupported_field_is_named_in_the_error(self):
         for field in ({"target_ms": 40}, {"fills": True}):
             with self.assertRaisesRegex(MessageError, "unsupported: " + min(field)):
                 self.read(**field)
 
-    def test_what_makes_no_sense_is_refused(self):
+    def test_malformed_job_is_rejected(self):
         for step in ({"task_count": 0}, {"after": [0]}, {"cpu": "much"}):
             with self.assertRaises(MessageError):
                 self.read(**step)
@@ -398,20 +400,20 @@
 class TestSettings(unittest.TestCase):
     """The platform's settings file."""
 
-    def test_an_installation_that_cannot_be_served_is_refused(self):
+    def test_unsupported_installation_is_rejected(self):
         with self.assertRaises(SettingsError) as caught:
             parse_node_settings("commands=heartbeat\nplatform.form=log")
         codes = {fault.path: fault.code for fault in caught.exception.faults}
         self.assertEqual(codes["commands"], "unsupported")
         self.assertEqual(codes["platform.form"], "unsupported")
 
-    def test_duties_that_are_not_served_are_named(self):
+    def test_unsupported_duties_are_listed(self):
         reader = Path(__file__).with_name("node.conf").read_text()
         settings = parse_node_settings(reader + "cloud_api.duties=upkeep,move\n")
         self.assertEqual(settings.unserved_duties, ("upkeep", "move"))
         self.assertEqual(parse_node_settings(reader).unserved_duties, ())
 
-    def test_what_is_missing_is_named_all_at_once(self):
+    def test_all_faults_are_reported_together(self):
         with self.assertRaises(SettingsError) as caught:
             parse_node_settings("node_name=a\nbounds.grace_s=soon")
         paths = {fault.path for fault in caught.exception.faults}
@@ -421,7 +423,7 @@
 
 
 class TestProcesses(unittest.IsolatedAsyncioTestCase):
-    """Three daemons as processes: submit, ask, cancel, kill, stop."""
+    """Three daemons as processes: submit, query, cancel, kill and stop."""
 
     async def asyncSetUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -435,35 +437,37 @@
             for n in range(3)
         ]
         await asyncio.gather(*(node.start() for node in self.nodes))
-        self.addAsyncCleanup(self.end)
+        self.addAsyncCleanup(self.kill_nodes)
         self.session = aiohttp.ClientSession()
         self.addAsyncCleanup(self.session.close)
         for node in self.nodes:
             await self.wait_ready(node)
 
     def behave(self, task: TaskName, attempt: int) -> Work:
-        """Let the jobs whose identifiers begin with f last."""
+        """Let tasks of jobs whose identifiers begin with f run for minutes."""
         is_long = task.job.startswith("f")
         return Work(timedelta(minutes=5) if is_long else timedelta(milliseconds=300))
 
-    async def end(self) -> None:
-        """End what still runs."""
+    async def kill_nodes(self) -> None:
+        """Kill the daemons that are still running."""
         for node in self.nodes:
             await node.kill()
 
     async def wait_ready(self, node: NodeProcess) -> None:
-        """Wait until the balancer may use a daemon."""
+        """Wait until a daemon is ready for the balancer."""
 
-        async def ask() -> int:
+        async def get_status() -> int:
             async with self.session.get(f"http://{node.ready_address}/ready") as reply:
                 return reply.status
 
-        self.assertEqual(await wait_until(ask, lambda status: status == 200), 200)
+        self.assertEqual(
+            await wait_until(get_status, lambda status: status == 200), 200
+        )
 
     async def call(
         self, node: NodeProcess, method: str, job: str, body: Any = None
     ) -> tuple[int, Any]:
-        """Call a daemon as a client does."""
+        """Call a daemon's API as a client does; return status and decoded body."""
         url = f"http://{node.address}/plans/{job}"
         data = None if body is None else json.dumps(body)
         async with self.session.request(method, url, data=data, headers=HOST) as reply:
@@ -471,28 +475,28 @@
             return reply.status, json.loads(text) if text else None
 
     async def submit(self, node: NodeProcess, job: str, tasks: int = 2) -> None:
-        """Hand a job in."""
+        """Submit a job with one step."""
         step = {"task_count": tasks, "cpu": 500, "mem_mb": 100, "estimated_ms": 300}
         status, _ = await self.call(node, "POST", job, {"spec": "s", "steps": [step]})
         self.assertEqual(status, 200)
 
     async def wait_state(self, node: NodeProcess, job: str, state: str) -> None:
-        """Wait until a daemon tells that state."""
-        told = await wait_until(
+        """Wait until a daemon reports the state."""
+        response = await wait_until(
             lambda: self.call(node, "GET", job),
             lambda answer: answer[1] is not None and answer[1].get("state") == state,
         )
-        self.assertEqual(told, (200, {"state": state}))
+        self.assertEqual(response, (200, {"state": state}))
 
     def count_starts(self, job: str) -> int:
-        """Count what the workers saw."""
+        """Count the starts that the workers received for a job."""
         return sum(
             task.job == job
             for worker in self.platform.workers
             for _, task, _, _ in worker.worker.starts
         )
 
-    async def test_jobs_are_served_through_kills_cancels_and_stops(self):
+    async def test_jobs_survive_kills_cancellations_and_stops(self):
         first, second, third = self.nodes
         await self.submit(first, "000000000000000a")
         await self.submit(second, "000000000000000a")
@@ -501,8 +505,8 @@
         self.assertEqual(self.count_starts("000000000000000a"), 2)
         status, _ = await self.call(third, "GET", "00000000000000ff")
         self.assertEqual(status, 410)
-        status, told = await self.call(third, "GET", "")
-        self.assertEqual((status, told), (200, {"pending": 0}))
+        status, response = await self.call(third, "GET", "")
+        self.assertEqual((status, response), (200, {"pending": 0}))
         status, _ = await self.call(third, "POST", "000000000000000b", {"steps": 1})
         self.assertEqual(status, 400)
 
@@ -510,31 +514,33 @@
         await self.wait_state(third, "f00000000000000a", "running")
         owner = next(n for n in self.nodes if self.is_owner(n))
         await owner.kill()
-        left = [node for node in self.nodes if node is not owner]
-        await self.submit(left[0], "000000000000000c")
-        await self.wait_state(left[1], "000000000000000c", "done")
+        remaining = [node for node in self.nodes if node is not owner]
+        await self.submit(remaining[0], "000000000000000c")
+        await self.wait_state(remaining[1], "000000000000000c", "done")
         self.assertEqual(self.count_starts("f00000000000000a"), 2)
 
-        async with self.session.get(f"http://{left[0].metrics_address}/metrics") as r:
+        async with self.session.get(
+            f"http://{remaining[0].metrics_address}/metrics"
+        ) as r:
             self.assertIn("damaskdeck_latency_seconds_bucket", await r.text())
-        left[0].add_settings("advice=127.0.0.1:1")
-        left[0].process.send_signal(signal.SIGHUP)
+        remaining[0].add_settings("advice=127.0.0.1:1")
+        remaining[0].process.send_signal(signal.SIGHUP)
         await wait_until(
-            lambda: asyncio.sleep(0, left[0].find_lines("Settings have changed.")),
+            lambda: asyncio.sleep(0, remaining[0].find_lines("Settings have changed.")),
             bool,
         )
-        changed = left[0].find_lines("Settings have changed.")
+        changed = remaining[0].find_lines("Settings have changed.")
         self.assertEqual(changed[0]["changed"], ["advisor_address"])
 
-        status, _ = await self.call(left[0], "DELETE", "f00000000000000a")
+        status, _ = await self.call(remaining[0], "DELETE", "f00000000000000a")
         self.assertEqual(status, 200)
-        await self.wait_state(left[1], "f00000000000000a", "cancelled")
-        self.assertEqual(await left[0].stop(), 0)
-        await self.submit(left[1], "000000000000000d")
-        await self.wait_state(left[1], "000000000000000d", "done")
+        await self.wait_state(remaining[1], "f00000000000000a", "cancelled")
+        self.assertEqual(await remaining[0].stop(), 0)
+        await self.submit(remaining[1], "000000000000000d")
+        await self.wait_state(remaining[1], "000000000000000d", "done")
         self.assertEqual(self.count_starts("000000000000000d"), 2)
 
     def is_owner(self, node: NodeProcess) -> bool:
-        """Tell whether a daemon's log says that it owns the pools."""
-        said = [line.get("message") for line in node.lines]
-        return "Owner of the pools." in said and "Deposed." not in said
+        """Return whether a daemon owns the pools according to its log."""
+        messages = [line.get("message") for line in node.lines]
+        return "Owner of the pools." in messages and "Deposed." not in messages
--- a/tests/test_platform_keys.py
+++ b/tests/test_platform_keys.py
@@ -1,4 +1,4 @@
-"""Callers' keys on a whole daemon process, over the platform's wire."""
+"""API keys of client accounts, tested with a daemon process over HTTP."""
 
 import json
 import tempfile
@@ -14,7 +14,7 @@
 from standins.wire import WirePlatform
 
 JOB = {"spec": "s", "steps": [{"task_count": 1, "cpu": 500, "estimated_ms": 200}]}
-BOUNDS = (
+NODE_SETTINGS = (
     "contracts=base,tenants\n"
     "bounds.strict_revocation=true\n"
     "bounds.revoke_ms=5000\n"
@@ -23,7 +23,7 @@
 
 
 class TestKeys(unittest.IsolatedAsyncioTestCase):
-    """One daemon, and a caller that keeps one channel."""
+    """One daemon and a caller that reuses a single connection."""
 
     async def asyncSetUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -33,7 +33,7 @@
         self.addCleanup(self.platform.close)
         self.declare(5, "key-1", "key-2")
         self.node = NodeProcess("n0", "z0", self.platform, Path(folder.name))
-        self.node.add_settings(BOUNDS)
+        self.node.add_settings(NODE_SETTINGS)
         await self.node.start()
         self.addAsyncCleanup(self.node.kill)
         self.session = aiohttp.ClientSession(
@@ -42,14 +42,16 @@
         self.addAsyncCleanup(self.session.close)
         ready = f"http://{self.node.ready_address}/ready"
 
-        async def ask() -> int:
+        async def get_status() -> int:
             async with self.session.get(ready) as reply:
                 return reply.status
 
-        self.assertEqual(await wait_until(ask, lambda status: status == 200), 200)
+        self.assertEqual(
+            await wait_until(get_status, lambda status: status == 200), 200
+        )
 
     def declare(self, version: int, *keys: str) -> None:
-        """Put a document with two accounts in force."""
+        """Declare two accounts, the first of which has the given keys."""
         self.platform.declare(
             version,
             tenants=[
@@ -61,7 +63,7 @@
     async def call(
         self, method: str, job: str, key: str | None, body: Any = None
     ) -> tuple[int, Any]:
-        """Call the daemon as a client does."""
+        """Call the daemon's API as a client does; return status and decoded body."""
         headers = {"Host": "a.example"} | ({"X-Api-Key": key} if key else {})
         url = f"http://{self.node.address}/plans/{job}"
         data = None if body is None else json.dumps(body)
@@ -71,35 +73,39 @@
             text = await reply.text()
             return reply.status, json.loads(text) if text else None
 
-    async def test_keys_open_what_is_their_accounts(self):
+    async def test_keys_grant_access_to_their_own_account_only(self):
         job = "000000000000000a"
         for key, code in ((None, "missing_key"), ("key-7", "unknown_key")):
-            status, told = await self.call("POST", job, key, JOB)
-            self.assertEqual((status, told), (401, {"error": code}))
+            status, response = await self.call("POST", job, key, JOB)
+            self.assertEqual((status, response), (401, {"error": code}))
         status, _ = await self.call("POST", job, "key-1", JOB)
         self.assertEqual(status, 200)
         status, _ = await self.call("GET", job, "key-9")
         self.assertEqual(status, 410)
-        status, told = await self.call("POST", job, "key-9", JOB)
-        self.assertEqual((status, told["error"]), (409, "identifier_in_use"))
+        status, response = await self.call("POST", job, "key-9", JOB)
+        self.assertEqual((status, response["error"]), (409, "identifier_in_use"))
 
-        async def ask() -> tuple[int, Any]:
+        async def get_job() -> tuple[int, Any]:
             return await self.call("GET", job, "key-2")
 
-        told = await wait_until(ask, lambda answer: answer[1] == {"state": "done"})
-        self.assertEqual(told[0], 200)
+        response = await wait_until(
+            get_job, lambda answer: answer[1] == {"state": "done"}
+        )
+        self.assertEqual(response[0], 200)
 
-        # On the channel that is open, as soon as the document is in force.
+        # The change applies to the open connection once the document is in force.
         self.declare(7, "key-2")
 
-        async def ask_again() -> tuple[int, Any]:
+        async def get_with_revoked_key() -> tuple[int, Any]:
             return await self.call("GET", job, "key-1")
 
-        told = await wait_until(ask_again, lambda answer: answer[0] == 401)
-        self.assertEqual(told, (401, {"error": "unknown_key"}))
+        response = await wait_until(
+            get_with_revoked_key, lambda answer: answer[0] == 401
+        )
+        self.assertEqual(response, (401, {"error": "unknown_key"}))
         status, _ = await self.call("GET", job, "key-2")
         self.assertEqual(status, 200)
-        written = json.dumps(list(self.node.lines))
-        self.assertIn("kiosk", written)
+        logged = json.dumps(list(self.node.lines))
+        self.assertIn("kiosk", logged)
         for key in ("key-1", "key-2", "key-7", "key-9"):
-            self.assertNotIn(key, written)
+            self.assertNotIn(key, logged)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files."""
+"""Loading and validation of settings files."""
 
 import copy
 import tempfile
@@ -19,16 +19,16 @@
 
 
 class TestSettings(unittest.TestCase):
-    """Reading, checking and defaults."""
+    """Decoding, validation and defaults."""
 
-    def test_good_document_gets_defaults_and_standard_times(self):
+    def test_valid_document_gets_defaults_and_durations(self):
         document = {**DOCUMENT, "limits": {"grace": 4, "queue": 7}}
         settings = read_settings(document)
         self.assertEqual(settings.grace, timedelta(seconds=4))
         self.assertEqual(settings.queue_limit, 7)
         self.assertEqual(settings.api_port, 0)
 
-    def test_every_fault_is_named_with_path_and_code(self):
+    def test_all_faults_have_path_and_code(self):
         document = copy.deepcopy(DOCUMENT)
         document["listen"] = {"host": "entry.example", "prot": 1}
         del document["tokens"]["peer"]
@@ -46,7 +46,7 @@
             },
         )
 
-    def test_tokens_that_two_have_are_refused(self):
+    def test_tokens_shared_by_two_roles_are_rejected(self):
         document = copy.deepcopy(DOCUMENT)
         shared = document["tokens"]["operator"]
         document["tokens"]["teams"] = {"ash": "a-token-1", "oak": "a-token-1"}
@@ -57,7 +57,7 @@
         expected = ["tokens.peer", "tokens.teams.oak"]
         self.assertEqual(found, [(path, "shared_token") for path in expected])
 
-    def test_unreadable_and_broken_files_are_coded(self):
+    def test_unreadable_and_malformed_files_have_fault_codes(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "settings.yaml"
             self.assertEqual(self._read_code(str(path)), "unreadable")
