--- a/src/damaskdeck/cli/__main__.py
+++ b/src/damaskdeck/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Lets the command line be run as a module."""
+"""Entry point of ``python -m damaskdeck.cli``."""
 
 from damaskdeck.cli import main
 
--- a/src/damaskdeck/cli/app.py
+++ b/src/damaskdeck/cli/app.py
@@ -1,4 +1,4 @@
-"""The commands' common options and the entry point."""
+"""The options that all commands share, and the entry point."""
 
 from typing import Annotated
 
@@ -9,7 +9,7 @@
 
 app = typer.Typer(
     name="damaskdeck",
-    help="Declare workloads, submit jobs and watch what becomes true.",
+    help="Declare workloads, submit jobs and watch resources change.",
     no_args_is_help=True,
     pretty_exceptions_enable=False,
 )
@@ -28,7 +28,7 @@
         Style, typer.Option("--output", "-o", help="How results are printed.")
     ] = Style.TABLE,
 ) -> None:
-    """Set what all commands share."""
+    """Set the options that all commands share."""
     context.obj = CallOptions(server, token, output)
 
 
--- a/src/damaskdeck/cli/calls.py
+++ b/src/damaskdeck/cli/calls.py
@@ -1,4 +1,4 @@
-"""The command that sends a request to a service."""
+"""The command ``request``, which sends a request to a service."""
 
 import sys
 from pathlib import Path
@@ -16,14 +16,16 @@
 def request(
     context: typer.Context,
     service: Annotated[str, typer.Argument(help="Name of the service.")],
-    data: Annotated[str, typer.Option(help="The body.")] = "",
+    data: Annotated[str, typer.Option(help="Body of the request.")] = "",
     file: Annotated[Path | None, typer.Option("-f", "--file")] = None,
     key: Annotated[str, typer.Option(help="Idempotency key.")] = "",
     timeout: Annotated[float, typer.Option(help="Seconds to wait.")] = 10,
     urgency: Annotated[str, typer.Option()] = "normal",
-    idempotent: Annotated[bool, typer.Option(help="May be retried.")] = False,
+    idempotent: Annotated[
+        bool, typer.Option(help="The request may be repeated.")
+    ] = False,
 ) -> None:
-    """Send a request to a service and print its answer."""
+    """Send a request to a service and print the body of its answer."""
     body = file.read_bytes() if file else data.encode()
     headers = {
         "Request-Timeout": str(timeout),
--- a/src/damaskdeck/cli/declarations.py
+++ b/src/damaskdeck/cli/declarations.py
@@ -1,4 +1,4 @@
-"""Commands on resources: apply, get, describe, watch and delete."""
+"""The commands on resources: apply, get, describe, watch and delete."""
 
 import sys
 from pathlib import Path
@@ -11,7 +11,7 @@
 from damaskdeck.cli.app import app
 from damaskdeck.cli.descriptions import print_description
 from damaskdeck.cli.exits import Exit
-from damaskdeck.cli.output import Style, print_document, print_note
+from damaskdeck.cli.output import Style, print_document, print_message
 from damaskdeck.cli.session import (
     PLURALS,
     Output,
@@ -24,17 +24,21 @@
 from damaskdeck.documents import load_documents
 from damaskdeck.errors import DocumentError
 
-Kind = Annotated[str, typer.Argument(help="As in workload or workloads.")]
+Kind = Annotated[
+    str, typer.Argument(help="Kind of resource, for example workload or workloads.")
+]
 Name = Annotated[str, typer.Argument(help="Name of the resource.")]
-Revision = Annotated[int, typer.Option(help="Only when it is still this revision.")]
+Revision = Annotated[int, typer.Option(help="Only if this is still its revision.")]
 
 
 @app.command()
 def apply(
     context: typer.Context,
-    file: Annotated[Path, typer.Option("--file", "-f", help="YAML; - is stdin.")],
+    file: Annotated[
+        Path, typer.Option("--file", "-f", help="YAML file; - reads standard input.")
+    ],
 ) -> None:
-    """Declare the resources of a file, one or more documents."""
+    """Create or replace the resources in a file of one or more documents."""
     resources = load_resources(file)
 
     async def work(client: Client) -> None:
@@ -45,7 +49,13 @@
 
 
 async def apply_resource(client: Client, resource: dict[str, Any]) -> None:
-    """Create or replace one resource; a race with another operator is told."""
+    """Create or replace one resource, unless its spec is unchanged.
+
+    The write is conditional on the revision that was read, so that a concurrent write
+    of another operator is reported and not overwritten.
+
+    :raises typer.Exit: when the write was not done.
+    """
     name = resource["metadata"]["name"]
     path = get_path(resource["kind"], name)
     found = await client.call("GET", path)
@@ -53,31 +63,38 @@
     if current and current.get("spec") == resource.get("spec"):
         print(f"{resource['kind']} {name} unchanged")
         return
-    reply = await client.call("PUT", path, resource, headers=_compare(current))
+    reply = await client.call("PUT", path, resource, headers=_make_condition(current))
     check_reply(reply)
-    done = "created" if reply.status == 201 else "configured"
-    print(f"{resource['kind']} {name} {done}, revision {_read_revision(reply)}")
+    action = "created" if reply.status == 201 else "configured"
+    print(f"{resource['kind']} {name} {action}, revision {_read_revision(reply)}")
 
 
 def load_resources(file: Path) -> list[dict[str, Any]]:
-    """Read YAML documents; all must name a kind and a name."""
+    """Read YAML documents, each of which must have a kind and a name.
+
+    :param file: path of the file; ``-`` reads standard input.
+    :raises typer.Exit: with ``Exit.USAGE`` when a document can't be used.
+    """
     try:
-        is_input = str(file) == "-"
-        content = sys.stdin.buffer.read() if is_input else file.read_bytes()
+        is_stdin = str(file) == "-"
+        content = sys.stdin.buffer.read() if is_stdin else file.read_bytes()
         loaded = load_documents(content, str(file))
     except (OSError, DocumentError) as error:
-        print_note(f"unreadable: {error}")
+        print_message(f"unreadable: {error}")
         raise typer.Exit(Exit.USAGE) from error
-    documents = [each for each in loaded if each is not None]
-    faults = [n for n, each in enumerate(documents, 1) if not _is_named(each)]
+    documents = [doc for doc in loaded if doc is not None]
+    faults = [n for n, doc in enumerate(documents, 1) if not _has_kind_and_name(doc)]
     for number in faults:
-        print_note(f"document {number}: missing_field: kind and metadata.name")
-    for number, each in enumerate(documents, 1):
-        if number not in faults and each["kind"] not in PLURALS:
-            print_note(f"document {number}: bad_value: kind: {', '.join(PLURALS)}")
+        print_message(f"document {number}: missing_field: kind and metadata.name")
+    for number, document in enumerate(documents, 1):
+        if number not in faults and document["kind"] not in PLURALS:
+            print_message(f"document {number}: bad_value: kind: {', '.join(PLURALS)}")
             faults.append(number)
-        if not _is_json(each):
-            print_note(f"document {number}: bad_value: refers to itself or isn't JSON")
+        if not _is_encodable(document):
+            print_message(
+                f"document {number}: bad_value: can't be written as JSON, for example "
+                "because it refers to itself"
+            )
             faults.append(number)
     if faults or not documents:
         raise typer.Exit(Exit.USAGE)
@@ -88,11 +105,13 @@
 def get_resource(
     context: typer.Context,
     kind: Kind,
-    name: Annotated[str, typer.Argument(help="Only this one.")] = "",
+    name: Annotated[
+        str, typer.Argument(help="Read only the resource of this name.")
+    ] = "",
     selector: Annotated[str, typer.Option("-l", "--selector")] = "",
     output: Output = None,
 ) -> None:
-    """List resources of a kind, or read one."""
+    """List the resources of a kind, or read one of them."""
     path, style = get_path(kind, name), choose_style(context, output)
 
     async def work(client: Client) -> None:
@@ -109,7 +128,7 @@
 
 
 async def list_all(client: Client, path: str, selector: str = "") -> list[Any]:
-    """Read all pages of a list."""
+    """Read all pages of a list and return their items."""
     query, items = f"?selector={quote(selector)}" if selector else "?", []
     after = ""
     while True:
@@ -125,7 +144,7 @@
 
 @app.command()
 def describe(context: typer.Context, kind: Kind, name: Name) -> None:
-    """Explain one resource in plain words."""
+    """Describe one resource in sentences."""
 
     async def work(client: Client) -> None:
         reply = await client.call("GET", get_path(kind, name))
@@ -140,9 +159,11 @@
     context: typer.Context,
     kind: Kind,
     name: Annotated[str, typer.Argument()] = "",
-    revision: Annotated[int, typer.Option(help="Start after this revision.")] = -1,
+    revision: Annotated[
+        int, typer.Option(help="Print changes after this revision.")
+    ] = -1,
 ) -> None:
-    """Print changes as they come, a line each, until interrupted."""
+    """Print each change as a line, until interrupted."""
     start = f"&revision={revision}" if revision >= 0 else ""
     path = f"{get_path(kind, name)}?watch=true{start}"
 
@@ -181,15 +202,18 @@
     return f"{line['type']:9} {resource['kind']} {name} {revision} {state}".rstrip()
 
 
-def _is_named(document: Any) -> bool:
+def _has_kind_and_name(document: Any) -> bool:
     if not isinstance(document, dict) or not isinstance(document.get("kind"), str):
         return False
     metadata = document.get("metadata")
     return isinstance(metadata, dict) and isinstance(metadata.get("name"), str)
 
 
-def _is_json(document: Any) -> bool:
-    """Tell whether a document can be sent; YAML's aliases may form a circle."""
+def _is_encodable(document: Any) -> bool:
+    """Return whether a document can be sent as JSON.
+
+    YAML has values without a JSON form, and its aliases allow circular references.
+    """
     try:
         msgspec.json.encode(document)
     except (TypeError, ValueError, OverflowError, RecursionError):
@@ -197,7 +221,7 @@
     return True
 
 
-def _compare(current: dict[str, Any] | None) -> dict[str, str]:
+def _make_condition(current: dict[str, Any] | None) -> dict[str, str]:
     if current is None:
         return {"If-None-Match": "*"}
     return {"If-Match": f'"{current["metadata"]["revision"]}"'}
--- a/src/damaskdeck/cli/descriptions.py
+++ b/src/damaskdeck/cli/descriptions.py
@@ -1,11 +1,11 @@
-"""Resources explained in plain words, a registry by kind."""
+"""Descriptions of resources in sentences, registered by kind."""
 
 from collections.abc import Callable, Iterator
 from typing import Any
 
 import yaml
 
-from damaskdeck.cli.output import show_size
+from damaskdeck.cli.output import format_size
 
 Description = Callable[[dict[str, Any]], Iterator[str]]
 
@@ -13,7 +13,7 @@
 
 
 def description(kind: str) -> Callable[[Description], Description]:
-    """Register the function that explains a kind of resource."""
+    """Register the function that describes a kind of resource."""
 
     def register(function: Description) -> Description:
         _descriptions[kind] = function
@@ -23,15 +23,15 @@
 
 
 def print_description(resource: dict[str, Any]) -> None:
-    """Print what a resource is, and why."""
-    describe = _descriptions.get(resource["kind"], describe_plainly)
+    """Print the description of a resource, or its spec and status as YAML."""
+    describe = _descriptions.get(resource["kind"], describe_as_yaml)
     print(f"{resource['kind']} {resource['metadata']['name']}")
     for line in describe(resource):
         print(f"  {line}")
 
 
-def describe_plainly(resource: dict[str, Any]) -> Iterator[str]:
-    """Show spec and status as they are."""
+def describe_as_yaml(resource: dict[str, Any]) -> Iterator[str]:
+    """Yield the lines of spec and status as YAML."""
     for part in ("spec", "status"):
         if resource.get(part):
             yield f"{part}:"
@@ -41,7 +41,7 @@
 
 @description("job")
 def describe_job(resource: dict[str, Any]) -> Iterator[str]:
-    """Say why a job waits, where it ran and why it was moved or refused."""
+    """Describe why a job waits, where it ran and why it was moved or refused."""
     spec, status = resource["spec"], resource["status"]
     yield f"of workload {spec['workload']}, team {spec['team']}"
     code = f" ({status['code']})" if status.get("code") else ""
@@ -54,13 +54,13 @@
 
 @description("worker")
 def describe_worker(resource: dict[str, Any]) -> Iterator[str]:
-    """Show a worker's use, as declared and as observed."""
+    """Describe a worker's capacity and its usage as declared and as observed."""
     spec, status = resource["spec"], resource["status"]
     yield f"in zone {spec['zone']}, rack {spec.get('rack') or 'unknown'}"
     yield f"is {status['state']}, owned by {status.get('owner', 'nobody')}"
-    yield f"holds {show_size(spec['size'])}"
-    yield f"free for new tasks: {show_size(status.get('free', {})) or 'nothing'}"
+    yield f"holds {format_size(spec['size'])}"
+    yield f"free for new tasks: {format_size(status.get('free', {})) or 'nothing'}"
     if status.get("observed"):
-        yield f"observed in use: {show_size(status['observed'])}"
+        yield f"observed in use: {format_size(status['observed'])}"
     if status.get("closed"):
         yield f"takes no new tasks: {status['closed']}"
--- a/src/damaskdeck/cli/exits.py
+++ b/src/damaskdeck/cli/exits.py
@@ -1,10 +1,10 @@
-"""Exit codes of the command line; docs/operations/commands.md lists them."""
+"""Exit codes of the command line, which docs/operations/commands.md documents."""
 
 from enum import IntEnum
 
 
 class Exit(IntEnum):
-    """What became of a command."""
+    """How a command ended."""
 
     COMPLETED = 0
     FAILED = 1
@@ -13,7 +13,7 @@
     UNKNOWN = 4
 
 
-BY_OUTCOME = {
+EXIT_BY_OUTCOME = {
     "completed": Exit.COMPLETED,
     "failed": Exit.FAILED,
     "refused": Exit.REFUSED,
--- a/src/damaskdeck/cli/jobs.py
+++ b/src/damaskdeck/cli/jobs.py
@@ -1,4 +1,4 @@
-"""Commands on jobs: submit and cancel."""
+"""The commands on jobs: submit and cancel."""
 
 import asyncio
 import time
@@ -8,23 +8,23 @@
 import typer
 
 from damaskdeck.cli.app import app
-from damaskdeck.cli.exits import BY_OUTCOME, Exit
-from damaskdeck.cli.output import print_document, print_note
+from damaskdeck.cli.exits import EXIT_BY_OUTCOME, Exit
+from damaskdeck.cli.output import print_document, print_message
 from damaskdeck.cli.session import Output, check_reply, choose_style, get_path, run
 from damaskdeck.client import Client
 
-WATCH_PAUSE_SECONDS = 0.5
+WATCH_RETRY_SECONDS = 0.5
 
 
 @app.command()
 def submit(
     context: typer.Context,
     workload: Annotated[str, typer.Argument(help="Name of a batch or gang workload.")],
-    payload: Annotated[Path | None, typer.Option(help="File handed to each task.")] = (
-        None
-    ),
+    payload: Annotated[
+        Path | None, typer.Option(help="File that each task receives.")
+    ] = (None),
     key: Annotated[str, typer.Option(help="Idempotency key.")] = "",
-    wait: Annotated[bool, typer.Option(help="Wait for the outcome.")] = False,
+    wait: Annotated[bool, typer.Option(help="Wait until the job has ended.")] = False,
     output: Output = None,
 ) -> None:
     """Submit a job; it is durable once its name is printed."""
@@ -42,13 +42,17 @@
             return None
         job = await follow_job(client, job["metadata"]["name"])
         print_document(job, style)
-        return BY_OUTCOME[job["status"]["state"]]
+        return EXIT_BY_OUTCOME[job["status"]["state"]]
 
     run(context.obj, work)
 
 
 async def follow_job(client: Client, name: str) -> dict[str, Any]:
-    """Watch a job to its end and tell of its progress."""
+    """Watch a job until it has ended and print its progress.
+
+    :return: the job in its final state.
+    :raises typer.Exit: when the job can't be read.
+    """
     started = time.monotonic()
     path = get_path("job", name)
     while True:
@@ -56,18 +60,18 @@
             if "resource" not in line:
                 continue
             job = line["resource"]
-            _tell_progress(job, time.monotonic() - started)
-            if job["status"]["state"] in BY_OUTCOME:
+            _print_progress(job, time.monotonic() - started)
+            if job["status"]["state"] in EXIT_BY_OUTCOME:
                 return job
-        # The watch ended early, as when its daemon shuts down, or was refused.
+        # The watch was refused or ended early, as when its daemon shuts down.
         check_reply(await client.call("GET", path))
-        await asyncio.sleep(WATCH_PAUSE_SECONDS)
+        await asyncio.sleep(WATCH_RETRY_SECONDS)
 
 
-def _tell_progress(job: dict[str, Any], elapsed: float) -> None:
+def _print_progress(job: dict[str, Any], elapsed: float) -> None:
     reasons = job["status"].get("reasons", ())
     reason = f", {reasons[-1]}" if reasons else ""
-    print_note(f"{elapsed:6.1f} s  {job['status']['state']}{reason}")
+    print_message(f"{elapsed:6.1f} s  {job['status']['state']}{reason}")
 
 
 @app.command()
@@ -76,7 +80,7 @@
     name: Annotated[str, typer.Argument(help="Name of the job.")],
     output: Output = None,
 ) -> None:
-    """Cancel a job; one that has ended stays as it ended."""
+    """Cancel a job; a job that has ended keeps its final state."""
     style = choose_style(context, output)
 
     async def work(client: Client) -> None:
--- a/src/damaskdeck/cli/logs.py
+++ b/src/damaskdeck/cli/logs.py
@@ -1,4 +1,4 @@
-"""The command that tells a job's life from the daemons' logs."""
+"""The command ``explain``, which lists the events of a job from daemons' logs."""
 
 import sys
 from collections.abc import Iterable, Iterator
@@ -10,24 +10,26 @@
 
 from damaskdeck.cli.app import app
 from damaskdeck.cli.exits import Exit
-from damaskdeck.cli.output import print_note
+from damaskdeck.cli.output import print_message
 from damaskdeck.errors import DECODE_ERRORS
 
-LEFT_OUT = "Lines were left out."
-ORDERED = "Ordered."
-ENDED = "A run has ended."
-LOST = "A run is lost with its worker."
-SETTLED = frozenset({ENDED, LOST, "A start was not confirmed."})
-FINAL = "A job has ended."
-TAKEN = "Taken."
-# Fields that stand before the others, or are told otherwise.
-_HEAD = ("time", "level", "instance", "part", "message", "id")
+# Messages of log lines. Logs of older versions contain them too.
+LINES_OMITTED = "Lines were left out."
+STARTS_ORDERED = "Ordered."
+RUN_ENDED = "A run has ended."
+RUN_LOST = "A run is lost with its worker."
+RUN_CLOSING_MESSAGES = frozenset({RUN_ENDED, RUN_LOST, "A start was not confirmed."})
+JOB_ENDED = "A job has ended."
+JOB_ACCEPTED = "Taken."
+# Fields that are printed at the start of a line, or not at all.
+_HEADER_FIELDS = ("time", "level", "instance", "part", "message", "id")
 
 
 class Line(NamedTuple):
     """A log line.
 
-    :param time: as written, which sorts.
+    :param time: as written in the log; its text sorts by time.
+    :param fields: all fields of the line, by name.
     """
 
     time: str
@@ -38,7 +40,7 @@
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[Line]:
-    """Yield the structured lines; whatever stands before the object is ignored."""
+    """Yield the structured lines; text before the JSON object is ignored."""
     decoder = msgspec.json.Decoder(dict[str, Any])
     for text in texts:
         start = text.find("{")
@@ -58,51 +60,51 @@
             )
 
 
-def select_life(lines: Iterable[Line], identifier: str) -> list[Line]:
-    """Return what concerns a job in order of time, told gaps among it."""
+def select_job_lines(lines: Iterable[Line], identifier: str) -> list[Line]:
+    """Return the lines of a job in order of time, with reports of omitted lines."""
     chosen = [
         line
         for line in lines
-        if line.fields.get("id") == identifier or line.message == LEFT_OUT
+        if line.fields.get("id") == identifier or line.message == LINES_OMITTED
     ]
     chosen.sort(key=lambda line: line.time)
-    times = [line.time for line in chosen if line.message != LEFT_OUT]
+    times = [line.time for line in chosen if line.message != LINES_OMITTED]
     if not times:
         return []
     first, last = times[0], times[-1]
     return [line for line in chosen if first <= line.time <= last]
 
 
-def find_gaps(life: list[Line]) -> list[str]:
-    """Say what the logs should hold of a job's life and do not."""
+def find_gaps(job_lines: list[Line]) -> list[str]:
+    """Return descriptions of the events of a job that the logs lack."""
     gaps = []
-    messages = {line.message for line in life}
-    if TAKEN not in messages:
+    messages = {line.message for line in job_lines}
+    if JOB_ACCEPTED not in messages:
         gaps.append("how it was taken is not in these logs")
     open_runs = set()
-    for line in life:
-        if line.message == ORDERED:
+    for line in job_lines:
+        if line.message == STARTS_ORDERED:
             step, attempt = line.fields.get("step"), line.fields.get("attempt")
             tasks = line.fields.get("tasks", ())
             open_runs |= {(step, index, attempt) for index in tasks}
-        elif line.message in SETTLED:
+        elif line.message in RUN_CLOSING_MESSAGES:
             _, step, index = line.fields.get("task", (0, 0, 0))
             open_runs.discard((step, index, line.fields.get("attempt")))
     for step, index, attempt in sorted(open_runs):
         gaps.append(f"no end of step {step} task {index} attempt {attempt}")
-    if FINAL not in messages:
+    if JOB_ENDED not in messages:
         gaps.append("its end is not in these logs")
-    if LEFT_OUT in messages:
+    if LINES_OMITTED in messages:
         gaps.append("a daemon left lines out meanwhile, as told above")
     return gaps
 
 
 def render_line(line: Line) -> str:
-    """Return a line for people."""
-    rest = {k: v for k, v in line.fields.items() if k not in _HEAD}
-    told = " ".join(f"{name}={value}" for name, value in rest.items())
+    """Return a line in a readable form."""
+    remaining = {k: v for k, v in line.fields.items() if k not in _HEADER_FIELDS}
+    rendered_fields = " ".join(f"{name}={value}" for name, value in remaining.items())
     head = f"{line.time}  {line.instance:24}  {line.part:12}"
-    return f"{head}  {line.message} {told}".rstrip()
+    return f"{head}  {line.message} {rendered_fields}".rstrip()
 
 
 @app.command()
@@ -113,17 +115,17 @@
         typer.Argument(help="Logs of any daemons; standard input unless given."),
     ] = None,
 ) -> None:
-    """Tell a job's life across daemons, in order, with gaps told as gaps."""
+    """List the events of a job on all daemons in order, and what the logs lack."""
     texts: list[str] = []
     for path in logs or ():
         texts += path.read_text(encoding="utf-8", errors="replace").splitlines()
     if not logs:
         texts = list(sys.stdin)
-    life = select_life(read_lines(texts), identifier)
-    if not life:
-        print_note(f"no line names {identifier}")
+    job_lines = select_job_lines(read_lines(texts), identifier)
+    if not job_lines:
+        print_message(f"no log line concerns {identifier}")
         raise typer.Exit(Exit.REFUSED)
-    for line in life:
+    for line in job_lines:
         print(render_line(line))
-    for gap in find_gaps(life):
+    for gap in find_gaps(job_lines):
         print(f"gap: {gap}")
--- a/src/damaskdeck/cli/losses.py
+++ b/src/damaskdeck/cli/losses.py
@@ -1,4 +1,4 @@
-"""The command that tells what late jobs waited for, from the daemons' logs."""
+"""The command ``losses``, which finds in daemons' logs what late jobs waited for."""
 
 import sys
 from collections import Counter, defaultdict
@@ -12,21 +12,30 @@
 
 from damaskdeck.cli.app import app
 from damaskdeck.cli.exits import Exit
-from damaskdeck.cli.logs import ENDED, FINAL, LOST, ORDERED, TAKEN, Line, read_lines
-from damaskdeck.cli.output import print_note
-
-SILENT = "A worker does not answer."
-ANSWERS = "A worker answers."
-LOADED = "Loaded."
-UNCONFIRMED = "A start was not confirmed."
-HELD = "An account is held back."
-DURABLE = "A final state is durable."
-# A run that goes on for so many times as long as the median of its step ran slowly.
+from damaskdeck.cli.logs import (
+    JOB_ACCEPTED,
+    JOB_ENDED,
+    RUN_ENDED,
+    RUN_LOST,
+    STARTS_ORDERED,
+    Line,
+    read_lines,
+)
+from damaskdeck.cli.output import print_message
+
+WORKER_SILENT = "A worker does not answer."
+WORKER_ANSWERS = "A worker answers."
+OWNER_LOADED = "Loaded."
+START_UNCONFIRMED = "A start was not confirmed."
+ACCOUNT_HELD_BACK = "An account is held back."
+END_DURABLE = "A final state is durable."
+# A run is slow when it takes more than this multiple of its step's median duration.
 SLOW_FACTOR = 2.0
-# An account that is held back is told of again after so long, as long as it is.
-HELD_SECONDS = 5.0
-# A look that gets no answer takes so many seconds: its wait and the slack.
-NOTICED_AFTER = 0.85
+# The log line about an account that is held back is repeated at this interval for
+# the time that it is held back.
+HOLD_REPORT_SECONDS = 5.0
+# A poll without an answer ends after this time: its wait limit and the slack.
+SILENCE_DETECTION_SECONDS = 0.85
 
 
 class Span(NamedTuple):
@@ -37,7 +46,11 @@
 
 
 class Run(NamedTuple):
-    """A run of a task as the logs tell it; one without an end lasts for ever."""
+    """A run of a task, as reconstructed from the logs.
+
+    :param span: its end is infinite when the logs hold no end of the run.
+    :param outcome: ``untold`` when the logs hold no end of the run.
+    """
 
     step: int
     index: int
@@ -46,183 +59,214 @@
     outcome: str
 
 
-class Life(NamedTuple):
-    """A job's life as the logs tell it.
+class JobTimeline(NamedTuple):
+    """The events of a job, as reconstructed from the logs.
 
-    :param slack: the objective is so many times the longest chain of work.
-    :param allowance: seconds more.
-    :param taken: when it was taken, seconds since 1970.
-    :param final: when it ended, ``durable`` when that could be told to callers.
+    :param slack: factor of the critical path in the job's objective.
+    :param allowance: seconds that are added to the objective.
+    :param accepted_at: when the job was accepted, in seconds since 1970.
+    :param ended_at: when the job ended, in seconds since 1970.
+    :param durable_at: when its end was durable, so that callers could learn of it, in
+        seconds since 1970.
     """
 
     identifier: str
     queue: str
     slack: float
     allowance: float
-    taken: float
-    final: float
-    durable: float
+    accepted_at: float
+    ended_at: float
+    durable_at: float
     runs: list[Run]
     account: str = ""
 
     @property
-    def chain(self) -> float:
-        """Seconds of the longest chain of work, as its steps' runs took.
+    def critical_path_seconds(self) -> float:
+        """Length of the critical path, from the durations of the steps' runs.
 
-        Steps are taken to follow each other, so it is too long where they don't.
+        The steps are assumed to run one after another, so the value is too high for
+        jobs with parallel steps.
         """
         total = 0.0
         for step in {run.step for run in self.runs}:
-            took = sorted(
+            durations = sorted(
                 run.span.end - run.span.begin
                 for run in self.runs
                 if run.step == step and run.outcome == "completed"
             )
-            if took:
-                usual = took[len(took) // 2]
-                total += max(t for t in took if t <= SLOW_FACTOR * usual)
+            if durations:
+                median = durations[len(durations) // 2]
+                total += max(t for t in durations if t <= SLOW_FACTOR * median)
         return total
 
     @property
     def objective(self) -> float:
-        """Seconds after which it is late."""
-        return self.slack * self.chain + self.allowance
+        """Seconds after which the job is late."""
+        return self.slack * self.critical_path_seconds + self.allowance
 
     @property
-    def took(self) -> float:
-        """Seconds until callers could be told."""
-        return self.durable - self.taken
+    def duration(self) -> float:
+        """Seconds from acceptance until callers could learn the outcome."""
+        return self.durable_at - self.accepted_at
 
 
-class History(NamedTuple):
-    """What the logs tell of the system, beside its jobs.
+class SystemHistory(NamedTuple):
+    """Events in the logs that concern more than one job.
 
-    :param held: when accounts were held back by their quota, about.
+    :param silences: spans in which a worker did not answer, by worker.
+    :param takeovers: spans in which no owner took decisions.
+    :param quota_holds: approximate spans in which an account was held back by its
+        quota, by account.
     """
 
-    silent: dict[str, list[Span]]
+    silences: dict[str, list[Span]]
     takeovers: list[Span]
-    held: dict[str, list[Span]] = {}
+    quota_holds: dict[str, list[Span]] = {}
 
 
 def parse_time(text: str) -> float:
-    """Return a line's time, in seconds since 1970."""
+    """Return the time of a log line in seconds since 1970."""
     return datetime.fromisoformat(text).timestamp()
 
 
-def read_history(lines: list[Line]) -> History:
-    """Gather when workers were silent and when nobody owned."""
-    silent: dict[str, list[Span]] = defaultdict(list)
-    since: dict[str, float] = {}
+def read_history(lines: list[Line]) -> SystemHistory:
+    """Collect silent workers, takeovers and accounts that were held back."""
+    silences: dict[str, list[Span]] = defaultdict(list)
+    silent_since: dict[str, float] = {}
     takeovers: list[Span] = []
-    held: dict[str, list[Span]] = defaultdict(list)
-    decided_at = 0.0
+    quota_holds: dict[str, list[Span]] = defaultdict(list)
+    last_decision_at = 0.0
     for line in lines:
         at, fields = parse_time(line.time), line.fields
         worker = str(fields.get("worker", ""))
-        if line.message == SILENT:
-            since.setdefault(worker, at - NOTICED_AFTER)
-        elif line.message == ANSWERS and worker in since:
-            silent[worker].append(Span(since.pop(worker), at))
-        elif line.message == HELD:
+        if line.message == WORKER_SILENT:
+            silent_since.setdefault(worker, at - SILENCE_DETECTION_SECONDS)
+        elif line.message == WORKER_ANSWERS and worker in silent_since:
+            silences[worker].append(Span(silent_since.pop(worker), at))
+        elif line.message == ACCOUNT_HELD_BACK:
             account = str(line.fields.get("account", ""))
-            held[account].append(Span(at, at + HELD_SECONDS))
-        elif line.message == LOADED and decided_at:
-            takeovers.append(Span(decided_at, at))
-        if line.message in (ORDERED, ENDED, DURABLE, LOADED):
-            decided_at = at
-    for worker, begin in since.items():
-        silent[worker].append(Span(begin, float("inf")))
-    return History(silent, takeovers, held)
-
-
-def read_lives(lines: list[Line]) -> Iterator[Life]:
-    """Yield the jobs whose taking and end are both told."""
-    told: dict[str, list[Line]] = defaultdict(list)
+            quota_holds[account].append(Span(at, at + HOLD_REPORT_SECONDS))
+        elif line.message == OWNER_LOADED and last_decision_at:
+            takeovers.append(Span(last_decision_at, at))
+        if line.message in (STARTS_ORDERED, RUN_ENDED, END_DURABLE, OWNER_LOADED):
+            last_decision_at = at
+    for worker, begin in silent_since.items():
+        silences[worker].append(Span(begin, float("inf")))
+    return SystemHistory(silences, takeovers, quota_holds)
+
+
+def read_timelines(lines: list[Line]) -> Iterator[JobTimeline]:
+    """Yield the completed jobs whose acceptance and end are both in the logs."""
+    lines_by_job: dict[str, list[Line]] = defaultdict(list)
     for line in lines:
         identifier = line.fields.get("id")
         if identifier:
-            told[str(identifier)].append(line)
-    for identifier, life in told.items():
-        found = {line.message: line for line in reversed(life)}
-        final, taken = found.get(FINAL), found.get(TAKEN)
-        if final is None or taken is None or final.fields["state"] != "completed":
+            lines_by_job[str(identifier)].append(line)
+    for identifier, job_lines in lines_by_job.items():
+        found = {line.message: line for line in reversed(job_lines)}
+        end, acceptance = found.get(JOB_ENDED), found.get(JOB_ACCEPTED)
+        if end is None or acceptance is None or end.fields["state"] != "completed":
             continue
-        ended_at = parse_time(final.time)
-        durable = found.get(DURABLE)
-        yield Life(
+        ended_at = parse_time(end.time)
+        durability = found.get(END_DURABLE)
+        yield JobTimeline(
             identifier,
-            str(final.fields.get("queue", "")),
-            float(final.fields.get("slack", 1.0)),
-            float(final.fields.get("allowance", 0.0)),
-            ended_at - float(final.fields.get("age", 0.0)),
+            str(end.fields.get("queue", "")),
+            float(end.fields.get("slack", 1.0)),
+            float(end.fields.get("allowance", 0.0)),
+            ended_at - float(end.fields.get("age", 0.0)),
             ended_at,
-            parse_time(durable.time) if durable is not None else ended_at,
-            list(_read_runs(life)),
-            str(taken.fields.get("account", "")),
+            parse_time(durability.time) if durability is not None else ended_at,
+            list(_read_runs(job_lines)),
+            str(acceptance.fields.get("account", "")),
         )
 
 
-def _read_runs(life: list[Line]) -> Iterator[Run]:
-    begun: dict[tuple[int, int, int], tuple[str, float]] = {}
-    for line in life:
+def _read_runs(job_lines: list[Line]) -> Iterator[Run]:
+    open_runs: dict[tuple[int, int, int], tuple[str, float]] = {}
+    for line in job_lines:
         fields, at = line.fields, parse_time(line.time)
-        if line.message == ORDERED:
+        if line.message == STARTS_ORDERED:
             pairs = zip(fields["tasks"], fields["workers"], strict=True)
             for index, worker in pairs:
-                begun[fields["step"], index, fields["attempt"]] = worker, at
-        elif line.message in (ENDED, UNCONFIRMED, LOST):
+                open_runs[fields["step"], index, fields["attempt"]] = worker, at
+        elif line.message in (RUN_ENDED, START_UNCONFIRMED, RUN_LOST):
             _, step, index = fields.get("task", (0, 0, 0))
-            worker, since = begun.pop((step, index, fields.get("attempt")), ("", 0.0))
-            is_lost = line.message == LOST
+            worker, started_at = open_runs.pop(
+                (step, index, fields.get("attempt")), ("", 0.0)
+            )
+            is_lost = line.message == RUN_LOST
             outcome = "lost" if is_lost else fields.get("outcome", "unconfirmed")
             if worker:
-                yield Run(step, index, worker, Span(since, at), str(outcome))
-    for (step, index, _), (worker, since) in begun.items():
-        yield Run(step, index, worker, Span(since, float("inf")), "untold")
-
-
-def split_life(life: Life, history: History) -> Counter[str]:
-    """Split the seconds of a life by what it waited for."""
-    split: Counter[str] = Counter()
-    usual = _find_usual(life)
-    cuts = {life.taken, life.final, life.durable}
-    for run in life.runs:
-        cuts |= set(run.span) | {run.span.begin + SLOW_FACTOR * usual[run.step]}
-        for span in history.silent.get(run.worker, ()):
-            cuts |= set(span)
-    for span in (*history.takeovers, *history.held.get(life.account, ())):
-        cuts |= set(span)
-    inside = sorted(at for at in cuts if life.taken <= at <= life.durable)
+                yield Run(step, index, worker, Span(started_at, at), str(outcome))
+    for (step, index, _), (worker, started_at) in open_runs.items():
+        yield Run(step, index, worker, Span(started_at, float("inf")), "untold")
+
+
+def split_by_cause(timeline: JobTimeline, history: SystemHistory) -> Counter[str]:
+    """Split the duration of a job by what it waited for.
+
+    :return: seconds by cause.
+    """
+    seconds: Counter[str] = Counter()
+    median_durations = _find_median_durations(timeline)
+    boundaries = {timeline.accepted_at, timeline.ended_at, timeline.durable_at}
+    for run in timeline.runs:
+        boundaries |= set(run.span) | {
+            run.span.begin + SLOW_FACTOR * median_durations[run.step]
+        }
+        for span in history.silences.get(run.worker, ()):
+            boundaries |= set(span)
+    for span in (*history.takeovers, *history.quota_holds.get(timeline.account, ())):
+        boundaries |= set(span)
+    inside = sorted(
+        at for at in boundaries if timeline.accepted_at <= at <= timeline.durable_at
+    )
     for begin, end in pairwise(inside):
         middle = (begin + end) / 2
-        split[_judge(life, history, usual, middle)] += end - begin
-    return split
+        seconds[_find_cause(timeline, history, median_durations, middle)] += end - begin
+    return seconds
 
 
-def _find_usual(life: Life) -> dict[int, float]:
-    """Return what a run of each step usually took, in seconds."""
-    took: dict[int, list[float]] = defaultdict(list)
-    for run in life.runs:
-        if run.outcome == "completed":
-            took[run.step].append(run.span.end - run.span.begin)
-    usual = {step: sorted(all_)[len(all_) // 2] for step, all_ in took.items()}
-    return defaultdict(lambda: float("inf"), usual)
-
+def _find_median_durations(timeline: JobTimeline) -> dict[int, float]:
+    """Return the median duration of the completed runs of each step, in seconds.
 
-def _judge(life: Life, history: History, usual: dict[int, float], at: float) -> str:
-    if at >= life.final:
+    It is infinite for steps without a completed run.
+    """
+    durations: dict[int, list[float]] = defaultdict(list)
+    for run in timeline.runs:
+        if run.outcome == "completed":
+            durations[run.step].append(run.span.end - run.span.begin)
+    median_durations = {
+        step: sorted(seconds)[len(seconds) // 2] for step, seconds in durations.items()
+    }
+    return defaultdict(lambda: float("inf"), median_durations)
+
+
+def _find_cause(
+    timeline: JobTimeline,
+    history: SystemHistory,
+    median_durations: dict[int, float],
+    at: float,
+) -> str:
+    """Return what the job waited for or did at a moment.
+
+    The first cause that applies is returned, so their order matters.
+    """
+    if at >= timeline.ended_at:
         return "end not durable"
-    going = [run for run in life.runs if run.span.begin <= at < run.span.end]
-    for run in going:
-        spans = history.silent.get(run.worker, ())
+    running = [run for run in timeline.runs if run.span.begin <= at < run.span.end]
+    for run in running:
+        spans = history.silences.get(run.worker, ())
         if any(span.begin <= at < span.end for span in spans):
             return "lease of a silent worker"
     if any(span.begin <= at < span.end for span in history.takeovers):
         return "takeover"
-    outcomes = {run.outcome for run in going}
+    outcomes = {run.outcome for run in running}
     if "completed" in outcomes:
-        slow = [at - r.span.begin > SLOW_FACTOR * usual[r.step] for r in going]
+        slow = [
+            at - r.span.begin > SLOW_FACTOR * median_durations[r.step] for r in running
+        ]
         return "slow run" if all(slow) else "work"
     if "unconfirmed" in outcomes:
         return "order in doubt"
@@ -232,47 +276,55 @@
         return "run that failed"
     if outcomes:
         return "untold"
-    spans = history.held.get(life.account, ())
-    is_held = any(span.begin <= at < span.end for span in spans)
-    return "quota, or room beside it" if is_held else "room, advice or order"
-
-
-def print_losses(lives: list[Life], history: History, top: int) -> None:
-    """Print, by queue, what late jobs waited for, and the latest ones."""
-    late = [life for life in lives if life.took > life.objective]
-    by_queue: dict[str, list[Life]] = defaultdict(list)
-    for life in lives:
-        by_queue[life.queue].append(life)
-    for queue, all_ in sorted(by_queue.items()):
-        behind = [life for life in all_ if life.took > life.objective]
-        print(f"{queue}: {len(all_)} jobs, {len(behind)} late")
+    spans = history.quota_holds.get(timeline.account, ())
+    is_held_back = any(span.begin <= at < span.end for span in spans)
+    return "quota, or room beside it" if is_held_back else "room, advice or order"
+
+
+def print_losses(
+    timelines: list[JobTimeline], history: SystemHistory, top: int
+) -> None:
+    """Print by queue what late jobs waited for, then the jobs that were latest.
+
+    :param top: how many of the latest jobs are printed.
+    """
+    late = [job for job in timelines if job.duration > job.objective]
+    by_queue: dict[str, list[JobTimeline]] = defaultdict(list)
+    for timeline in timelines:
+        by_queue[timeline.queue].append(timeline)
+    for queue, queue_jobs in sorted(by_queue.items()):
+        late_jobs = [job for job in queue_jobs if job.duration > job.objective]
+        print(f"{queue}: {len(queue_jobs)} jobs, {len(late_jobs)} late")
         total: Counter[str] = Counter()
-        for life in behind:
-            total += split_life(life, history)
-        for reason in sorted(total, key=lambda r: -total[r]):
-            print(f"  {total[reason]:8.1f} s  {reason}")
-    _print_accounts(lives)
+        for timeline in late_jobs:
+            total += split_by_cause(timeline, history)
+        for cause in sorted(total, key=lambda c: -total[c]):
+            print(f"  {total[cause]:8.1f} s  {cause}")
+    _print_accounts(timelines)
     _print_seconds(late)
-    late.sort(key=lambda life: life.objective - life.took)
-    for life in late[:top]:
-        split = split_life(life, history)
-        told = ", ".join(f"{n}: {s:.2f}" for n, s in split.most_common(4))
+    late.sort(key=lambda job: job.objective - job.duration)
+    for timeline in late[:top]:
+        seconds = split_by_cause(timeline, history)
+        causes = ", ".join(f"{n}: {s:.2f}" for n, s in seconds.most_common(4))
         print(
-            f"{datetime.fromtimestamp(life.taken):%H:%M:%S.%f}  {life.identifier}  "
-            f"{life.queue}  {life.took:.2f} s of {life.objective:.2f}: {told}"
+            f"{datetime.fromtimestamp(timeline.accepted_at):%H:%M:%S.%f}  "
+            f"{timeline.identifier}  {timeline.queue}  "
+            f"{timeline.duration:.2f} s of {timeline.objective:.2f}: {causes}"
         )
 
 
-def _print_accounts(lives: list[Life]) -> None:
-    """Print how many jobs of each account were late, the worst served first."""
-    jobs = Counter(life.account for life in lives if life.account)
-    behind = Counter(life.account for life in lives if life.took > life.objective)
-    for account in sorted(jobs, key=lambda name: -behind[name] / jobs[name]):
-        print(f"account {account}: {jobs[account]} jobs, {behind[account]} late")
+def _print_accounts(timelines: list[JobTimeline]) -> None:
+    """Print how many jobs of each account were late, the highest share first."""
+    jobs = Counter(job.account for job in timelines if job.account)
+    late_jobs = Counter(
+        job.account for job in timelines if job.duration > job.objective
+    )
+    for account in sorted(jobs, key=lambda name: -late_jobs[name] / jobs[name]):
+        print(f"account {account}: {jobs[account]} jobs, {late_jobs[account]} late")
 
 
-def _print_seconds(late: list[Life]) -> None:
-    seconds = Counter(int(life.taken) for life in late)
+def _print_seconds(late: list[JobTimeline]) -> None:
+    seconds = Counter(int(job.accepted_at) for job in late)
     for second, count in sorted(seconds.items()):
         print(f"{datetime.fromtimestamp(second):%H:%M:%S}  {count} late")
 
@@ -285,7 +337,7 @@
     ] = None,
     top: Annotated[int, typer.Option(help="How many late jobs to list.")] = 10,
 ) -> None:
-    """Tell what jobs on queues that ended late waited for, by queue and second."""
+    """Report what jobs on queues that ended late waited for, by queue and second."""
     texts: Iterable[str] = sys.stdin
     if logs:
         texts = (
@@ -294,8 +346,8 @@
             for text in path.read_text("utf-8", errors="replace").splitlines()
         )
     lines = sorted(read_lines(texts), key=lambda line: line.time)
-    lives = list(read_lives(lines))
-    if not lives:
-        print_note("no line tells of a job's taking and end")
+    timelines = list(read_timelines(lines))
+    if not timelines:
+        print_message("no log line reports the acceptance and end of a job")
         raise typer.Exit(Exit.REFUSED)
-    print_losses(lives, read_history(lines), top)
+    print_losses(timelines, read_history(lines), top)
--- a/src/damaskdeck/cli/operations.py
+++ b/src/damaskdeck/cli/operations.py
@@ -1,4 +1,4 @@
-"""Commands for operators: drain, status and check-settings."""
+"""The commands for operators: drain, status and check-settings."""
 
 from pathlib import Path
 from typing import Annotated, Any
@@ -7,7 +7,7 @@
 
 from damaskdeck.cli.app import app
 from damaskdeck.cli.exits import Exit
-from damaskdeck.cli.output import Style, print_document, print_note
+from damaskdeck.cli.output import Style, print_document, print_message
 from damaskdeck.cli.session import (
     PATCH_HEADERS,
     Output,
@@ -26,9 +26,11 @@
 def drain(
     context: typer.Context,
     name: Annotated[str, typer.Argument(help="Name of a worker or target.")],
-    undo: Annotated[bool, typer.Option("--undo", help="Use it again.")] = False,
+    undo: Annotated[
+        bool, typer.Option("--undo", help="Let the instance receive work again.")
+    ] = False,
 ) -> None:
-    """Give an instance no new work; what it runs ends by itself."""
+    """Give an instance no new work; its running work continues to its end."""
 
     async def work(client: Client) -> None:
         policy = await _read_policy(client)
@@ -70,10 +72,15 @@
 @app.command()
 def status(
     context: typer.Context,
-    revision: Annotated[int, typer.Option(help="Is it in force everywhere?")] = 0,
+    revision: Annotated[
+        int,
+        typer.Option(
+            help="Also check whether this revision is in force on all daemons."
+        ),
+    ] = 0,
     output: Output = None,
 ) -> None:
-    """Tell which revision is in force where, who owns what, and outages."""
+    """Print which revision each daemon has in force, owners and outages."""
 
     async def work(client: Client) -> None:
         query = f"?revision={revision}" if revision else ""
@@ -90,11 +97,11 @@
 def check_settings(
     file: Annotated[Path, typer.Argument(help="A daemon's settings file.")],
 ) -> None:
-    """Check a settings file; every fault is told."""
+    """Check a settings file and print all of its faults."""
     try:
         settings = load_settings(str(file))
     except SettingsError as error:
         for fault in error.faults:
-            print_note(f"{fault.path}: {fault.code}: {fault.detail}")
+            print_message(f"{fault.path}: {fault.code}: {fault.detail}")
         raise typer.Exit(Exit.USAGE) from error
     print(f"good settings of {settings.name} in {settings.zone}")
--- a/src/damaskdeck/cli/output.py
+++ b/src/damaskdeck/cli/output.py
@@ -1,4 +1,4 @@
-"""What the command line prints: tables, JSON or YAML."""
+"""Output of the command line as tables, JSON or YAML."""
 
 import sys
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 def columns(kind: str) -> Callable[[Callable[[], dict[str, Column]]], None]:
-    """Register the table's columns of a kind of resource."""
+    """Register the table columns of a kind of resource."""
 
     def register(function: Callable[[], dict[str, Column]]) -> None:
         _columns[kind] = function()
@@ -41,31 +41,31 @@
 
 @columns("team")
 def list_team_columns() -> dict[str, Column]:
-    """Columns of teams."""
-    return {"QUOTA": lambda item: show_size(item["spec"].get("quota", {}))}
+    """Return the columns of teams."""
+    return {"QUOTA": lambda item: format_size(item["spec"].get("quota", {}))}
 
 
 @columns("workload")
 def list_workload_columns() -> dict[str, Column]:
-    """Columns of workloads."""
+    """Return the columns of workloads."""
     return {
         "TEAM": _spec("team"),
         "TYPE": _spec("type"),
         "URGENCY": _spec("urgency"),
         "TASKS": _spec("tasks"),
-        "SIZE": lambda item: show_size(item["spec"].get("size", {})),
+        "SIZE": lambda item: format_size(item["spec"].get("size", {})),
     }
 
 
 @columns("policy")
 def list_policy_columns() -> dict[str, Column]:
-    """Columns of policies."""
+    """Return the columns of policies."""
     return {"DRAINED": lambda item: ",".join(item["spec"].get("drained", ()))}
 
 
 @columns("job")
 def list_job_columns() -> dict[str, Column]:
-    """Columns of jobs."""
+    """Return the columns of jobs."""
     return {
         "TEAM": _spec("team"),
         "WORKLOAD": _spec("workload"),
@@ -76,7 +76,7 @@
 
 @columns("task")
 def list_task_columns() -> dict[str, Column]:
-    """Columns of tasks."""
+    """Return the columns of tasks."""
     return {
         "WORKER": _status("worker"),
         "STATE": _status("state"),
@@ -86,19 +86,19 @@
 
 @columns("worker")
 def list_worker_columns() -> dict[str, Column]:
-    """Columns of workers."""
+    """Return the columns of workers."""
     return {
         "ZONE": _spec("zone"),
         "STATE": _status("state"),
         "OWNER": _status("owner"),
-        "FREE": lambda item: show_size(item.get("status", {}).get("free", {})),
+        "FREE": lambda item: format_size(item.get("status", {}).get("free", {})),
         "TASKS": _status("tasks"),
     }
 
 
 @columns("target")
 def list_target_columns() -> dict[str, Column]:
-    """Columns of targets."""
+    """Return the columns of targets."""
     return {
         "SERVICE": _spec("service"),
         "ZONE": _spec("zone"),
@@ -108,15 +108,15 @@
     }
 
 
-def show_size(size: dict[str, Any]) -> str:
-    """Show a size in short, as in ``2 cores 512 MiB``."""
+def format_size(size: dict[str, Any]) -> str:
+    """Return the short form of a size, for example ``2 cores 512 MiB``."""
     units = {"processors": "cores", "memory": "MiB", "accelerators": "accelerators"}
     parts = [f"{size[n]:g} {unit}" for n, unit in units.items() if size.get(n)]
     return " ".join(parts)
 
 
 def print_document(document: Any, style: Style) -> None:
-    """Print a resource, a list of them or any other document."""
+    """Print a resource, a list of resources or any other document."""
     if style is Style.JSON:
         print(msgspec.json.format(msgspec.json.encode(document), indent=2).decode())
     elif style is Style.YAML:
@@ -126,7 +126,7 @@
 
 
 def print_table(items: list[dict[str, Any]]) -> None:
-    """Print resources of one kind as a table with a heading."""
+    """Print resources of one kind as a table with a heading line."""
     if not items:
         print("Nothing found.")
         return
@@ -141,22 +141,22 @@
         print("  ".join(cells).rstrip())
 
 
-def print_note(sentence: str) -> None:
-    """Print progress or a remark to standard error."""
-    print(sentence, file=sys.stderr, flush=True)
+def print_message(text: str) -> None:
+    """Print progress or an error message to standard error."""
+    print(text, file=sys.stderr, flush=True)
 
 
 def print_problem(document: Any) -> None:
-    """Print a problem body to standard error, each fault on a line."""
+    """Print a problem body to standard error, with one line for each fault."""
     if not isinstance(document, dict):
-        print_note(str(document))
+        print_message(str(document))
         return
-    words = [document.get("code", ""), document.get("title", "")]
+    fields = [document.get("code", ""), document.get("title", "")]
     if document.get("detail"):
-        words.append(document["detail"])
-    print_note(": ".join(word for word in words if word))
+        fields.append(document["detail"])
+    print_message(": ".join(field for field in fields if field))
     for fault in document.get("faults", ()):
-        print_note(f"  {fault['path']}: {fault['code']}: {fault['detail']}")
+        print_message(f"  {fault['path']}: {fault['code']}: {fault['detail']}")
 
 
 def _list_items(document: Any) -> list[dict[str, Any]]:
--- a/src/damaskdeck/cli/session.py
+++ b/src/damaskdeck/cli/session.py
@@ -1,4 +1,4 @@
-"""One command's session with a daemon."""
+"""The calls of one command to a daemon, and the exit code that follows."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,8 +8,8 @@
 import aiohttp
 import typer
 
-from damaskdeck.cli.exits import BY_OUTCOME, Exit
-from damaskdeck.cli.output import Style, print_note, print_problem
+from damaskdeck.cli.exits import EXIT_BY_OUTCOME, Exit
+from damaskdeck.cli.output import Style, print_message, print_problem
 from damaskdeck.client import Client, Reply
 
 PLURALS = {
@@ -28,7 +28,7 @@
 
 
 class CallOptions(NamedTuple):
-    """Which daemon to call and how to print.
+    """Options that all commands share.
 
     :param server: base URL of the daemon.
     :param token: bearer token; an empty string sends none.
@@ -42,10 +42,10 @@
 def run(
     options: CallOptions, work: Callable[[Client], Awaitable[Exit | None]]
 ) -> NoReturn:
-    """Run ``work`` with a client and exit with what became of it.
+    """Run ``work`` with a client and exit with the code of its outcome.
 
-    No connection is ``REFUSED``, as nothing was sent; one that broke later is
-    ``UNKNOWN``.
+    A connection that can't be opened is ``REFUSED``, because nothing was sent; one that
+    breaks later is ``UNKNOWN``, because the call may have taken effect.
 
     :raises typer.Exit: always.
     """
@@ -59,22 +59,23 @@
         async with Client(options.server, options.token) as client:
             return await work(client) or Exit.COMPLETED
     except aiohttp.ClientConnectorError as error:
-        print_note(f"unreachable: nothing was sent: {error}")
+        print_message(f"unreachable: the call was not sent: {error}")
         return Exit.REFUSED
     except aiohttp.ClientError as error:
-        print_note(f"answer_lost: it may have taken effect: {error}")
+        print_message(f"answer_lost: the call may have taken effect: {error}")
         return Exit.UNKNOWN
 
 
 def choose_style(context: typer.Context, output: Style | None) -> Style:
-    """Return the command's own style, else that of all commands."""
+    """Return the output style of the command, or else the one of all commands."""
     return output or context.obj.style
 
 
 def get_path(kind: str, name: str = "") -> str:
-    """Return the path of a resource or of all of a kind.
+    """Return the HTTP path of a resource, or of all resources of a kind.
 
     :param kind: in the singular or plural.
+    :raises typer.BadParameter: when the kind is unknown.
     """
     plural = PLURALS.get(kind, kind)
     if plural not in PLURALS.values():
@@ -83,28 +84,31 @@
 
 
 def check_reply(reply: Reply) -> None:
-    """End the command when the call did not do what was asked."""
+    """Print the problem and end the command when a call failed.
+
+    :raises typer.Exit: when the status is 300 or above.
+    """
     if reply.status < 300:
         return
     document = read_document(reply)
     print_problem(document)
     if reply.headers.get("Retry-After"):
-        print_note(f"come back in {reply.headers['Retry-After']} s")
+        print_message(f"retry after {reply.headers['Retry-After']} s")
     raise typer.Exit(find_exit(reply, document))
 
 
 def find_exit(reply: Reply, document: Any) -> Exit:
-    """Return the exit code of a call that was not done."""
+    """Return the exit code of a call that failed."""
     outcome = reply.outcome
     if not outcome and isinstance(document, dict):
         outcome = document.get("outcome", "")
     if reply.status >= 500 and not outcome:
         return Exit.UNKNOWN
-    return BY_OUTCOME.get(outcome, Exit.REFUSED)
+    return EXIT_BY_OUTCOME.get(outcome, Exit.REFUSED)
 
 
 def read_document(reply: Reply) -> Any:
-    """Decode a JSON body; any other is returned as text."""
+    """Return a JSON body decoded, and any other body as text."""
     if "json" in reply.headers.get("Content-Type", ""):
         return reply.read_json()
     return reply.body.decode(errors="replace")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line's own decisions, without a daemon."""
+"""Decisions of the command line that need no daemon."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 
 
 class RefusingClient:
-    """A client whose watches end at once and whose calls are refused."""
+    """A client whose watches end immediately and whose calls are refused."""
 
     def __init__(self) -> None:
         self.watches = 0
@@ -34,7 +34,7 @@
 
 
 class TestFollow(unittest.IsolatedAsyncioTestCase):
-    """Following a job to its end."""
+    """Following a job until it has ended."""
 
     async def test_refused_watch_ends_the_command_as_refused(self):
         client = RefusingClient()
@@ -45,18 +45,18 @@
 
 
 class TestPaths(unittest.TestCase):
-    """Names in paths."""
+    """HTTP paths of resources."""
 
     def test_names_are_quoted(self):
         self.assertEqual(get_path("jobs", "a/b?c"), "/v1/jobs/a%2Fb%3Fc")
 
-    def test_unknown_kind_is_wrong_usage(self):
+    def test_unknown_kind_is_a_usage_error(self):
         with self.assertRaises(typer.BadParameter):
             get_path("pods")
 
 
 class TestExits(unittest.TestCase):
-    """Exit codes by outcome."""
+    """Exit codes of outcomes."""
 
     def test_each_outcome_has_its_code(self):
         for outcome, code in (("failed", 1), ("refused", 3), ("unknown", 4)):
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -133,7 +133,7 @@
                 log.info("Again.", id="noisy")
             self.handler._second -= 1
             log.info("Later.", id="quiet")
-        told = [x for x in self.read() if x["message"] == explaining.LEFT_OUT]
+        told = [x for x in self.read() if x["message"] == explaining.LINES_OMITTED]
         self.assertTrue(told)
         self.assertIn("part: Again.", told[-1]["left_out"])
 
@@ -182,7 +182,7 @@
     def test_what_is_missing_is_told_as_a_gap(self):
         code, text = self.explain(
             write_line(2, "Ordered.", id="j1", step=0, tasks=[0, 1], attempt=3),
-            write_line(3, explaining.LEFT_OUT, dropped=4, left_out={}),
+            write_line(3, explaining.LINES_OMITTED, dropped=4, left_out={}),
             write_line(4, "A run has ended.", id="j1", task=[0, 0, 0], attempt=3),
         )
         self.assertEqual(code, 0)
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""``damaskdeck losses``: what late jobs waited for, told from lines of logs."""
+"""``damaskdeck losses``: what late jobs waited for, reconstructed from log lines."""
 
 import unittest
 
@@ -12,9 +12,12 @@
 def write_job(
     job: str, begin: int, end: int, durable: int, *runs: tuple[int, int, str, str]
 ) -> list[str]:
-    """Write a job's life of one step whose work took what its runs took.
+    """Return the log lines of a job of one step.
 
-    :param runs: begin, end, worker and outcome of each.
+    :param begin: second in which the job was accepted.
+    :param end: second in which the job ended.
+    :param durable: second in which its end was durable.
+    :param runs: begin, end, worker and outcome of each run.
     """
     lines = [write_line(begin, "Taken.", id=job, queue="quick")]
     for attempt, (since, until, worker, outcome) in enumerate(runs, 1):
@@ -41,21 +44,21 @@
 
 
 class TestLosses(unittest.TestCase):
-    """Seconds of late jobs, by what they waited for."""
+    """The seconds of late jobs by what the jobs waited for."""
 
     def split(self, *lines: str) -> dict[str, float]:
-        """Split the life of the one job that the lines tell of."""
+        """Return the seconds by cause of the only job in the lines."""
         read = sorted(read_lines(lines), key=lambda line: line.time)
-        (life,) = losses.read_lives(read)
-        return dict(losses.split_life(life, losses.read_history(read)))
+        (timeline,) = losses.read_timelines(read)
+        return dict(losses.split_by_cause(timeline, losses.read_history(read)))
 
-    def test_a_wait_for_room_and_for_the_store_are_told_apart(self):
+    def test_waits_for_capacity_and_for_the_store_are_distinguished(self):
         split = self.split(*write_job("j1", 1, 7, 9, (5, 7, "w1", "completed")))
         self.assertEqual(split["room, advice or order"], 4)
         self.assertEqual(split["work"], 2)
         self.assertEqual(split["end not durable"], 2)
 
-    def test_an_account_at_its_quota_is_told_apart(self):
+    def test_a_wait_for_the_quota_of_an_account_is_distinguished(self):
         lines = write_job("j1", 1, 7, 7, (5, 7, "w1", "completed"))
         lines[0] = write_line(1, "Taken.", id="j1", queue="quick", account="kiosk")
         held = write_line(2, "An account is held back.", account="kiosk", code="quota")
@@ -69,7 +72,7 @@
         result = CliRunner().invoke(app, ["losses"], input="\n".join(lines))
         self.assertIn("account kiosk: 1 jobs, 1 late", result.output)
 
-    def test_a_silent_worker_is_named_while_it_is_silent(self):
+    def test_time_on_a_silent_worker_is_counted_while_it_is_silent(self):
         split = self.split(
             *write_job(
                 "j1", 1, 9, 9, (1, 3, "w1", "completed"), (1, 9, "w2", "lapsed")
@@ -77,10 +80,12 @@
             write_line(3, "A worker does not answer.", worker="w2"),
             write_line(9, "A worker answers.", worker="w2"),
         )
-        noticed = losses.NOTICED_AFTER
-        self.assertAlmostEqual(split["lease of a silent worker"], 6 + noticed, 3)
+        detection_delay = losses.SILENCE_DETECTION_SECONDS
+        self.assertAlmostEqual(
+            split["lease of a silent worker"], 6 + detection_delay, 3
+        )
 
-    def test_a_run_is_over_that_is_lost_with_its_worker(self):
+    def test_a_run_that_is_lost_with_its_worker_has_ended(self):
         run = {"id": "j1", "attempt": 7}
         split = self.split(
             *write_job("j1", 1, 9, 9, (6, 9, "w1", "completed")),
@@ -88,12 +93,16 @@
             write_line(2, "A worker does not answer.", worker="w2"),
             write_line(5, "A run is lost with its worker.", task=[0, 0, 7], **run),
         )
-        noticed = losses.NOTICED_AFTER
-        self.assertAlmostEqual(split["lease of a silent worker"], 3 + noticed, 3)
-        self.assertAlmostEqual(split["run lost with its worker"], 1 - noticed, 3)
+        detection_delay = losses.SILENCE_DETECTION_SECONDS
+        self.assertAlmostEqual(
+            split["lease of a silent worker"], 3 + detection_delay, 3
+        )
+        self.assertAlmostEqual(
+            split["run lost with its worker"], 1 - detection_delay, 3
+        )
         self.assertEqual(split["work"], 3)
 
-    def test_the_time_without_an_owner_is_a_takeover(self):
+    def test_time_without_an_owner_is_counted_as_a_takeover(self):
         split = self.split(
             write_line(1, "Loaded.", epoch=1),
             *write_job("j1", 2, 8, 8, (6, 8, "w1", "completed")),
@@ -101,13 +110,13 @@
         )
         self.assertEqual(split["takeover"], 3)
 
-    def test_runs_that_failed_are_told(self):
+    def test_time_of_failed_runs_is_counted(self):
         split = self.split(
             *write_job("j1", 1, 5, 5, (1, 3, "w1", "failed"), (3, 5, "w2", "completed"))
         )
         self.assertEqual(split["run that failed"], 2)
 
-    def test_only_what_was_late_is_summed(self):
+    def test_only_late_jobs_are_summed(self):
         lines = [
             *write_job("j1", 1, 3, 3, (1, 3, "w1", "completed")),
             *write_job("j2", 1, 9, 9, (7, 9, "w1", "completed")),
@@ -119,6 +128,6 @@
         self.assertIn("j2", result.output)
         self.assertNotIn("j1", result.output)
 
-    def test_logs_without_jobs_are_said_so(self):
+    def test_logs_without_jobs_are_an_error(self):
         result = CliRunner().invoke(app, ["losses"], input="nothing")
         self.assertNotEqual(result.exit_code, 0)
