--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -22,7 +22,7 @@
 from damaskdeck.state.changehistory import HistoryReader
 from damaskdeck.state.configuration import Configuration
 from damaskdeck.state.versions import encode_resource, make_key
-from damaskdeck.transport.api.streams import list_lines
+from damaskdeck.transport.api.streams import stream_lines
 from standins.loops import LoopClock, run_virtual
 from standins.peers import PeerSwitch
 from standins.store import MemoryStore
@@ -348,7 +348,7 @@
     configuration, clock = Configuration(), LoopClock()
     configuration.apply_snapshot((), 0)
     lines = [
-        list_lines(
+        stream_lines(
             HistoryReader(configuration.history, 0, clock),
             Kind.WORKLOAD,
             lambda _: True,
--- a/src/damaskdeck/daemon.py
+++ b/src/damaskdeck/daemon.py
@@ -34,7 +34,7 @@
 from damaskdeck.transport.api.credentials import Credentials
 from damaskdeck.transport.api.server import ApiServer
 from damaskdeck.transport.instances import HttpInstanceList
-from damaskdeck.transport.listeners import open_listener, show_address
+from damaskdeck.transport.listeners import format_address, open_listener
 from damaskdeck.transport.peers import PeerNetwork
 from damaskdeck.transport.store import HttpStore
 from damaskdeck.transport.targets import HttpTargets
@@ -90,7 +90,7 @@
             lambda name: self.membership.find_address(name),
         )
         listener = open_listener(settings.host, settings.api_port)
-        self.api_address = show_address(listener)
+        self.api_address = format_address(listener)
         await self._network.start()
         self._build_coordination()
         self._build_planes()
--- a/src/damaskdeck/pooldaemon.py
+++ b/src/damaskdeck/pooldaemon.py
@@ -37,7 +37,7 @@
 from damaskdeck.state.jobrecords import MemberRecord
 from damaskdeck.transport.api.server import HttpServer
 from damaskdeck.transport.exporter import install_exporter, read_metrics
-from damaskdeck.transport.listeners import open_listener, show_address
+from damaskdeck.transport.listeners import format_address, open_listener
 from damaskdeck.transport.peers import PeerNetwork
 
 # Daemons of one deployment alone reach the internal ports; it tells versions apart.
@@ -173,7 +173,7 @@
         for address in addresses:
             host, _, port = address.rpartition(":")
             listeners.append(open_listener(host, int(port)))
-        shown = tuple(map(show_address, listeners))
+        shown = tuple(map(format_address, listeners))
         self.callers_address, self.ready_address, self.metrics_address = shown
         app = build_callers_app(
             self.frontend,
--- a/src/damaskdeck/transport/__init__.py
+++ b/src/damaskdeck/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Connections: HTTP in and out, and the streams between peers."""
+"""Network connections: HTTP servers and clients, and streams between daemons."""
--- a/src/damaskdeck/transport/api/__init__.py
+++ b/src/damaskdeck/transport/api/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP API for operators and callers."""
+"""The HTTP API for operators and for callers of services."""
--- a/src/damaskdeck/transport/api/answers.py
+++ b/src/damaskdeck/transport/api/answers.py
@@ -1,4 +1,4 @@
-"""Answers in JSON, lists in pages, and label selectors."""
+"""JSON answers, paged lists, and the parsing of query parameters."""
 
 import base64
 from collections.abc import Callable, Iterable, Mapping
@@ -12,27 +12,27 @@
 from damaskdeck.transport.api.problems import ProblemError
 from damaskdeck.transport.api.routes import Call
 
-PAGE_LIMIT = 500
+MAX_PAGE_LENGTH = 500
 
 
 def render_json(
     document: Any, status: int = 200, headers: Mapping[str, str] | None = None
 ) -> Response:
-    """Render a document."""
+    """Return an answer with a JSON document."""
     content = msgspec.json.encode(document)
     return Response(content, status, headers, "application/json")
 
 
 def render_resource(resource: Resource, status: int = 200) -> Response:
-    """Render a resource with its revision as entity tag."""
+    """Return an answer with a resource and its revision as entity tag."""
     revision = resource["metadata"].get("revision", 0)
     return render_json(resource, status, {"ETag": f'"{revision}"'})
 
 
 def render_list(items: Iterable[Any], revision: int, after: str) -> Response:
-    """Render a page.
+    """Return an answer with one page of a list.
 
-    :param after: the name after which the next page starts, if there is one.
+    :param after: name after which the next page starts; empty on the last page.
     """
     metadata: dict[str, Any] = {"revision": revision}
     if after:
@@ -41,11 +41,14 @@
 
 
 def read_page(call: Call) -> tuple[int, str]:
-    """Return the page's length and the name after which it starts."""
-    limit = read_number(call, "limit", PAGE_LIMIT)
+    """Return the length of the page and the name after which it starts.
+
+    :raises ProblemError: ``bad_parameter``.
+    """
+    limit = read_number(call, "limit", MAX_PAGE_LENGTH)
     token = call.query("continue")
-    if not 1 <= limit <= PAGE_LIMIT:
-        raise ProblemError("bad_parameter", f"limit: 1 to {PAGE_LIMIT}")
+    if not 1 <= limit <= MAX_PAGE_LENGTH:
+        raise ProblemError("bad_parameter", f"limit: 1 to {MAX_PAGE_LENGTH}")
     try:
         return limit, base64.urlsafe_b64decode(token).decode()
     except ValueError as error:
@@ -55,7 +58,10 @@
 
 
 def read_number(call: Call, name: str, default: int) -> int:
-    """Return a query parameter that is a whole number."""
+    """Return a query parameter that is a whole number.
+
+    :raises ProblemError: ``bad_parameter`` when it isn't one.
+    """
     text = call.query(name)
     if not text:
         return default
@@ -66,13 +72,19 @@
 
 
 def parse_number(text: str) -> int | None:
-    """Return a whole number, ``None`` when it isn't one that the store could give."""
+    """Return a whole number, or ``None`` for any other text.
+
+    Numbers of 19 digits and more are refused, because the store gives no such revision.
+    """
     is_number = text.isascii() and text.isdigit() and len(text) < 19
     return int(text) if is_number else None
 
 
 def read_flag(call: Call, name: str) -> bool:
-    """Return a query parameter that is true or false."""
+    """Return a query parameter that is ``true`` or ``false``; the default is false.
+
+    :raises ProblemError: ``bad_parameter`` for any other value.
+    """
     text = call.query(name, "false")
     if text not in ("true", "false"):
         raise ProblemError("bad_parameter", f"{name}: must be true or false")
@@ -80,28 +92,35 @@
 
 
 def read_selector(call: Call) -> Selector:
-    """Return a test of labels, as in ``app=maps,tier!=test,owner,!old``."""
+    """Return the predicate of a label selector like ``app=maps,tier!=test,owner,!old``.
+
+    A resource is selected if all terms hold; ``owner`` holds if the label exists and
+    ``!old`` if it doesn't.
+    """
     terms = [term.strip() for term in call.query("selector").split(",")]
-    tests = [_read_term(term) for term in terms if term]
+    predicates = [_parse_term(term) for term in terms if term]
 
     def select(resource: Resource) -> bool:
         labels = resource["metadata"].get("labels", {})
-        return all(test(labels) for test in tests)
+        return all(matches(labels) for matches in predicates)
 
     return select
 
 
 def render_page(call: Call, resources: Iterable[Resource], revision: int) -> Response:
-    """Render the page of sorted resources that a call asks for."""
+    """Return an answer with the requested page of resources.
+
+    :param resources: all resources, sorted by name.
+    """
     limit, after = read_page(call)
     select = read_selector(call)
-    found = [r for r in resources if r["metadata"]["name"] > after and select(r)]
-    page = found[:limit]
-    last = page[-1]["metadata"]["name"] if len(found) > limit else ""
+    remaining = [r for r in resources if r["metadata"]["name"] > after and select(r)]
+    page = remaining[:limit]
+    last = page[-1]["metadata"]["name"] if len(remaining) > limit else ""
     return render_list(page, revision, last)
 
 
-def _read_term(term: str) -> Callable[[Mapping[str, str]], bool]:
+def _parse_term(term: str) -> Callable[[Mapping[str, str]], bool]:
     if "!=" in term:
         name, _, value = (part.strip() for part in term.partition("!="))
         return lambda labels: labels.get(name) != value
--- a/src/damaskdeck/transport/api/app.py
+++ b/src/damaskdeck/transport/api/app.py
@@ -1,4 +1,4 @@
-"""The application that serves the API."""
+"""The ASGI application of the API."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -24,6 +24,7 @@
 from damaskdeck.transport.api.routes import ROUTES, Context, Route, serve_call
 from damaskdeck.transport.exporter import install_exporter
 
+# Importing these modules registers their routes.
 MODULES = (callers, observed, openapi, resources, status)
 
 
@@ -43,12 +44,12 @@
 ) -> Starlette:
     """Build the application.
 
-    :param read_status: further members of ``GET /v1/status``.
-    :param is_ready: whether the balancer may send calls here; the relay's
-        readiness unless given.
-    :param body_limit: longest body, in bytes.
-    :param request_timeout: of requests that don't carry one.
-    :param watch_limit: watches that run at a time.
+    :param read_status: returns additional members of ``GET /v1/status``.
+    :param is_ready: returns whether the load balancer may send calls to this daemon;
+        defaults to the readiness of the relay.
+    :param body_limit: maximum length of a body, in bytes.
+    :param request_timeout: timeout of requests without ``Request-Timeout``.
+    :param watch_limit: maximum number of concurrent watches.
     """
     install_exporter()
     context = Context(
@@ -85,7 +86,7 @@
 
 
 async def _render_http_error(request: Request, error: Exception) -> Response:
-    is_method = isinstance(error, HTTPException) and error.status_code == 405
+    is_method_error = isinstance(error, HTTPException) and error.status_code == 405
     return render_problem(
-        ProblemError("method_not_allowed" if is_method else "no_such_path")
+        ProblemError("method_not_allowed" if is_method_error else "no_such_path")
     )
--- a/src/damaskdeck/transport/api/callers.py
+++ b/src/damaskdeck/transport/api/callers.py
@@ -1,4 +1,4 @@
-"""Callers' requests to services and their jobs."""
+"""Routes for callers: requests to services, and jobs."""
 
 import asyncio
 import base64
@@ -36,10 +36,10 @@
 )
 from damaskdeck.transport.api.streams import LineStream
 
-KEY_LIMIT = 128
-LONGEST_TIMEOUT = timedelta(hours=1)
-SHORTEST_POLL = timedelta(milliseconds=200)
-LONGEST_POLL = timedelta(seconds=2)
+MAX_KEY_LENGTH = 128
+MAX_TIMEOUT = timedelta(hours=1)
+MIN_POLL_INTERVAL = timedelta(milliseconds=200)
+MAX_POLL_INTERVAL = timedelta(seconds=2)
 
 T = TypeVar("T")
 
@@ -58,7 +58,7 @@
     request = ServiceRequest(
         identifier=uuid.uuid4().hex,
         service=call.path("name"),
-        team=_pick_team(call, call.path("name")),
+        team=_select_team(call, call.path("name")),
         timeout=_read_timeout(call),
         key=_read_key(call),
         urgency=_read_urgency(call),
@@ -90,15 +90,15 @@
     workload = call.context.configuration.get(Kind.WORKLOAD, name)
     if workload is None:
         raise ProblemError("no_such_workload", f"workload {name!r}")
-    team = _pick_team(call, name)
+    team = _select_team(call, name)
     if team != workload["spec"]["team"]:
-        raise ProblemError("wrong_team", f"workload {name!r} is of another team")
+        raise ProblemError("wrong_team", f"workload {name!r} belongs to another team")
     key, payload = _read_key(call), await call.read_body()
     view = await call.context.jobs.submit_job(Submission(name, team, payload, key))
     if isinstance(view, Refused | Unknown):
         raise make_problem(view)
     location = {"Location": f"/v1/jobs/{view.name}"}
-    return render_json(describe_job(view), 202, location)
+    return render_json(build_job_resource(view), 202, location)
 
 
 @route(
@@ -111,14 +111,14 @@
 async def list_jobs(call: Call) -> Response:
     """List jobs in order of name; callers see those of their team."""
     limit, after = read_page(call)
-    own = call.caller.team if call.caller else ""
-    team = own or call.query("team")
+    caller_team = call.caller.team if call.caller else ""
+    team = caller_team or call.query("team")
     views = await call.context.jobs.list_jobs(team, after, limit)
     if isinstance(views, Refused | Unknown):
         raise make_problem(views)
     last = views[-1].name if len(views) >= limit else ""
     revision = max((view.revision for view in views), default=0)
-    return render_list([describe_job(view) for view in views], revision, last)
+    return render_list([build_job_resource(view) for view in views], revision, last)
 
 
 @route(
@@ -134,7 +134,7 @@
     if read_flag(call, "watch"):
         lines = _watch_job(call, view, read_number(call, "revision", -1))
         return LineStream(lines, call.context)
-    return render_resource(describe_job(view))
+    return render_resource(build_job_resource(view))
 
 
 @route("DELETE", "/v1/jobs/{name}", Role.TEAM, Role.OPERATOR)
@@ -144,11 +144,14 @@
     cancelled = await call.context.jobs.cancel_job(view.name)
     if isinstance(cancelled, Refused | Unknown):
         raise make_problem(cancelled)
-    return render_resource(describe_job(cancelled))
+    return render_resource(build_job_resource(cancelled))
 
 
-def describe_job(view: JobView) -> Resource:
-    """Show a job as a resource; results in base64, as they may be any bytes."""
+def build_job_resource(view: JobView) -> Resource:
+    """Return a job as a resource.
+
+    Results are encoded in base64, because they may be arbitrary bytes.
+    """
     status: dict[str, Any] = {"state": view.state.value}
     if view.code:
         status["code"] = view.code
@@ -167,12 +170,16 @@
 
 
 async def _read_job(call: Call) -> JobView:
+    """Return the job in the path, if the caller may see it.
+
+    A job of another team is reported as ``no_such_job``.
+    """
     name = call.path("name")
     view = await call.context.jobs.read_job(name)
     if isinstance(view, Refused | Unknown):
         raise make_problem(view)
-    own = call.caller.team if call.caller else ""
-    if own and own != view.team:
+    caller_team = call.caller.team if call.caller else ""
+    if caller_team and caller_team != view.team:
         raise ProblemError("no_such_job", f"job {name!r}")
     return view
 
@@ -180,40 +187,47 @@
 async def _watch_job(
     call: Call, view: JobView, after: int
 ) -> AsyncGenerator[dict[str, Any], None]:
-    context, shown, poll = call.context, None, SHORTEST_POLL
+    """Yield the lines of a watch until the job has ended.
+
+    The interval between two reads doubles while the job doesn't change.
+    """
+    context, last_sent, interval = call.context, None, MIN_POLL_INTERVAL
     while True:
-        if view != shown and (view.revision > after or shown is not None):
-            yield {"type": "MODIFIED", "resource": describe_job(view)}
-            poll = SHORTEST_POLL
+        if view != last_sent and (view.revision > after or last_sent is not None):
+            yield {"type": "MODIFIED", "resource": build_job_resource(view)}
+            interval = MIN_POLL_INTERVAL
         else:
             yield {"type": "BOOKMARK", "revision": view.revision}
-        shown = view
+        last_sent = view
         if view.state in FINAL_JOB_STATES:
             return
-        await context.clock.sleep(poll)
-        poll = min(2 * poll, LONGEST_POLL)
+        await context.clock.sleep(interval)
+        interval = min(2 * interval, MAX_POLL_INTERVAL)
         found = await context.jobs.read_job(view.name)
         if isinstance(found, JobView):
             view = found
 
 
 async def _run_while_connected(call: Call, work: Coroutine[Any, Any, T]) -> T:
-    """Await ``work``, but cancel it when its caller leaves."""
+    """Return the result of ``work``, but cancel it if the caller disconnects.
+
+    :raises ClientDisconnect: when the caller has disconnected.
+    """
     task = asyncio.ensure_future(work)
-    gone = asyncio.ensure_future(wait_for_disconnect(call.request.receive))
+    disconnected = asyncio.ensure_future(wait_for_disconnect(call.request.receive))
     try:
-        await asyncio.wait({task, gone}, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait({task, disconnected}, return_when=asyncio.FIRST_COMPLETED)
         if task.done():
             return task.result()
         raise ClientDisconnect
     finally:
-        gone.cancel()
+        disconnected.cancel()
         task.cancel()
-        await asyncio.wait({task, gone})
+        await asyncio.wait({task, disconnected})
 
 
-def _pick_team(call: Call, workload: str) -> str:
-    """Return the caller's team; operators act for the workload's team."""
+def _select_team(call: Call, workload: str) -> str:
+    """Return the caller's team, or the workload's team for operators."""
     if call.caller and call.caller.team:
         return call.caller.team
     resource = call.context.configuration.get(Kind.WORKLOAD, workload)
@@ -222,8 +236,8 @@
 
 def _read_key(call: Call) -> str:
     key = call.header("idempotency-key")
-    if len(key) > KEY_LIMIT or not key.isascii() or not key.isprintable():
-        detail = f"Idempotency-Key: at most {KEY_LIMIT} printable characters"
+    if len(key) > MAX_KEY_LENGTH or not key.isascii() or not key.isprintable():
+        detail = f"Idempotency-Key: at most {MAX_KEY_LENGTH} printable characters"
         raise ProblemError("bad_header", detail)
     return key
 
@@ -236,10 +250,10 @@
         timeout = timedelta(seconds=float(text))
     except (ValueError, OverflowError):
         timeout = timedelta()
-    if not timedelta() < timeout <= LONGEST_TIMEOUT:
-        longest = LONGEST_TIMEOUT.total_seconds()
+    if not timedelta() < timeout <= MAX_TIMEOUT:
+        max_seconds = MAX_TIMEOUT.total_seconds()
         raise ProblemError(
-            "bad_header", f"Request-Timeout: seconds, at most {longest:g}"
+            "bad_header", f"Request-Timeout: seconds, at most {max_seconds:g}"
         )
     return timeout
 
--- a/src/damaskdeck/transport/api/credentials.py
+++ b/src/damaskdeck/transport/api/credentials.py
@@ -1,4 +1,4 @@
-"""Bearer tokens and the roles that they give."""
+"""Bearer tokens and the roles that they grant."""
 
 import hashlib
 import hmac
@@ -8,16 +8,16 @@
 
 
 class Role(StrEnum):
-    """Who may call a route."""
+    """A role that a route requires of its callers."""
 
     OPERATOR = "operator"
     TEAM = "team"
 
 
 class Caller(NamedTuple):
-    """Whose token a call carries.
+    """The operator or team that a call's token identifies.
 
-    :param team: the caller's team; empty for operators.
+    :param team: name of the caller's team; empty for operators.
     """
 
     role: Role
@@ -25,9 +25,12 @@
 
 
 class Credentials:
-    """The tokens that are valid; all are compared, each in constant time.
+    """The valid tokens.
 
-    :param teams: token of each team by its name.
+    A token is compared with all of them, each in constant time, so that the time of the
+    check does not depend on which token matches.
+
+    :param teams: tokens of the teams, by name of the team.
     """
 
     def __init__(self, operator_token: str, teams: Mapping[str, str]) -> None:
@@ -36,17 +39,17 @@
             self._callers.append((_digest(token), Caller(Role.TEAM, team)))
 
     def find_caller(self, authorization: str) -> Caller | None:
-        """Return whose token it is.
+        """Return the caller with a token, ``None`` when the token is not valid.
 
-        :param authorization: the header's value.
+        :param authorization: value of the header ``Authorization``.
         """
         scheme, _, token = authorization.partition(" ")
         if scheme.lower() != "bearer":
             return None
-        given = _digest(token.strip())
+        token_digest = _digest(token.strip())
         found = None
         for digest, caller in self._callers:
-            if hmac.compare_digest(given, digest):
+            if hmac.compare_digest(token_digest, digest):
                 found = caller
         return found
 
--- a/src/damaskdeck/transport/api/observed.py
+++ b/src/damaskdeck/transport/api/observed.py
@@ -1,4 +1,4 @@
-"""Observed resources, which nobody declares: tasks, workers and targets."""
+"""Routes of observed resources, which are not declared: tasks, workers, targets."""
 
 from starlette.responses import Response
 
@@ -11,7 +11,7 @@
     render_resource,
 )
 from damaskdeck.transport.api.credentials import Role
-from damaskdeck.transport.api.polls import list_changes
+from damaskdeck.transport.api.polls import stream_changes
 from damaskdeck.transport.api.problems import ProblemError, make_problem
 from damaskdeck.transport.api.routes import Call, route
 from damaskdeck.transport.api.streams import LineStream
@@ -20,7 +20,7 @@
 
 
 def register_kind(plural: str, kind: Kind) -> None:
-    """Register the routes of one observed kind."""
+    """Register the routes of a kind of observed resource."""
     parameters = ("watch", "selector", "limit", "continue")
 
     @route("GET", f"/v1/{plural}", Role.OPERATOR, parameters=parameters)
@@ -31,7 +31,7 @@
         return render_page(call, await _read(call, kind), 0)
 
     @route("GET", f"/v1/{plural}/{{name}}", Role.OPERATOR, parameters=("watch",))
-    async def get_one(call: Call) -> Response:
+    async def get_resource(call: Call) -> Response:
         """Read an observed resource, or watch it."""
         name = call.path("name")
         if read_flag(call, "watch"):
@@ -51,7 +51,7 @@
 
 def _watch(call: Call, kind: Kind, name: str = "") -> LineStream:
     context, select = call.context, read_selector(call)
-    lines = list_changes(context.pollers[kind], context.clock, select, name)
+    lines = stream_changes(context.pollers[kind], context.clock, select, name)
     return LineStream(lines, context)
 
 
--- a/src/damaskdeck/transport/api/openapi.py
+++ b/src/damaskdeck/transport/api/openapi.py
@@ -1,4 +1,4 @@
-"""The OpenAPI description, made from the registry of routes."""
+"""The OpenAPI description of the API, generated from the registered routes."""
 
 from functools import cache
 from typing import Any
@@ -15,7 +15,7 @@
     WorkloadSpec,
 )
 from damaskdeck.transport.api.answers import render_json
-from damaskdeck.transport.api.problems import CODES, PROBLEM_TYPE
+from damaskdeck.transport.api.problems import CODES, PROBLEM_MEDIA_TYPE
 from damaskdeck.transport.api.routes import ROUTES, Call, Route, route
 
 PARAMETERS = {
@@ -32,7 +32,7 @@
     "Urgency": "urgent, high, normal or low",
     "Idempotent": "true: the request may be repeated",
 }
-REFERENCE = "#/components/schemas/{name}"
+SCHEMA_REFERENCE = "#/components/schemas/{name}"
 
 
 @route("GET", "/openapi.json")
@@ -43,7 +43,7 @@
 
 @cache
 def describe_api() -> dict[str, Any]:
-    """Describe all registered routes."""
+    """Return the OpenAPI description of all registered routes."""
     paths: dict[str, dict[str, Any]] = {}
     for entry in ROUTES:
         paths.setdefault(entry.path, {})[entry.method.lower()] = _describe(entry)
@@ -78,10 +78,11 @@
             {"name": "name", "in": "path", "required": True, "schema": text}
         )
     for name in entry.parameters:
-        place = "header" if name[0].isupper() else "query"
-        detail = PARAMETERS[name]
+        # Names of headers begin with a capital letter, those of parameters do not.
+        location = "header" if name[0].isupper() else "query"
+        description = PARAMETERS[name]
         described.append(
-            {"name": name, "in": place, "description": detail, "schema": text}
+            {"name": name, "in": location, "description": description, "schema": text}
         )
     return described
 
@@ -90,10 +91,10 @@
     answers: dict[str, Any] = {
         str(status): {"description": text} for status, text in entry.answers.items()
     }
-    schema = {"$ref": REFERENCE.format(name="Problem")}
+    schema = {"$ref": SCHEMA_REFERENCE.format(name="Problem")}
     answers["default"] = {
         "description": "A problem; see its code",
-        "content": {PROBLEM_TYPE: {"schema": schema}},
+        "content": {PROBLEM_MEDIA_TYPE: {"schema": schema}},
     }
     return answers
 
@@ -103,18 +104,18 @@
         return {"*/*": {}}
     if entry.body == "MergePatch":
         return {"application/merge-patch+json": {"schema": {"type": "object"}}}
-    schema = {"$ref": REFERENCE.format(name=entry.body.capitalize())}
+    schema = {"$ref": SCHEMA_REFERENCE.format(name=entry.body.capitalize())}
     return {"application/json": {"schema": schema}}
 
 
 def _make_schemas() -> dict[str, Any]:
     specs = {Kind.TEAM: TeamSpec, Kind.WORKLOAD: WorkloadSpec, Kind.POLICY: PolicySpec}
     _, schemas = msgspec.json.schema_components(
-        [Resource, *specs.values()], ref_template=REFERENCE
+        [Resource, *specs.values()], ref_template=SCHEMA_REFERENCE
     )
     for kind, spec in specs.items():
         declared = dict(schemas["Resource"])
-        reference = {"$ref": REFERENCE.format(name=spec.__name__)}
+        reference = {"$ref": SCHEMA_REFERENCE.format(name=spec.__name__)}
         declared["properties"] = {**declared["properties"], "spec": reference}
         schemas[kind.capitalize()] = declared | {"required": ["spec"]}
     schemas["Problem"] = _make_problem_schema()
--- a/src/damaskdeck/transport/api/polls.py
+++ b/src/damaskdeck/transport/api/polls.py
@@ -1,4 +1,4 @@
-"""Watches of observed resources, by reading them again and again for all watchers."""
+"""Watches of observed resources, based on periodic reads that all watchers share."""
 
 import asyncio
 from collections.abc import AsyncGenerator, Callable, Mapping
@@ -11,17 +11,19 @@
 from damaskdeck.protocol.resources import Kind, Resource
 from damaskdeck.transport.api.problems import make_problem
 
-SHORTEST_PAUSE = timedelta(seconds=1)
+MIN_PAUSE = timedelta(seconds=1)
 BOOKMARK_INTERVAL = timedelta(seconds=10)
-DUTY = 10
+# Pause between two reads, as a multiple of the duration of a read.
+PAUSE_FACTOR = 10
 
 Selector = Callable[[Resource], bool]
 
 
 class Reading(NamedTuple):
-    """What was read.
+    """The result of one read.
 
-    :param number: rises with each reading.
+    :param number: increases with each read.
+    :param answer: resources by name, or the refusal of the read.
     """
 
     number: int
@@ -29,51 +31,54 @@
 
 
 class Poller:
-    """Reads the resources of one kind while somebody watches.
+    """Reads the resources of one kind periodically while there are watchers.
 
-    All watchers share a reading. The pause between two grows with the time
-    that a reading takes, so that it never takes more than a tenth of the time.
+    All watchers share the readings. The pause between two reads grows with the duration
+    of a read, so that reads never take more than a tenth of the time.
     """
 
     def __init__(self, resources: ResourceReader, kind: Kind, clock: Clock) -> None:
         self._resources = resources
         self._kind = kind
         self._clock = clock
-        self._last = Reading(0, {})
-        self._next = clock.monotonic()
+        self._last_reading = Reading(0, {})
+        self._next_read_at = clock.monotonic()
         self._task: asyncio.Task[Reading] | None = None
 
-    async def read(self, seen: int) -> Reading:
-        """Return a fresh reading other than the one with the number ``seen``."""
-        last = self._last
-        if last.number != seen and self._clock.monotonic() < self._next:
+    async def read(self, seen_number: int) -> Reading:
+        """Return a current reading whose number is not ``seen_number``."""
+        last = self._last_reading
+        if last.number != seen_number and self._clock.monotonic() < self._next_read_at:
             return last
         if self._task is None or self._task.done():
             self._task = asyncio.ensure_future(self._read())
         return await asyncio.shield(self._task)
 
     async def _read(self) -> Reading:
-        await self._clock.sleep(self._next - self._clock.monotonic())
-        began = self._clock.monotonic()
+        await self._clock.sleep(self._next_read_at - self._clock.monotonic())
+        started_at = self._clock.monotonic()
         found = await self._resources.list_resources(self._kind)
         now = self._clock.monotonic()
-        self._next = now + max(SHORTEST_PAUSE, DUTY * (now - began))
+        self._next_read_at = now + max(MIN_PAUSE, PAUSE_FACTOR * (now - started_at))
         if not isinstance(found, Refused):
             found = {resource["metadata"]["name"]: resource for resource in found}
-        self._last = Reading(self._last.number + 1, found)
-        return self._last
+        self._last_reading = Reading(self._last_reading.number + 1, found)
+        return self._last_reading
 
 
-async def list_changes(
+async def stream_changes(
     poller: Poller, clock: Clock, select: Selector, name: str = ""
 ) -> AsyncGenerator[dict[str, Any], None]:
-    """Yield what there is and then what changes, as lines of a watch.
+    """Yield the existing resources and then their changes, as lines of a watch.
 
-    A bookmark tells that everything read so far was sent; there is nothing to
-    resume from, as the next watch starts with what there is then.
+    A bookmark means that everything read so far was sent. Its revision is always 0,
+    because a watch can't be resumed: the next one begins with all resources that exist
+    then.
+
+    :param name: yield only the resource of this name; an empty string means all.
     """
-    shown: dict[str, Resource] = {}
-    marked: timedelta | None = None
+    previous: dict[str, Resource] = {}
+    bookmarked_at: timedelta | None = None
     reading = Reading(0, {})
     while True:
         reading = await poller.read(reading.number)
@@ -86,23 +91,23 @@
             for key, resource in sorted(reading.answer.items())
             if name in ("", key) and select(resource)
         }
-        for line in compare(shown, current):
+        for line in compare_readings(previous, current):
             yield line
-        shown, now = current, clock.monotonic()
-        if marked is None or now - marked >= BOOKMARK_INTERVAL:
-            marked = now
+        previous, now = current, clock.monotonic()
+        if bookmarked_at is None or now - bookmarked_at >= BOOKMARK_INTERVAL:
+            bookmarked_at = now
             yield {"type": "BOOKMARK", "revision": 0}
 
 
-def compare(
+def compare_readings(
     before: Mapping[str, Resource], after: Mapping[str, Resource]
 ) -> list[dict[str, Any]]:
-    """Return the lines that lead from one reading to the next."""
+    """Return the changes between two readings as lines of a watch."""
     lines = []
     for key, resource in after.items():
         if key not in before:
             lines.append({"type": "ADDED", "resource": resource})
         elif before[key] != resource:
             lines.append({"type": "MODIFIED", "resource": resource})
-    gone = [before[key] for key in before if key not in after]
-    return lines + [{"type": "DELETED", "resource": resource} for resource in gone]
+    deleted = [before[key] for key in before if key not in after]
+    return lines + [{"type": "DELETED", "resource": resource} for resource in deleted]
--- a/src/damaskdeck/transport/api/routes.py
+++ b/src/damaskdeck/transport/api/routes.py
@@ -1,4 +1,4 @@
-"""The registry of routes and what happens around each call."""
+"""The registry of routes, and the processing that all calls share."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping
@@ -22,20 +22,23 @@
 from damaskdeck.transport.api.problems import ProblemError, render_problem
 
 BODY_TIMEOUT_SECONDS = 30
-NESTING_LIMIT = 32
-GONE_STATUS = 499
+MAX_NESTING = 32
+# Status of calls whose client has disconnected; it is never received.
+CLIENT_CLOSED_STATUS = 499
 
 _log = get_logger("api")
 
 
 class Context(NamedTuple):
-    """What the routes work with.
-
-    :param pollers: by observed kind, for its watchers.
-    :param read_status: further members of ``GET /v1/status``.
-    :param is_ready: whether the balancer may send calls here.
-    :param watch_slots: one is held by each running watch.
-    :param stopping: set once the server is about to stop.
+    """The objects that the routes work with.
+
+    :param pollers: pollers of observed resources, by kind.
+    :param read_status: returns additional members of ``GET /v1/status``.
+    :param is_ready: returns whether the load balancer may send calls to this daemon.
+    :param body_limit: maximum length of a body, in bytes.
+    :param request_timeout: timeout of requests without ``Request-Timeout``.
+    :param stopping: set when the server begins to stop.
+    :param watch_slots: each running watch holds one slot.
     """
 
     configuration: Configuration
@@ -57,7 +60,7 @@
 class Call(NamedTuple):
     """One call of a route.
 
-    :param caller: ``None`` on a route that is open to all.
+    :param caller: ``None`` on routes without a credential.
     """
 
     request: Request
@@ -65,7 +68,7 @@
     caller: Caller | None
 
     def path(self, name: str) -> str:
-        """Return a parameter of the path."""
+        """Return a path parameter."""
         return self.request.path_params[name]
 
     def query(self, name: str, default: str = "") -> str:
@@ -77,7 +80,10 @@
         return self.request.headers.get(name, default)
 
     async def read_body(self) -> bytes:
-        """Read the body within its limits."""
+        """Return the body.
+
+        :raises ProblemError: ``body_too_large`` or ``body_timeout``.
+        """
         limit = self.context.body_limit
         length = self.header("content-length", "0")
         if length.isdigit() and int(length) > limit:
@@ -89,13 +95,16 @@
             raise ProblemError("body_timeout") from error
 
     async def read_json(self) -> Any:
-        """Read the body as JSON."""
+        """Return the decoded JSON body.
+
+        :raises ProblemError: ``bad_json`` and those of :meth:`read_body`.
+        """
         try:
             document = msgspec.json.decode(await self.read_body())
         except DECODE_ERRORS as error:
             raise ProblemError("bad_json", str(error)) from error
-        if _is_deep(document):
-            raise ProblemError("bad_json", f"at most {NESTING_LIMIT} levels deep")
+        if _is_too_deep(document):
+            raise ProblemError("bad_json", f"at most {MAX_NESTING} levels deep")
         return document
 
     async def _read_chunks(self, limit: int) -> bytes:
@@ -113,10 +122,10 @@
 class Route(NamedTuple):
     """A route and its description.
 
-    :param roles: who may call it; empty: everybody, without a credential.
-    :param parameters: names of query parameters and headers it reads.
-    :param body: name of the schema of its body, if it reads one.
-    :param answers: description of each status that is not a problem.
+    :param roles: roles that may call the route; if empty, no credential is needed.
+    :param parameters: names of the query parameters and headers that the route reads.
+    :param body: name of the schema of its body; empty if it reads none.
+    :param answers: descriptions of the answers that are not problems, by status.
     """
 
     method: str
@@ -140,26 +149,29 @@
     body: str = "",
     answers: Mapping[int, str] | None = None,
 ) -> Callable[[Endpoint], Endpoint]:
-    """Register a route; its summary is the first line of the docstring."""
+    """Register a route; the first line of its docstring is its summary."""
 
     def register(endpoint: Endpoint) -> Endpoint:
         summary = (endpoint.__doc__ or "").strip().splitlines()[0]
-        told = answers or {200: "Done"}
+        documented = answers or {200: "Done"}
         ROUTES.append(
-            Route(method, path, endpoint, roles, summary, parameters, body, told)
+            Route(method, path, endpoint, roles, summary, parameters, body, documented)
         )
         return endpoint
 
     return register
 
 
-def _is_deep(document: Any) -> bool:
-    """Tell whether a document has more levels than any resource needs."""
+def _is_too_deep(document: Any) -> bool:
+    """Return whether a document is nested more deeply than any resource."""
     level = [document] if isinstance(document, dict | list) else []
-    for _ in range(NESTING_LIMIT):
-        parts = [each.values() if isinstance(each, dict) else each for each in level]
+    for _ in range(MAX_NESTING):
+        groups = [
+            container.values() if isinstance(container, dict) else container
+            for container in level
+        ]
         level = [
-            item for part in parts for item in part if isinstance(item, dict | list)
+            item for group in groups for item in group if isinstance(item, dict | list)
         ]
         if not level:
             return False
@@ -167,13 +179,16 @@
 
 
 def require_loaded(call: Call) -> None:
-    """Refuse a call that this daemon can't judge yet."""
+    """Check that this daemon has loaded the configuration.
+
+    :raises ProblemError: ``not_ready``.
+    """
     if not call.context.relay.is_ready:
-        raise ProblemError("not_ready", "the configuration hasn't come yet")
+        raise ProblemError("not_ready", "the configuration is not loaded yet")
 
 
 async def wait_for_disconnect(receive: Receive) -> None:
-    """Return once the caller has left; the body must have been read."""
+    """Wait until the client has disconnected; the body must have been read."""
     while (await receive())["type"] != "http.disconnect":
         pass
 
@@ -181,8 +196,8 @@
 async def serve_call(entry: Route, context: Context, request: Request) -> Response:
     """Check the credential, run the endpoint and render its problems.
 
-    While the daemon isn't ready, as when it drains, each answer ends its
-    connection, so that no later request meets the server's end on it.
+    While the daemon isn't ready, as when it drains, each answer closes its connection.
+    Otherwise a later request on the connection could fail when the server stops.
     """
     try:
         caller = _authorize(entry, context, request)
@@ -190,9 +205,11 @@
     except ProblemError as problem:
         response = render_problem(problem)
     except ClientDisconnect:
-        response = Response(status_code=GONE_STATUS)
+        response = Response(status_code=CLIENT_CLOSED_STATUS)
     except Exception as error:
-        _log.error("A call failed.", path=entry.path, error=repr(error))
+        _log.error(
+            "An API call raised an exception.", path=entry.path, error=repr(error)
+        )
         detail = "see the daemon's log"
         response = render_problem(ProblemError("internal", detail, "unknown"))
     if context.stopping.is_set() or not context.is_ready():
--- a/src/damaskdeck/transport/api/server.py
+++ b/src/damaskdeck/transport/api/server.py
@@ -1,4 +1,4 @@
-"""Serves the application over HTTP inside the running event loop."""
+"""The HTTP server, which runs in the current event loop."""
 
 import asyncio
 import contextlib
@@ -11,11 +11,12 @@
 import uvicorn
 
 from damaskdeck import defaults
-from damaskdeck.transport.listeners import open_listener, show_address
+from damaskdeck.transport.listeners import format_address, open_listener
 
 if TYPE_CHECKING:
     from starlette.applications import Starlette
 
+# The server updates its date header at this interval.
 TICK_SECONDS = 1
 
 logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)
@@ -28,12 +29,12 @@
         self.must_stop = asyncio.Event()
 
     async def startup(self, sockets: list[socket.socket] | None = None) -> None:
-        """Start and say so."""
+        """Start, and set the event."""
         await super().startup(sockets)
         self.has_started.set()
 
     async def main_loop(self) -> None:
-        """Keep the date header current, and end as soon as it is asked for."""
+        """Keep the date header current until the server must stop."""
         while not self.must_stop.is_set():
             await self.on_tick(0)
             with contextlib.suppress(TimeoutError):
@@ -42,18 +43,18 @@
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leave signals to the daemon."""
+        """Install no signal handlers, because the daemon handles signals."""
         yield
 
 
 class HttpServer:
     """Serves an ASGI application on bound sockets.
 
-    Promise: "A graceful shutdown of an instance or process cuts off no request
+    Guarantee: "A graceful shutdown of an instance or process cuts off no request
     in progress."
 
-    :param grace: how long requests in progress may last once stopped.
-    :param keep_alive: how long an idle connection is kept.
+    :param grace: time that requests in progress have to finish after a stop.
+    :param keep_alive: time after which an idle connection is closed.
     """
 
     def __init__(
@@ -82,7 +83,7 @@
         await self._server.has_started.wait()
 
     async def run(self) -> None:
-        """Serve until cancelled, then stop gracefully."""
+        """Serve until cancelled, then shut down gracefully."""
         if self._task is None:
             await self.start()
         try:
@@ -91,7 +92,7 @@
             await self.stop()
 
     async def stop(self) -> None:
-        """Let requests in progress end, and close."""
+        """Wait for requests in progress and close the server."""
         self._server.must_stop.set()
         if self._task is not None:
             await self._task
@@ -100,8 +101,8 @@
 class ApiServer(HttpServer):
     """The HTTP server of one daemon's API.
 
-    :param port: 0 takes a free one; see :attr:`address`.
-    :param grace: how long requests in progress may last once stopped.
+    :param port: 0 selects a free port; :attr:`address` has it after :meth:`start`.
+    :param grace: time that requests in progress have to finish after a stop.
     :param listener: a bound socket to serve on instead of ``host`` and ``port``.
     """
 
@@ -123,11 +124,11 @@
     async def start(self) -> None:
         """Listen, and serve in the background until :meth:`stop`."""
         listener = self._listener or open_listener(self._host, self._port)
-        self.address = show_address(listener)
+        self.address = format_address(listener)
         self._listeners.append(listener)
         await super().start()
 
     async def stop(self) -> None:
-        """End watches, let requests in progress end, and close."""
+        """End watches, wait for requests in progress and close the server."""
         self._app.state.stopping.set()
         await super().stop()
--- a/src/damaskdeck/transport/api/streams.py
+++ b/src/damaskdeck/transport/api/streams.py
@@ -1,4 +1,4 @@
-"""Watches: JSON lines until the caller leaves, lags or the server stops."""
+"""Watches as JSON lines, until the client disconnects, lags or the server stops."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -26,20 +26,20 @@
 
 BOOKMARK_INTERVAL = timedelta(seconds=10)
 RETRY_AFTER = timedelta(seconds=5)
-SEND_LIMIT_SECONDS = 15
-LINES_TYPE = "application/x-ndjson"
+SEND_TIMEOUT_SECONDS = 15
+LINES_MEDIA_TYPE = "application/x-ndjson"
 
 _log = get_logger("api")
 
 
 class LineStream(Response):
-    """Sends JSON lines; a caller that takes none for long is dropped.
+    """A response that sends JSON lines; clients that don't read them are dropped.
 
     :param lines: the documents to send.
     :raises ProblemError: ``too_many_watches`` when all slots are taken.
     """
 
-    media_type = LINES_TYPE
+    media_type = LINES_MEDIA_TYPE
 
     def __init__(self, lines: AsyncGenerator[Any, None], context: Context) -> None:
         if context.watch_slots.locked():
@@ -51,7 +51,7 @@
         self._stopping = context.stopping
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Send until one of the ends is reached."""
+        """Send lines until they end, the client disconnects or the server stops."""
         async with self._slots, aclosing(self._lines):
             start = {"type": "http.response.start", "status": self.status_code}
             await send({**start, "headers": self.raw_headers})
@@ -59,7 +59,11 @@
                 await self._end(send)
 
     async def _run(self, receive: Receive, send: Send) -> bool:
-        """Send the lines; return whether the stream has come to a proper end."""
+        """Send the lines.
+
+        :return: whether the stream may be ended regularly. Otherwise its connection
+            breaks, so that the client doesn't take the lines for complete.
+        """
         tasks = [
             asyncio.ensure_future(work)
             for work in (
@@ -74,8 +78,8 @@
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
-        lines, gone, _ = tasks
-        if not gone.cancelled():
+        lines, disconnected, _ = tasks
+        if not disconnected.cancelled():
             return False
         return lines.cancelled() or lines.result()
 
@@ -83,77 +87,83 @@
         try:
             async for line in self._lines:
                 body = msgspec.json.encode(line) + b"\n"
-                async with asyncio.timeout(SEND_LIMIT_SECONDS):
-                    await send(_make_part(body, True))
+                async with asyncio.timeout(SEND_TIMEOUT_SECONDS):
+                    await send(_make_body_part(body, True))
         except TimeoutError:
-            _log.info("A watcher took nothing for long and was dropped.")
+            _log.info("A watch was ended because its client did not read.")
             count_drop("api", "slow_reader")
             return False
         except Exception as error:
-            _log.error("A watch failed.", error=repr(error))
+            _log.error("A watch raised an exception.", error=repr(error))
             return False
         return True
 
     async def _end(self, send: Send) -> None:
         try:
-            async with asyncio.timeout(SEND_LIMIT_SECONDS):
-                await send(_make_part(b"", False))
+            async with asyncio.timeout(SEND_TIMEOUT_SECONDS):
+                await send(_make_body_part(b"", False))
         except (TimeoutError, OSError, RuntimeError):
             count_drop("api", "stream_not_ended")
 
 
-def _make_part(body: bytes, more: bool) -> dict[str, Any]:
+def _make_body_part(body: bytes, more: bool) -> dict[str, Any]:
     return {"type": "http.response.body", "body": body, "more_body": more}
 
 
 def watch_configuration(
     context: Context, kind: Kind, after: int, select: Selector, name: str = ""
 ) -> LineStream:
-    """Stream the changes of a kind, or of one resource, after a revision.
+    """Return a stream of the changes of a kind, or of one resource, after a revision.
 
-    :raises ProblemError: ``too_old`` when the history doesn't reach so far back.
+    :param name: stream only the resource of this name; an empty string means all.
+    :raises ProblemError: ``too_old`` when the history begins after the revision.
     """
     history = context.configuration.history
     if isinstance(found := history.read(after), HistoryExpired):
         raise ProblemError("too_old", oldest=found.oldest, revision=history.revision)
     reader = HistoryReader(history, after, context.clock)
-    lines = list_lines(reader, kind, select, name)
+    lines = stream_lines(reader, kind, select, name)
     return LineStream(lines, context)
 
 
-async def list_lines(
+async def stream_lines(
     reader: HistoryReader, kind: Kind, select: Selector, name: str
 ) -> AsyncGenerator[dict[str, Any], None]:
     """Yield the lines of a watch of one kind."""
-    yield _bookmark(reader.revision)
+    yield _make_bookmark(reader.revision)
     while True:
         found = await reader.read(BOOKMARK_INTERVAL)
         if not isinstance(found, ResourceChanges):
-            yield _describe_end(found)
+            yield _build_error_line(found)
             return
         for change in found.changes:
             if change.kind is kind and name in ("", change.name):
-                line = _describe(change, select)
+                line = _build_change_line(change, select)
                 if line:
                     yield line
-        yield _bookmark(found.revision)
+        yield _make_bookmark(found.revision)
 
 
-def _describe(change: ResourceChange, select: Selector) -> dict[str, Any] | None:
-    was = change.previous is not None and select(change.previous)
+def _build_change_line(
+    change: ResourceChange, select: Selector
+) -> dict[str, Any] | None:
+    was_selected = change.previous is not None and select(change.previous)
     if change.resource is not None and select(change.resource):
-        return {"type": "MODIFIED" if was else "ADDED", "resource": change.resource}
-    if not was or change.previous is None:
+        return {
+            "type": "MODIFIED" if was_selected else "ADDED",
+            "resource": change.resource,
+        }
+    if not was_selected or change.previous is None:
         return None
     metadata = {**change.previous["metadata"], "revision": change.revision}
     return {"type": "DELETED", "resource": {**change.previous, "metadata": metadata}}
 
 
-def _bookmark(revision: int) -> dict[str, Any]:
+def _make_bookmark(revision: int) -> dict[str, Any]:
     return {"type": "BOOKMARK", "revision": revision}
 
 
-def _describe_end(end: HistoryExpired | ReaderTooSlow) -> dict[str, Any]:
+def _build_error_line(end: HistoryExpired | ReaderTooSlow) -> dict[str, Any]:
     if isinstance(end, ReaderTooSlow):
         problem = ProblemError("slow_reader", revision=end.revision)
     else:
--- a/src/damaskdeck/transport/batches.py
+++ b/src/damaskdeck/transport/batches.py
@@ -1,4 +1,4 @@
-"""Batches of envelopes on a stream: their codec and the queue in front of it."""
+"""Batches of envelopes on a stream: the codec and the queue of outgoing envelopes."""
 
 import asyncio
 from collections import deque
@@ -10,17 +10,19 @@
 from damaskdeck.metrics import count_peer_batch
 from damaskdeck.protocol.messages import Envelope
 
-QUEUE_MESSAGES = 2000
-QUEUE_BYTES = 4 << 20
-BATCH_MESSAGES = 64
-BATCH_BYTES = 256 << 10
+MAX_QUEUED_MESSAGES = 2000
+MAX_QUEUED_BYTES = 4 << 20
+MAX_BATCH_MESSAGES = 64
+# A batch takes no further envelope once its bodies reach this size; the last one may
+# exceed it.
+BATCH_BYTES_THRESHOLD = 256 << 10
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(list[Envelope])
 
 
 class BatchCodec(CodecBase):
-    """Encodes batches with MessagePack; an empty batch is a sign of life."""
+    """Encodes batches with MessagePack; an empty batch is a heartbeat."""
 
     __content_subtype__ = "msgpack"
 
@@ -31,55 +33,59 @@
         return data
 
     def decode(self, data: bytes, message_type: Any) -> Any:
-        """Decode a list of envelopes; later fields of newer peers are ignored."""
+        """Decode a list of envelopes; additional fields of newer peers are ignored."""
         batch = _decoder.decode(data)
         count_peer_batch("in", len(batch), len(data))
         return batch
 
 
 class Outbox:
-    """Envelopes that wait for the stream, bounded in count and bytes."""
+    """A queue of envelopes to send, bounded in count and in bytes of their bodies."""
 
     def __init__(self) -> None:
         self._queue: deque[Envelope] = deque()
-        self._size = 0
-        self._has_work = asyncio.Event()
-        self._ping = False
+        self._queued_bytes = 0
+        self._has_output = asyncio.Event()
+        self._is_ping_requested = False
 
     def put(self, envelope: Envelope) -> bool:
-        """Add an envelope; tell whether there was room."""
-        size = self._size + len(envelope.body)
-        if len(self._queue) >= QUEUE_MESSAGES or size > QUEUE_BYTES:
+        """Add an envelope; return ``False`` when the queue is full."""
+        size = self._queued_bytes + len(envelope.body)
+        if len(self._queue) >= MAX_QUEUED_MESSAGES or size > MAX_QUEUED_BYTES:
             return False
         self._queue.append(envelope)
-        self._size = size
-        self._has_work.set()
+        self._queued_bytes = size
+        self._has_output.set()
         return True
 
-    def put_ping(self) -> None:
-        """Let an empty batch be sent if there is nothing else to send."""
-        self._ping = True
-        self._has_work.set()
+    def request_ping(self) -> None:
+        """Send an empty batch if there is nothing else to send."""
+        self._is_ping_requested = True
+        self._has_output.set()
 
-    async def take(self) -> list[Envelope]:
-        """Wait for work and return the next batch; empty for a ping alone."""
-        await self._has_work.wait()
+    async def take_batch(self) -> list[Envelope]:
+        """Wait for envelopes or a ping and return the next batch, empty for a ping."""
+        await self._has_output.wait()
         batch: list[Envelope] = []
         size = 0
-        while self._queue and len(batch) < BATCH_MESSAGES and size < BATCH_BYTES:
+        while (
+            self._queue
+            and len(batch) < MAX_BATCH_MESSAGES
+            and size < BATCH_BYTES_THRESHOLD
+        ):
             envelope = self._queue.popleft()
             size += len(envelope.body)
             batch.append(envelope)
-        self._size -= size
-        self._ping = False
+        self._queued_bytes -= size
+        self._is_ping_requested = False
         if not self._queue:
-            self._has_work.clear()
+            self._has_output.clear()
         return batch
 
     def clear(self) -> list[Envelope]:
-        """Drop and return all that waits."""
-        left = list(self._queue)
+        """Remove and return all envelopes in the queue."""
+        remaining = list(self._queue)
         self._queue.clear()
-        self._size = 0
-        self._has_work.clear()
-        return left
+        self._queued_bytes = 0
+        self._has_output.clear()
+        return remaining
--- a/src/damaskdeck/transport/instances.py
+++ b/src/damaskdeck/transport/instances.py
@@ -1,7 +1,7 @@
-"""The instance list over HTTP; the only module that knows its wire.
+"""HTTP client of the platform's instance list; only this module knows its protocol.
 
-The list is asked for every second and hardly ever changes, so that each call
-names the last ``ETag`` and an unchanged list costs its headers only.
+The list is read every second and rarely changes. Each call therefore sends the last
+``ETag``, and the answer for an unchanged list has no body.
 """
 
 from datetime import timedelta
@@ -13,7 +13,7 @@
 from damaskdeck.transport.pool import BAD_ANSWER, HttpPool
 
 CALL_TIMEOUT = timedelta(seconds=3)
-CONNECTION_LIMIT = 2
+MAX_CONNECTIONS = 2
 
 _decoder = msgspec.json.Decoder(Instances)
 
@@ -23,7 +23,7 @@
 
     :param address: IP and port of the platform's service.
     :param client_name: this daemon's name, sent with each call.
-    :param timeout: how long an answer is waited for.
+    :param timeout: time limit of a call.
     """
 
     def __init__(
@@ -34,25 +34,28 @@
     ) -> None:
         self._url = f"http://{address}/instances"
         self._timeout = timeout
-        self._pool = HttpPool(CONNECTION_LIMIT, client_name=client_name)
+        self._pool = HttpPool(MAX_CONNECTIONS, client_name=client_name)
         self._etag = ""
-        self._known = Instances(())
+        self._last_instances = Instances(())
 
     async def list_instances(self) -> Instances | Rejected | Lost:
-        """Read the whole list, or learn cheaply that it is unchanged."""
+        """Return the whole list; an unchanged list is the same object as before.
+
+        :return: ``Rejected`` or ``Lost`` when the list could not be read.
+        """
         headers = {"if-none-match": self._etag} if self._etag else None
         reply = await self._pool.get(self._url, self._timeout, headers)
         if isinstance(reply, Rejected | Lost):
             return reply
         if reply.status == 200:
             try:
-                self._known = _decoder.decode(reply.body)
+                self._last_instances = _decoder.decode(reply.body)
             except DECODE_ERRORS as error:
                 return Lost(BAD_ANSWER, str(error))
             self._etag = reply.headers.get("etag", "")
         elif reply.status != 304 or not self._etag:
             return Lost(BAD_ANSWER, f"unexpected status {reply.status}")
-        return self._known
+        return self._last_instances
 
     async def close(self) -> None:
         """Close the connections."""
--- a/src/damaskdeck/transport/links.py
+++ b/src/damaskdeck/transport/links.py
@@ -1,4 +1,4 @@
-"""The stream that a daemon opens to one peer, with its calls in flight."""
+"""The outgoing stream of a daemon to one peer, with its pending calls."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -20,22 +20,24 @@
 from damaskdeck.transport.batches import BatchCodec, Outbox
 from damaskdeck.transport.replies import read_reply
 
-METHOD = "/damaskdeck.Peers/Exchange"
-REPLY = ""
+EXCHANGE_METHOD = "/damaskdeck.Peers/Exchange"
+REPLY_OK = ""
 REPLY_FAILED = "!failed"
 REPLY_UNSUPPORTED = "!unsupported"
 REPLY_BUSY = "!busy"
-PING_AFTER = timedelta(milliseconds=900)
-PING_RETRY = timedelta(milliseconds=300)
-IDLE_LIMIT = timedelta(seconds=10)
+# A peer is pinged after this time without a batch, and then at the retry interval.
+PING_DELAY = timedelta(milliseconds=900)
+PING_RETRY_INTERVAL = timedelta(milliseconds=300)
+# A link without messages and pending calls is closed after this time.
+IDLE_TIMEOUT = timedelta(seconds=10)
 CONNECT_TIMEOUT = timedelta(seconds=1)
-BACKOFF_START = timedelta(milliseconds=50)
-BACKOFF_LIMIT = timedelta(seconds=1)
-WINDOW = 1 << 20
-CONFIGURATION = Configuration(
-    http2_connection_window_size=WINDOW, http2_stream_window_size=WINDOW
+INITIAL_BACKOFF = timedelta(milliseconds=50)
+MAX_BACKOFF = timedelta(seconds=1)
+WINDOW_BYTES = 1 << 20
+HTTP2_CONFIGURATION = Configuration(
+    http2_connection_window_size=WINDOW_BYTES, http2_stream_window_size=WINDOW_BYTES
 )
-# ValueError: bytes that are no batch, or an address without a port.
+# ValueError is raised by bytes that are not a batch and by an address without a port.
 STREAM_ERRORS = (
     GRPCError,
     ProtocolError,
@@ -51,7 +53,8 @@
 CallResult = Answered | Unsent | Unanswered
 
 _log = get_logger("peers")
-_UNPROVED = {
+# The first two replies prove that no handler ran.
+_ERROR_RESULTS = {
     REPLY_UNSUPPORTED: Unsent("unsupported"),
     REPLY_BUSY: Unsent("peer_busy"),
     REPLY_FAILED: Unanswered("peer_failed"),
@@ -59,7 +62,7 @@
 
 
 class SilenceError(DamaskdeckError):
-    """A peer sent nothing for too long."""
+    """A peer has sent nothing for longer than the limit."""
 
     code = "silent_peer"
 
@@ -67,26 +70,27 @@
 class PendingCall:
     """A call that waits for its reply.
 
-    :param kind: the wire name of its message, which says how to read the reply.
-    :ivar written: whether it may have left this daemon.
+    :param kind: wire name of its message, which determines the type of the reply.
+    :ivar is_written: whether the message may have left this daemon.
     """
 
-    __slots__ = ("future", "kind", "written")
+    __slots__ = ("future", "kind", "is_written")
 
     def __init__(self, kind: str, future: asyncio.Future[CallResult]) -> None:
         self.kind = kind
         self.future = future
-        self.written = False
+        self.is_written = False
 
 
 class Link:
-    """The stream to one peer; opened again with backoff whenever it breaks.
+    """The stream to one peer, which is reopened with backoff whenever it breaks.
 
-    :param find_address: tells the peer's address, ``None`` when it is unknown.
+    :param find_address: returns the peer's address, ``None`` when it is unknown.
     :param metadata: sent when the stream is opened.
-    :ivar is_retired: whether it was given up as unused; the next message needs
-        a new link.
-    :ivar is_refused: whether nobody listened at the peer's address.
+    :ivar is_retired: whether the link was closed because it was idle; the next message
+        needs a new link.
+    :ivar is_refused: whether the last connection attempt was refused, as when no
+        process listens at the peer's address.
     """
 
     def __init__(
@@ -107,18 +111,21 @@
         self._outbox = Outbox()
         self._calls: dict[int, PendingCall] = {}
         self._is_open = True
-        self._lost_at: timedelta | None = None
-        self._heard = self._used = clock.monotonic()
+        self._disconnected_at: timedelta | None = None
+        self._last_received_at = self._last_used_at = clock.monotonic()
 
     def send(self, envelope: Envelope) -> Unsent | None:
-        """Queue a message that asks for no reply."""
-        self._used = self._clock.monotonic()
+        """Queue a message without a reply.
+
+        :return: ``Unsent`` when the message was not queued.
+        """
+        self._last_used_at = self._clock.monotonic()
         if not self._is_open:
             return Unsent("unreachable")
         return None if self._outbox.put(envelope) else Unsent("peer_busy")
 
     def start_call(self, envelope: Envelope) -> asyncio.Future[CallResult]:
-        """Queue a message and return the future of its reply."""
+        """Queue a message and return a future of the call's result."""
         future: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
         refusal = self.send(envelope)
         if refusal is not None:
@@ -128,63 +135,77 @@
         return future
 
     def end_call(self, number: int, code: str) -> None:
-        """End a call that got no reply; it is unsent if it was never written."""
+        """End a call without a reply.
+
+        Its result is ``Unsent`` if the message was never written, and ``Unanswered``
+        otherwise.
+        """
         call = self._calls.pop(number, None)
         if call is not None and not call.future.done():
-            call.future.set_result(Unanswered(code) if call.written else Unsent(code))
+            call.future.set_result(
+                Unanswered(code) if call.is_written else Unsent(code)
+            )
 
     async def run(self) -> None:
-        """Keep the stream open while the peer's address is known and it is used."""
-        backoff = BACKOFF_START
+        """Keep the stream open while it is in use and the peer's address is known."""
+        backoff = INITIAL_BACKOFF
         while (address := self._find_address(self.instance)) is not None:
             if self._retire_if_idle():
                 return
-            began = self._clock.monotonic()
+            started_at = self._clock.monotonic()
             self._is_open = True
             try:
                 await self._exchange(address)
             except (*STREAM_ERRORS, SilenceError) as error:
                 self.is_refused = isinstance(error, ConnectionRefusedError)
-                self._note_lost(error)
+                self._on_disconnected(error)
             finally:
-                self._break()
+                self._fail_pending_calls()
             if self.is_retired:
                 return
-            if self._clock.monotonic() - began > BACKOFF_LIMIT:
-                backoff = BACKOFF_START
+            if self._clock.monotonic() - started_at > MAX_BACKOFF:
+                backoff = INITIAL_BACKOFF
             count_retry("peers", "reconnect")
             await self._clock.sleep(backoff * (0.5 + self._random.random() / 2))
-            backoff = min(backoff * 2, BACKOFF_LIMIT)
-
-    def _note_lost(self, error: Exception) -> None:
-        if self._lost_at is None:
-            self._lost_at = self._clock.monotonic()
-            _log.warn("A peer is lost.", peer=self.instance, reason=repr(error))
-
-    def _note_open(self) -> None:
+            backoff = min(backoff * 2, MAX_BACKOFF)
+
+    def _on_disconnected(self, error: Exception) -> None:
+        if self._disconnected_at is None:
+            self._disconnected_at = self._clock.monotonic()
+            _log.warn(
+                "The connection to a peer is lost.",
+                peer=self.instance,
+                reason=repr(error),
+            )
+
+    def _on_connected(self) -> None:
         self.is_refused = False
-        if self._lost_at is not None:
-            away = self._clock.monotonic() - self._lost_at
-            _log.info("A peer is back.", peer=self.instance, away=str(away))
-            self._lost_at = None
+        if self._disconnected_at is not None:
+            outage = self._clock.monotonic() - self._disconnected_at
+            _log.info(
+                "The connection to a peer is restored.",
+                peer=self.instance,
+                away=str(outage),
+            )
+            self._disconnected_at = None
 
     async def _exchange(self, address: str) -> None:
         host, _, port = address.rpartition(":")
         channel = Channel(
-            host.strip("[]"), int(port), codec=BatchCodec(), config=CONFIGURATION
+            host.strip("[]"), int(port), codec=BatchCodec(), config=HTTP2_CONFIGURATION
         )
-        method = StreamStreamMethod(channel, METHOD, list, list)
+        method = StreamStreamMethod(channel, EXCHANGE_METHOD, list, list)
         try:
             async with method.open(metadata=self._metadata) as stream:
                 async with asyncio.timeout(CONNECT_TIMEOUT.total_seconds()):
                     await stream.send_request()
                     await stream.recv_initial_metadata()
-                self._heard = self._clock.monotonic()
-                self._note_open()
+                self._last_received_at = self._clock.monotonic()
+                self._on_connected()
                 await run_until_first(
                     self._write(stream),
                     self._read(stream),
-                    self._watch(),
+                    self._watch_silence(),
                     self._wait_until_idle(),
                 )
         finally:
@@ -192,58 +213,65 @@
 
     async def _write(self, stream: Stream[list, list]) -> None:
         while True:
-            batch = await self._outbox.take()
+            batch = await self._outbox.take_batch()
             await stream.send_message(self._mark_written(batch))
 
     def _mark_written(self, batch: list[Envelope]) -> list[Envelope]:
-        kept = []
+        """Mark the calls of a batch as written and drop calls that have ended."""
+        to_send = []
         for envelope in batch:
             if envelope.number:
                 call = self._calls.get(envelope.number)
                 if call is None:
                     continue
-                call.written = True
-            kept.append(envelope)
-        return kept
+                call.is_written = True
+            to_send.append(envelope)
+        return to_send
 
     async def _read(self, stream: Stream[list, list]) -> None:
         while (batch := await stream.recv_message()) is not None:
-            self._heard = self._clock.monotonic()
+            self._last_received_at = self._clock.monotonic()
             for envelope in batch:
-                self._take_reply(envelope)
+                self._handle_reply(envelope)
 
-    def _take_reply(self, envelope: Envelope) -> None:
+    def _handle_reply(self, envelope: Envelope) -> None:
         call = self._calls.pop(envelope.reply_to, None)
         if call is None or call.future.done():
             count_drop("peers", "late_reply")
             return
-        if envelope.kind == REPLY:
+        if envelope.kind == REPLY_OK:
             call.future.set_result(read_reply(call.kind, envelope.body))
         else:
             unknown = Unanswered("unknown_reply")
-            call.future.set_result(_UNPROVED.get(envelope.kind, unknown))
+            call.future.set_result(_ERROR_RESULTS.get(envelope.kind, unknown))
 
-    async def _watch(self) -> None:
+    async def _watch_silence(self) -> None:
         await watch_silence(
-            self._clock, lambda: self._heard, SILENCE_LIMIT, self._outbox.put_ping
+            self._clock,
+            lambda: self._last_received_at,
+            SILENCE_LIMIT,
+            self._outbox.request_ping,
         )
 
     async def _wait_until_idle(self) -> None:
         while not self._retire_if_idle():
-            unused = self._clock.monotonic() - self._used
-            is_used = unused < IDLE_LIMIT
-            await self._clock.sleep(IDLE_LIMIT - unused if is_used else IDLE_LIMIT)
+            idle_time = self._clock.monotonic() - self._last_used_at
+            is_used = idle_time < IDLE_TIMEOUT
+            await self._clock.sleep(
+                IDLE_TIMEOUT - idle_time if is_used else IDLE_TIMEOUT
+            )
 
     def _retire_if_idle(self) -> bool:
-        """Give the link up if nobody has used it for long; it costs pings."""
-        unused = self._clock.monotonic() - self._used
-        self.is_retired = not self._calls and unused >= IDLE_LIMIT
+        """Mark the link as retired if it is idle, because an idle link costs pings."""
+        idle_time = self._clock.monotonic() - self._last_used_at
+        self.is_retired = not self._calls and idle_time >= IDLE_TIMEOUT
         return self.is_retired
 
-    def _break(self) -> None:
+    def _fail_pending_calls(self) -> None:
         self._is_open = False
-        left = self._outbox.clear()
-        unsent = sum(1 for envelope in left if not envelope.number)
+        dropped = self._outbox.clear()
+        # Envelopes with a number belong to calls, which end below.
+        unsent = sum(1 for envelope in dropped if not envelope.number)
         if unsent:
             count_drop("peers", "unsent", unsent)
         for number in list(self._calls):
@@ -252,36 +280,37 @@
 
 async def watch_silence(
     clock: Clock,
-    get_heard: Callable[[], timedelta],
+    get_last_received_at: Callable[[], timedelta],
     limit: timedelta,
     ping: Callable[[], None] | None = None,
 ) -> None:
     """Wait until a peer has been silent for too long.
 
-    :param ping: asks a quiet peer for a sign of life, again and again.
-    :raises SilenceError: when nothing came for ``limit``.
+    :param get_last_received_at: returns the monotonic time of the last batch.
+    :param ping: requests an answer; called repeatedly while the peer is silent.
+    :raises SilenceError: when nothing was received for ``limit``.
     """
     while True:
-        quiet = clock.monotonic() - get_heard()
-        left = limit - quiet
-        if left <= timedelta():
+        silence = clock.monotonic() - get_last_received_at()
+        remaining = limit - silence
+        if remaining <= timedelta():
             raise SilenceError()
         if ping is not None:
-            left = min(left, _ping_if_quiet(quiet, ping))
-        await clock.sleep(left)
+            remaining = min(remaining, _ping_if_silent(silence, ping))
+        await clock.sleep(remaining)
 
 
-def _ping_if_quiet(quiet: timedelta, ping: Callable[[], None]) -> timedelta:
-    """Return after what time to look again."""
-    if quiet < PING_AFTER:
-        return PING_AFTER - quiet
+def _ping_if_silent(silence: timedelta, ping: Callable[[], None]) -> timedelta:
+    """Ping a peer that is silent; return the time until the next check."""
+    if silence < PING_DELAY:
+        return PING_DELAY - silence
     ping()
-    return PING_RETRY
+    return PING_RETRY_INTERVAL
 
 
-async def run_until_first(*parts: Coroutine[Any, Any, Any]) -> None:
-    """Run coroutines until one ends; cancel the others and raise its error."""
-    tasks = [asyncio.ensure_future(part) for part in parts]
+async def run_until_first(*coroutines: Coroutine[Any, Any, Any]) -> None:
+    """Run coroutines until one ends, cancel the others and raise its error if any."""
+    tasks = [asyncio.ensure_future(coroutine) for coroutine in coroutines]
     try:
         done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in done:
--- a/src/damaskdeck/transport/listeners.py
+++ b/src/damaskdeck/transport/listeners.py
@@ -1,4 +1,4 @@
-"""Listening sockets, bound before anything is served on them."""
+"""Listening sockets, which are bound before a server starts on them."""
 
 import socket
 
@@ -8,14 +8,15 @@
 
 
 def open_listener(host: str, port: int) -> socket.socket:
-    """Bind and listen; a TCP socket that doesn't block.
+    """Return a non-blocking TCP socket that listens on an address.
 
-    Accepted connections inherit that small writes leave at once. The event
-    loop doesn't see to it for a socket that was made without naming TCP, and
-    an answer of two writes would wait 40 ms for an acknowledgement.
+    ``TCP_NODELAY`` is set here because accepted connections inherit it. The event loop
+    sets it only on sockets that were created with the TCP protocol number, which
+    ``create_server`` doesn't do; without it, an answer of two writes would wait 40 ms
+    for an acknowledgement.
 
-    :param port: 0 takes a free one.
-    :raises SettingsError: when the address isn't this machine's or is taken.
+    :param port: 0 selects a free port.
+    :raises SettingsError: when the address is in use or not one of this machine.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     try:
@@ -28,7 +29,7 @@
     return listener
 
 
-def show_address(listener: socket.socket) -> str:
-    """Return IP and port of a listener, as in ``127.0.0.1:8400``."""
+def format_address(listener: socket.socket) -> str:
+    """Return the IP address and port of a listener, like ``127.0.0.1:8400``."""
     host, port = listener.getsockname()[:2]
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/src/damaskdeck/transport/loopback.py
+++ b/src/damaskdeck/transport/loopback.py
@@ -1,4 +1,4 @@
-"""Messages of a daemon to itself, as when it keeps the ledger it asks for."""
+"""Messages of a daemon to itself, as when it owns the ledger that it calls."""
 
 import asyncio
 from collections.abc import Mapping
@@ -24,9 +24,9 @@
 
 
 class Loopback:
-    """Hands messages to the daemon's own handlers, encoded as for a peer.
+    """Passes messages to the daemon's own handlers, encoded as for a peer.
 
-    :param handlers: by wire name of the message; may grow later.
+    :param handlers: handlers by wire name of the message; entries may be added later.
     """
 
     def __init__(
@@ -35,17 +35,17 @@
         self._name = name
         self._handlers = handlers
         self._clock = clock
-        self._running: set[asyncio.Task[Any]] = set()
+        self._handler_tasks: set[asyncio.Task[Any]] = set()
 
     def send(self, message: Any, kind: type) -> Unsent | None:
-        """Let the handler run without waiting for it."""
-        return None if self._start(message, kind) else Unsent("unsupported")
+        """Start the handler without waiting for it."""
+        return None if self._start_handler(message, kind) else Unsent("unsupported")
 
     async def call(
         self, message: Any, kind: type, timeout: timedelta
     ) -> Answered | Unsent | Unanswered:
-        """Run the handler; it goes on when ``timeout`` has passed."""
-        task = self._start(message, kind)
+        """Run the handler and return its reply; it continues after ``timeout``."""
+        task = self._start_handler(message, kind)
         if task is None:
             return Unsent("unsupported")
         timer = asyncio.ensure_future(self._clock.sleep(timeout))
@@ -60,25 +60,25 @@
         return task.result()
 
     def close(self) -> None:
-        """End the handlers that run."""
-        for task in self._running:
+        """Cancel the running handlers."""
+        for task in self._handler_tasks:
             task.cancel()
 
-    def _start(self, message: Any, kind: type) -> asyncio.Task[Any] | None:
+    def _start_handler(self, message: Any, kind: type) -> asyncio.Task[Any] | None:
         name = get_message_name(kind)
         handler = self._handlers.get(name)
         if handler is None:
             return None
         copy = decode_message(name, encode_message(message))
-        return start_task(self._handle(handler, name, copy), self._running)
+        return start_task(self._handle(handler, name, copy), self._handler_tasks)
 
     async def _handle(
         self, handler: Handler, name: str, message: Any
     ) -> Answered | Unanswered:
         try:
-            answer = await handler(self._name, message)
+            reply = await handler(self._name, message)
         except Exception as error:
             _log.error("A handler failed.", kind=name, error=repr(error))
             count_drop("peers", "handler_failed")
             return Unanswered("handler_failed")
-        return read_reply(name, encode_message(answer))
+        return read_reply(name, encode_message(reply))
--- a/src/damaskdeck/transport/peers.py
+++ b/src/damaskdeck/transport/peers.py
@@ -1,4 +1,4 @@
-"""Streams between daemons: one each way and peer over grpclib, in batches."""
+"""Streams between daemons over grpclib: one in each direction for each peer."""
 
 import asyncio
 import heapq
@@ -33,24 +33,25 @@
 )
 from damaskdeck.transport.batches import BatchCodec, Outbox
 from damaskdeck.transport.links import (
-    CONFIGURATION,
-    METHOD,
-    REPLY,
+    EXCHANGE_METHOD,
+    HTTP2_CONFIGURATION,
     REPLY_BUSY,
     REPLY_FAILED,
+    REPLY_OK,
     REPLY_UNSUPPORTED,
     Link,
     SilenceError,
     run_until_first,
     watch_silence,
 )
-from damaskdeck.transport.listeners import open_listener, show_address
+from damaskdeck.transport.listeners import format_address, open_listener
 from damaskdeck.transport.loopback import Loopback
 
-HANDLER_LIMIT = 1000
-SERVER_SILENCE = 2 * SILENCE_LIMIT
-# Heartbeats come so often that answers to them save the peer its pings.
-ANSWER_INTERVAL = timedelta(milliseconds=500)
+MAX_RUNNING_HANDLERS = 1000
+SERVER_SILENCE_LIMIT = 2 * SILENCE_LIMIT
+# A batch of messages is answered by an empty batch if nothing was sent for this time.
+# Heartbeats arrive so often that these answers make the peer's pings unnecessary.
+MIN_ANSWER_INTERVAL = timedelta(milliseconds=500)
 
 _log = get_logger("peers")
 logging.getLogger("grpclib").setLevel(logging.CRITICAL)
@@ -59,9 +60,9 @@
 class PeerNetwork:
     """The streams of one daemon; implements ``Peers``.
 
-    :param port: 0 takes a free one; see :attr:`address` after :meth:`start`.
-    :param token: the same for all daemons of the deployment.
-    :param find_address: tells a peer's address, ``None`` when it is unknown.
+    :param port: 0 selects a free port; :attr:`address` has it after :meth:`start`.
+    :param token: shared secret of all daemons of the deployment.
+    :param find_address: returns a peer's address, ``None`` when it is unknown.
     """
 
     def __init__(
@@ -82,44 +83,44 @@
         self._find_address = find_address
         self._random = Random()
         self._handlers: dict[str, Handler] = {}
-        self._own = Loopback(name, self._handlers, clock)
+        self._loopback = Loopback(name, self._handlers, clock)
         self._links: dict[str, tuple[Link, asyncio.Task[None]]] = {}
-        self._numbers = itertools.count(1)
+        self._call_numbers = itertools.count(1)
         self._deadlines: list[tuple[timedelta, int, Link]] = []
-        self._sweeper: asyncio.Task[None] | None = None
+        self._expiry_task: asyncio.Task[None] | None = None
         self._server: Server | None = None
-        self._inlets: set[_Inlet] = set()
+        self._incoming_streams: set[_IncomingStream] = set()
 
     async def start(self) -> None:
-        """Listen for other daemons."""
+        """Start to accept streams of other daemons."""
         listener = open_listener(self._host, self._port)
-        self.address = show_address(listener)
-        self._server = Server([self], codec=BatchCodec(), config=CONFIGURATION)
+        self.address = format_address(listener)
+        self._server = Server([self], codec=BatchCodec(), config=HTTP2_CONFIGURATION)
         await self._server.start(sock=listener)
 
     async def close(self) -> None:
-        """End all streams; calls in flight end as unanswered."""
-        self._own.close()
+        """Close all streams; calls that were written end as unanswered."""
+        self._loopback.close()
         tasks = [task for _, task in self._links.values()]
-        if self._sweeper is not None:
-            tasks.append(self._sweeper)
+        if self._expiry_task is not None:
+            tasks.append(self._expiry_task)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         self._links.clear()
-        await asyncio.gather(*(inlet.end() for inlet in self._inlets))
+        await asyncio.gather(*(incoming.end() for incoming in self._incoming_streams))
         if self._server is not None:
             self._server.close()
             await self._server.wait_closed()
 
     def register(self, kind: type, handler: Handler) -> None:
-        """Let ``handler(instance, message)`` take all messages of ``kind``."""
+        """Call ``handler(instance, message)`` for each message of ``kind``."""
         self._handlers[get_message_name(kind)] = handler
 
     def send(self, instance: str, message: Any, kind: type) -> Unsent | None:
-        """Put a message on the stream to ``instance`` without waiting."""
+        """Queue a message for ``instance`` without waiting for a reply."""
         if instance == self._name:
-            return self._own.send(message, kind)
+            return self._loopback.send(message, kind)
         link = self._get_link(instance)
         if link is None:
             return Unsent("unknown_peer")
@@ -129,13 +130,13 @@
     async def call(
         self, instance: str, message: Any, kind: type, timeout: timedelta
     ) -> Answered | Unsent | Unanswered:
-        """Send a message and wait for its reply, which arrives as plain data."""
+        """Send a message and wait for its reply, which consists of built-in types."""
         if instance == self._name:
-            return await self._own.call(message, kind, timeout)
+            return await self._loopback.call(message, kind, timeout)
         link = self._get_link(instance)
         if link is None:
             return Unsent("unknown_peer")
-        number = next(self._numbers)
+        number = next(self._call_numbers)
         body = encode_message(message)
         future = link.start_call(Envelope(get_message_name(kind), number, 0, body))
         if not future.done():
@@ -146,14 +147,14 @@
             link.end_call(number, "cancelled")
 
     def is_refused(self, instance: str) -> bool:
-        """Whether nobody listened at a daemon's address when it was last called."""
+        """Return whether a daemon's address refused the last connection attempt."""
         found = self._links.get(instance)
         return found is not None and found[0].is_refused
 
     def __mapping__(self) -> dict[str, MethodHandler]:
-        """Return the methods that the server offers, as grpclib asks for them."""
+        """Return the methods of the server; called by grpclib."""
         kind = Cardinality.STREAM_STREAM
-        return {METHOD: MethodHandler(self._serve, kind, list, list)}
+        return {EXCHANGE_METHOD: MethodHandler(self._serve, kind, list, list)}
 
     def _get_link(self, instance: str) -> Link | None:
         found = self._links.get(instance)
@@ -170,11 +171,11 @@
     def _add_deadline(self, deadline: timedelta, number: int, link: Link) -> None:
         heapq.heappush(self._deadlines, (deadline, number, link))
         if self._deadlines[0][1] == number:
-            if self._sweeper is not None:
-                self._sweeper.cancel()
-            self._sweeper = asyncio.ensure_future(self._sweep())
+            if self._expiry_task is not None:
+                self._expiry_task.cancel()
+            self._expiry_task = asyncio.ensure_future(self._expire_calls())
 
-    async def _sweep(self) -> None:
+    async def _expire_calls(self) -> None:
         while self._deadlines:
             now = self._clock.monotonic()
             deadline, number, link = self._deadlines[0]
@@ -192,18 +193,18 @@
             raise GRPCError(Status.UNAUTHENTICATED)
         instance = str(metadata.get("instance", ""))
         await stream.send_initial_metadata()
-        inlet = _Inlet(instance, self._handlers, self._clock)
-        self._inlets.add(inlet)
+        incoming = _IncomingStream(instance, self._handlers, self._clock)
+        self._incoming_streams.add(incoming)
         try:
-            await inlet.run(stream)
+            await incoming.run(stream)
             await stream.send_trailing_metadata()
         finally:
-            inlet.is_done.set()
-            self._inlets.discard(inlet)
+            incoming.has_ended.set()
+            self._incoming_streams.discard(incoming)
 
 
-class _Inlet:
-    """The serving end of a stream: runs handlers and sends their replies."""
+class _IncomingStream:
+    """The receiving end of a stream, which runs handlers and sends their replies."""
 
     def __init__(
         self, instance: str, handlers: dict[str, Handler], clock: Clock
@@ -211,74 +212,83 @@
         self._instance = instance
         self._handlers = handlers
         self._clock = clock
-        self._heard = self._said = clock.monotonic()
+        self._last_received_at = self._last_sent_at = clock.monotonic()
         self._outbox = Outbox()
-        self._running: set[asyncio.Task[None]] = set()
-        self._has_ended = asyncio.Event()
-        self.is_done = asyncio.Event()
+        self._handler_tasks: set[asyncio.Task[None]] = set()
+        self._must_end = asyncio.Event()
+        self.has_ended = asyncio.Event()
 
     async def end(self) -> None:
-        """End the stream, so that the peer notices at once."""
-        self._has_ended.set()
-        await self.is_done.wait()
+        """End the stream, so that the peer notices immediately."""
+        self._must_end.set()
+        await self.has_ended.wait()
 
     async def run(self, stream: Stream[list, list]) -> None:
-        """Serve until the peer ends the stream or falls silent."""
+        """Serve until the peer ends the stream or has been silent for too long."""
         try:
             await run_until_first(
                 self._read(stream),
                 self._write(stream),
-                self._watch(),
-                self._has_ended.wait(),
+                self._watch_silence(),
+                self._must_end.wait(),
             )
         except SilenceError:
             count_drop("peers", "silent_stream")
 
     async def _read(self, stream: Stream[list, list]) -> None:
         while (batch := await stream.recv_message()) is not None:
-            self._heard = self._clock.monotonic()
-            if not batch or self._heard - self._said >= ANSWER_INTERVAL:
-                self._outbox.put_ping()
+            self._last_received_at = self._clock.monotonic()
+            if (
+                not batch
+                or self._last_received_at - self._last_sent_at >= MIN_ANSWER_INTERVAL
+            ):
+                self._outbox.request_ping()
             for envelope in batch:
-                self._accept(envelope)
+                self._dispatch(envelope)
 
     async def _write(self, stream: Stream[list, list]) -> None:
         while True:
-            batch = await self._outbox.take()
-            self._said = self._clock.monotonic()
+            batch = await self._outbox.take_batch()
+            self._last_sent_at = self._clock.monotonic()
             await stream.send_message(batch)
 
-    async def _watch(self) -> None:
-        await watch_silence(self._clock, lambda: self._heard, SERVER_SILENCE)
+    async def _watch_silence(self) -> None:
+        await watch_silence(
+            self._clock, lambda: self._last_received_at, SERVER_SILENCE_LIMIT
+        )
 
-    def _accept(self, envelope: Envelope) -> None:
+    def _dispatch(self, envelope: Envelope) -> None:
         handler = self._handlers.get(envelope.kind)
         if handler is None:
             count_drop("peers", "unknown_kind")
             self._reply(envelope, REPLY_UNSUPPORTED)
-        elif len(self._running) >= HANDLER_LIMIT:
+        elif len(self._handler_tasks) >= MAX_RUNNING_HANDLERS:
             count_refusal("peers", "peer_busy")
             self._reply(envelope, REPLY_BUSY)
         else:
-            start_task(self._handle(handler, envelope), self._running)
+            start_task(self._handle(handler, envelope), self._handler_tasks)
 
     async def _handle(self, handler: Handler, envelope: Envelope) -> None:
         try:
             message = decode_message(envelope.kind, envelope.body)
         except MessageError as error:
-            _log.warn("A message was dropped.", peer=self._instance, error=str(error))
+            _log.warn(
+                "A message that could not be decoded was dropped.",
+                peer=self._instance,
+                error=str(error),
+            )
             count_drop("peers", "invalid_message")
             self._reply(envelope, REPLY_UNSUPPORTED)
             return
         try:
-            answer = await handler(self._instance, message)
-            body = encode_message(answer) if envelope.number else b""
+            reply = await handler(self._instance, message)
+            body = encode_message(reply) if envelope.number else b""
         except Exception as error:
             _log.error("A handler failed.", kind=envelope.kind, error=repr(error))
             count_drop("peers", "handler_failed")
             self._reply(envelope, REPLY_FAILED)
             return
-        self._reply(envelope, REPLY, body)
+        self._reply(envelope, REPLY_OK, body)
 
     def _reply(self, envelope: Envelope, kind: str, body: bytes = b"") -> None:
         if not envelope.number:
--- a/src/damaskdeck/transport/pool.py
+++ b/src/damaskdeck/transport/pool.py
@@ -1,4 +1,4 @@
-"""A pool of HTTP connections that tells a call never sent from a lost answer."""
+"""An HTTP connection pool that distinguishes unsent calls from lost answers."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -10,8 +10,10 @@
 from damaskdeck.protocol.ports import Lost, Rejected
 
 CONNECT_TIMEOUT = timedelta(seconds=1)
-CONNECT_SHARE = 0.8
-KEEPALIVE = timedelta(seconds=30)
+# Share of a call's time limit that connecting may take. A connection that can't be
+# opened is then noticed before the time limit, and proves that nothing was sent.
+MAX_CONNECT_SHARE = 0.8
+KEEPALIVE_TIMEOUT = timedelta(seconds=30)
 BAD_ANSWER = "bad_answer"
 REFUSAL_HEADER = "x-refusal"
 
@@ -19,7 +21,7 @@
 
 
 class Reply(NamedTuple):
-    """A whole answer.
+    """A complete HTTP answer.
 
     :param headers: names in lower case.
     """
@@ -30,15 +32,15 @@
 
 
 class HttpPool:
-    """Connections kept alive to the hosts of one port.
+    """Persistent connections to the hosts behind one port of the daemon.
 
-    Only ``GET`` and ``POST`` are used: aiohttp sends an idempotent method a
-    second time by itself when a reused connection breaks, which would turn a
-    write that took effect into a conflict.
+    Only ``GET`` and ``POST`` are used: aiohttp repeats a request with an idempotent
+    method when a reused connection breaks, and a repeated write would conflict with
+    itself if the first one took effect.
 
-    :param limit: connections in all; 0 means no limit.
-    :param limit_per_host: connections to each host.
-    :param client_name: sent with each call, so that logs tell who called.
+    :param limit: maximum number of connections; 0 means no limit.
+    :param limit_per_host: maximum number of connections to one host; 0 means no limit.
+    :param client_name: sent with each call, so that logs can show who called.
     """
 
     def __init__(
@@ -52,7 +54,7 @@
     async def get(
         self, url: str, timeout: timedelta, headers: Mapping[str, str] | None = None
     ) -> Reply | Rejected | Lost:
-        """Read something; the library may repeat it."""
+        """Send a ``GET`` request, which aiohttp may repeat."""
         return await self._call("GET", url, timeout, headers, None)
 
     async def post(
@@ -62,7 +64,7 @@
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
     ) -> Reply | Rejected | Lost:
-        """Do something; it is sent once."""
+        """Send a ``POST`` request, at most once."""
         return await self._call("POST", url, timeout, headers, body)
 
     async def close(self) -> None:
@@ -85,7 +87,7 @@
                 URL(url, encoded=True),
                 data=body,
                 headers=headers,
-                timeout=_limit_time(timeout),
+                timeout=_build_timeout(timeout),
                 allow_redirects=False,
             ) as response:
                 content = await response.read()
@@ -105,7 +107,7 @@
             connector = aiohttp.TCPConnector(
                 limit=self._limit,
                 limit_per_host=self._limit_per_host,
-                keepalive_timeout=KEEPALIVE.total_seconds(),
+                keepalive_timeout=KEEPALIVE_TIMEOUT.total_seconds(),
                 use_dns_cache=False,
             )
             self._session = aiohttp.ClientSession(
@@ -117,8 +119,8 @@
         return self._session
 
 
-def _limit_time(timeout: timedelta) -> aiohttp.ClientTimeout:
-    connect = min(CONNECT_TIMEOUT, timeout * CONNECT_SHARE)
+def _build_timeout(timeout: timedelta) -> aiohttp.ClientTimeout:
+    connect = min(CONNECT_TIMEOUT, timeout * MAX_CONNECT_SHARE)
     return aiohttp.ClientTimeout(
         total=timeout.total_seconds(), connect=connect.total_seconds()
     )
--- a/src/damaskdeck/transport/replies.py
+++ b/src/damaskdeck/transport/replies.py
@@ -1,4 +1,4 @@
-"""Replies to this daemon's calls: used as their type says, or not at all."""
+"""Decoding of replies to this daemon's calls, which must match their types."""
 
 from damaskdeck.errors import MessageError
 from damaskdeck.logs import get_logger
@@ -14,14 +14,21 @@
 
 
 def read_reply(name: str, body: bytes) -> Answered | Unanswered:
-    """Read what a peer replied to a message of ``name``.
+    """Decode a peer's reply to a message.
 
-    The peer has acted, in whatever way; what it says can't be used then.
+    A reply that can't be decoded is ``Unanswered``, because the peer may have acted on
+    the message.
+
+    :param name: wire name of the message.
     """
     try:
         message = decode_reply(name, body)
     except MessageError as error:
-        _log.warn("A reply was dropped.", kind=name, error=str(error))
+        _log.warn(
+            "A reply that could not be decoded was dropped.",
+            kind=name,
+            error=str(error),
+        )
         count_drop("peers", "invalid_reply")
         return Unanswered("invalid_reply")
     if message is None and has_reply(name):
--- a/src/damaskdeck/transport/store.py
+++ b/src/damaskdeck/transport/store.py
@@ -1,7 +1,7 @@
-"""The store over HTTP; the only module that knows its wire.
+"""HTTP client of the platform's store; only this module knows its protocol.
 
-Values travel as raw bytes; revision, lease and expected revision in headers
-and in the query. Listings and events are MessagePack.
+Values are sent as raw bytes. Revision and lease are in headers and in the query, where
+the expected revision is too. Listings and events are encoded with MessagePack.
 """
 
 from collections.abc import Callable
@@ -30,15 +30,15 @@
 from damaskdeck.transport.pool import BAD_ANSWER, HttpPool, Reply
 
 CALL_TIMEOUT = timedelta(seconds=3)
-CONNECTION_LIMIT = 32
+MAX_CONNECTIONS = 32
 
-REVISION = "x-revision"
-LEASE = "x-lease"
+REVISION_HEADER = "x-revision"
+LEASE_HEADER = "x-lease"
 
 T = TypeVar("T")
 
-_listings = msgspec.msgpack.Decoder(Listing)
-_events = msgspec.msgpack.Decoder(Events)
+_listing_decoder = msgspec.msgpack.Decoder(Listing)
+_events_decoder = msgspec.msgpack.Decoder(Events)
 
 
 class HttpStore:
@@ -46,7 +46,7 @@
 
     :param address: IP and port of the platform's service.
     :param client_name: this daemon's name, sent with each call.
-    :param timeout: how long an answer is waited for.
+    :param timeout: time limit of a call; a watch has its wait on top of it.
     """
 
     def __init__(
@@ -57,16 +57,16 @@
     ) -> None:
         self._base = f"http://{address}/store"
         self._timeout = timeout
-        self._pool = HttpPool(CONNECTION_LIMIT, client_name=client_name)
+        self._pool = HttpPool(MAX_CONNECTIONS, client_name=client_name)
 
     async def get(self, key: str) -> Found | Missing | Rejected | Lost:
-        """Read one key."""
+        """Return the entry of a key."""
         count_store_call("get")
         reply = await self._pool.get(self._url("key", key=key), self._timeout)
         return self._read(reply, lambda reply: _read_found(key, reply))
 
     async def list(self, prefix: str) -> Listing | Rejected | Lost:
-        """Read all keys below ``prefix``."""
+        """Return the entries of all keys that begin with ``prefix``."""
         count_store_call("list")
         reply = await self._pool.get(self._url("list", prefix=prefix), self._timeout)
         return self._read(reply, _read_listing)
@@ -74,19 +74,26 @@
     async def put(
         self, key: str, value: bytes, expected: int | None, lease: str = ""
     ) -> Written | Conflict | Rejected | Lost:
-        """Write a key by compare-and-swap."""
+        """Write a key by compare-and-swap.
+
+        :param expected: revision of the key, 0 for a new key, ``None`` for any.
+        :param lease: the key is deleted when this lease ends.
+        """
         url = self._url("put", key=key, expected=expected, lease=lease)
         return await self._write("put", key, url, value)
 
     async def delete(
         self, key: str, expected: int | None
     ) -> Written | Conflict | Rejected | Lost:
-        """Delete a key by compare-and-swap."""
+        """Delete a key by compare-and-swap.
+
+        :param expected: revision of the key, ``None`` for any.
+        """
         url = self._url("delete", key=key, expected=expected)
         return await self._write("delete", key, url, b"")
 
     async def grant_lease(self, ttl: timedelta) -> Granted | Rejected | Lost:
-        """Open a lease."""
+        """Create a lease."""
         count_store_call("grant_lease")
         url = self._url("lease/grant", ttl=ttl.total_seconds())
         reply = await self._pool.post(url, self._timeout)
@@ -100,7 +107,7 @@
         return self._read(reply, lambda reply: _read_renewed(lease, reply))
 
     async def revoke_lease(self, lease: str) -> Written | Lapsed | Rejected | Lost:
-        """End a lease at once."""
+        """End a lease immediately, which deletes its keys."""
         count_store_call("revoke_lease")
         url = self._url("lease/revoke", lease=lease)
         reply = await self._pool.post(url, self._timeout)
@@ -109,7 +116,7 @@
     async def watch(
         self, prefix: str, revision: int, wait: timedelta
     ) -> Events | RevisionTooOld | Rejected | Lost:
-        """Return the changes after ``revision``, waiting up to ``wait`` for one."""
+        """Return the changes after ``revision``, after a wait of up to ``wait``."""
         count_store_call("watch")
         url = self._url(
             "watch", prefix=prefix, revision=revision, wait=wait.total_seconds()
@@ -129,8 +136,8 @@
         return self._read(reply, lambda reply: _read_written(key, reply))
 
     def _url(self, path: str, **query: object) -> str:
-        given = {name: value for name, value in query.items() if value is not None}
-        return f"{self._base}/{path}?{urlencode(given)}"
+        parameters = {name: value for name, value in query.items() if value is not None}
+        return f"{self._base}/{path}?{urlencode(parameters)}"
 
     def _read(
         self, reply: Reply | Rejected | Lost, read: Callable[[Reply], T]
@@ -143,44 +150,44 @@
             return Lost(BAD_ANSWER, f"{reply.status} {error!r}")
 
 
-def _expect(reply: Reply, status: int) -> None:
+def _require_status(reply: Reply, status: int) -> None:
     if reply.status != status:
         raise ValueError(f"unexpected status {reply.status}")
 
 
 def _read_revision(reply: Reply) -> int:
-    return int(reply.headers[REVISION])
+    return int(reply.headers[REVISION_HEADER])
 
 
 def _read_entry(key: str, reply: Reply) -> Entry:
-    lease = reply.headers.get(LEASE, "")
+    lease = reply.headers.get(LEASE_HEADER, "")
     return Entry(key, reply.body, _read_revision(reply), lease)
 
 
 def _read_found(key: str, reply: Reply) -> Found | Missing:
     if reply.status == 404:
         return Missing(_read_revision(reply))
-    _expect(reply, 200)
+    _require_status(reply, 200)
     return Found(_read_entry(key, reply))
 
 
 def _read_listing(reply: Reply) -> Listing:
-    _expect(reply, 200)
-    return _listings.decode(reply.body)
+    _require_status(reply, 200)
+    return _listing_decoder.decode(reply.body)
 
 
 def _read_written(key: str, reply: Reply) -> Written | Conflict:
     if reply.status == 409:
         is_missing = _read_revision(reply) == 0
         return Conflict(None if is_missing else _read_entry(key, reply))
-    _expect(reply, 200)
+    _require_status(reply, 200)
     return Written(_read_revision(reply))
 
 
 def _read_granted(reply: Reply) -> Granted:
-    _expect(reply, 200)
+    _require_status(reply, 200)
     ttl = timedelta(seconds=float(reply.headers["x-ttl"]))
-    return Granted(reply.headers[LEASE], ttl)
+    return Granted(reply.headers[LEASE_HEADER], ttl)
 
 
 def _read_renewed(lease: str, reply: Reply) -> Granted | Lapsed:
@@ -190,12 +197,12 @@
 def _read_revoked(lease: str, reply: Reply) -> Written | Lapsed:
     if reply.status == 410:
         return Lapsed(lease)
-    _expect(reply, 200)
+    _require_status(reply, 200)
     return Written(_read_revision(reply))
 
 
 def _read_events(reply: Reply) -> Events | RevisionTooOld:
     if reply.status == 410:
         return RevisionTooOld(_read_revision(reply))
-    _expect(reply, 200)
-    return _events.decode(reply.body)
+    _require_status(reply, 200)
+    return _events_decoder.decode(reply.body)
--- a/src/damaskdeck/transport/targets.py
+++ b/src/damaskdeck/transport/targets.py
@@ -1,7 +1,8 @@
-"""Targets over HTTP; the only module that knows their wire.
+"""HTTP client of targets; only this module knows their protocol.
 
-A request is one ``POST`` of its body; request and attempt go in headers and
-come back in the answer's, so that no answer can be taken for another's.
+A request is one ``POST`` of its body. The headers carry the request's identifier and
+attempt, and the answer must repeat them, so that it can't be mistaken for the answer to
+another request.
 """
 
 from datetime import timedelta
@@ -17,24 +18,24 @@
 )
 from damaskdeck.transport.pool import BAD_ANSWER, HttpPool
 
-CONNECTIONS_PER_TARGET = 64
+MAX_CONNECTIONS_PER_TARGET = 64
 
-REQUEST = "x-request"
-ATTEMPT = "x-attempt"
-CONTENT_TYPE = "content-type"
+REQUEST_HEADER = "x-request"
+ATTEMPT_HEADER = "x-attempt"
+CONTENT_TYPE_HEADER = "content-type"
 
 
 class HttpTargets:
     """Implements the port ``TargetPort``.
 
     :param client_name: this daemon's name, sent with each call.
-    :param connections_per_target: most connections to one target.
+    :param connections_per_target: maximum number of connections to one target.
     """
 
     def __init__(
         self,
         client_name: str = "",
-        connections_per_target: int = CONNECTIONS_PER_TARGET,
+        connections_per_target: int = MAX_CONNECTIONS_PER_TARGET,
     ) -> None:
         self._pool = HttpPool(
             limit_per_host=connections_per_target, client_name=client_name
@@ -43,24 +44,27 @@
     async def send(
         self, target: Instance, call: TargetCall, timeout: timedelta
     ) -> TargetAnswer | Rejected | Lost:
-        """Send a request once and wait for the whole answer."""
-        sent = {
-            REQUEST: call.request,
-            ATTEMPT: str(call.attempt),
-            CONTENT_TYPE: call.content_type,
+        """Send a request at most once and wait for the complete answer."""
+        headers = {
+            REQUEST_HEADER: call.request,
+            ATTEMPT_HEADER: str(call.attempt),
+            CONTENT_TYPE_HEADER: call.content_type,
         }
         url = f"http://{target.address}/request"
-        reply = await self._pool.post(url, timeout, call.body, sent)
+        reply = await self._pool.post(url, timeout, call.body, headers)
         if isinstance(reply, Rejected | Lost):
             return reply
         received = reply.headers
-        if (received.get(REQUEST), received.get(ATTEMPT)) != (
-            sent[REQUEST],
-            sent[ATTEMPT],
+        if (received.get(REQUEST_HEADER), received.get(ATTEMPT_HEADER)) != (
+            headers[REQUEST_HEADER],
+            headers[ATTEMPT_HEADER],
         ):
             count_drop("targets", "wrong_answer")
-            return Lost(BAD_ANSWER, f"status {reply.status} for another request")
-        content_type = received.get(CONTENT_TYPE, "")
+            return Lost(
+                BAD_ANSWER,
+                f"answer with status {reply.status} belongs to another request",
+            )
+        content_type = received.get(CONTENT_TYPE_HEADER, "")
         return TargetAnswer(
             call.request, call.attempt, reply.status, reply.body, content_type
         )
@@ -68,7 +72,7 @@
     async def probe(
         self, target: Instance, timeout: timedelta
     ) -> Written | Rejected | Lost:
-        """Ask whether the target is alive, without taking a slot."""
+        """Check whether the target is alive, without taking a slot."""
         url = f"http://{target.address}/health"
         reply = await self._pool.get(url, timeout)
         if isinstance(reply, Rejected | Lost):
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -435,7 +435,7 @@
             if len(sent) > 1:
                 await asyncio.Event().wait()
 
-        with mock.patch.object(streams, "SEND_LIMIT_SECONDS", 0.01):
+        with mock.patch.object(streams, "SEND_TIMEOUT_SECONDS", 0.01):
             async with asyncio.timeout(2):
                 await stream({}, self.wait_forever, send)
         self.assertFalse([m for m in sent if not m.get("more_body", True)])
--- a/tests/test_fuzzing.py
+++ b/tests/test_fuzzing.py
@@ -64,8 +64,8 @@
 from damaskdeck.state.segments import Head, decode_segment, encode
 from damaskdeck.transport.api.app import build_app
 from damaskdeck.transport.api.credentials import Credentials
-from damaskdeck.transport.api.problems import CODES, PROBLEM_TYPE
-from damaskdeck.transport.api.resources import PATCH_TYPE
+from damaskdeck.transport.api.problems import CODES, PROBLEM_MEDIA_TYPE
+from damaskdeck.transport.api.resources import PATCH_MEDIA_TYPE
 from damaskdeck.transport.api.routes import ROUTES, Route
 from damaskdeck.transport.peers import PeerNetwork
 from damaskdeck.transport.pool import Reply
@@ -365,7 +365,7 @@
         """Return status, headers and body of the answer."""
         headers = {"Authorization": "Bearer operator-token", **call.headers}
         if call.entry.method == "PATCH":
-            headers["Content-Type"] = PATCH_TYPE
+            headers["Content-Type"] = PATCH_MEDIA_TYPE
         path = call.entry.path.replace("{name}", call.name)
         path = path.replace("{revision}", call.name)
         scope = {
@@ -411,7 +411,7 @@
                     self.assertIn(status, call.entry.answers, call)
                     continue
                 problem = json.loads(body)
-                self.assertEqual(headers["content-type"], PROBLEM_TYPE)
+                self.assertEqual(headers["content-type"], PROBLEM_MEDIA_TYPE)
                 self.assertEqual(CODES[problem["code"]].status, status, call)
                 self.assertEqual(problem["outcome"], "refused", (call, problem))
                 self.assertEqual(api.read_effects(), before, call)
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -4,7 +4,7 @@
 import socket
 import unittest
 
-from damaskdeck.transport.listeners import open_listener, show_address
+from damaskdeck.transport.listeners import format_address, open_listener
 
 
 class TestListeners(unittest.IsolatedAsyncioTestCase):
@@ -16,7 +16,7 @@
         server = await asyncio.start_server(
             lambda reader, writer: accepted.set_result(writer), sock=listener
         )
-        host, port = show_address(listener).split(":")
+        host, port = format_address(listener).split(":")
         _, near = await asyncio.open_connection(host, int(port))
         far = await accepted
         connection = far.get_extra_info("socket")
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -18,14 +18,14 @@
     encode_message,
     message,
 )
-from damaskdeck.transport.batches import QUEUE_MESSAGES, BatchCodec, Outbox
+from damaskdeck.transport.batches import MAX_QUEUED_MESSAGES, BatchCodec, Outbox
 from damaskdeck.transport.links import (
-    IDLE_LIMIT,
+    IDLE_TIMEOUT,
     Link,
     SilenceError,
     watch_silence,
 )
-from damaskdeck.transport.peers import PeerNetwork, _Inlet
+from damaskdeck.transport.peers import PeerNetwork, _IncomingStream
 from standins.clock import ManualClock
 
 TOKEN = "token-of-the-peers"
@@ -190,13 +190,13 @@
                 await asyncio.sleep(0.02)
         assert_same(self, reply, Answered({"number": 6}))
         told = [r.message for r in handler.records if r.extra["peer"] == "b"]
-        self.assertEqual(told[-1], "A peer is back.")
-        self.assertLessEqual(told.count("A peer is lost."), 1)
+        self.assertEqual(told[-1], "The connection to a peer is restored.")
+        self.assertLessEqual(told.count("The connection to a peer is lost."), 1)
 
     async def test_calls_after_an_idle_stream_was_given_up_open_a_new_one(self):
         self.assertEqual(await self.ask(1), Answered({"number": 2}))
         old, task = self.a._links["b"]
-        old._used -= IDLE_LIMIT
+        old._last_used_at -= IDLE_TIMEOUT
         self.assertTrue(old._retire_if_idle())
         replies = await asyncio.gather(self.ask(2), self.ask(3))
         self.assertEqual(replies, [Answered({"number": n}) for n in (3, 4)])
@@ -219,9 +219,9 @@
 
     async def test_full_queue_refuses_and_proves_that_nothing_was_sent(self):
         link = self.make_link()
-        for number in range(1, QUEUE_MESSAGES + 1):
+        for number in range(1, MAX_QUEUED_MESSAGES + 1):
             link.start_call(Envelope("x", number, 0, b""))
-        last = link.start_call(Envelope("x", QUEUE_MESSAGES + 1, 0, b""))
+        last = link.start_call(Envelope("x", MAX_QUEUED_MESSAGES + 1, 0, b""))
         assert_same(self, await last, Unsent("peer_busy"))
 
     async def test_large_messages_fill_the_queue_by_their_bytes(self):
@@ -230,14 +230,14 @@
         while outbox.put(Envelope("x", 0, 0, bytes(1 << 20))):
             taken += 1
         self.assertEqual(taken, 4)
-        self.assertEqual(len(await outbox.take()), 1)
+        self.assertEqual(len(await outbox.take_batch()), 1)
         self.assertTrue(outbox.put(Envelope("x", 0, 0, bytes(1 << 20))))
 
     async def test_call_that_ended_in_the_queue_is_never_written(self):
         link = self.make_link()
         calls = [link.start_call(Envelope("x", number, 0, b"")) for number in (1, 2)]
         link.end_call(1, "timeout")
-        written = link._mark_written(await link._outbox.take())
+        written = link._mark_written(await link._outbox.take_batch())
         self.assertEqual([envelope.number for envelope in written], [2])
         assert_same(self, await calls[0], Unsent("timeout"))
         link.end_call(2, "timeout")
@@ -247,7 +247,7 @@
         outbox = Outbox()
         for number in range(20):
             outbox.put(Envelope("x", number, 0, b""))
-        self.assertEqual(len(await outbox.take()), 20)
+        self.assertEqual(len(await outbox.take_batch()), 20)
 
     async def test_silent_peer_is_pinged_and_given_up_within_two_seconds(self):
         clock, pings = ManualClock(), []
@@ -303,11 +303,11 @@
         self.near, self.far = OneEnd(), OneEnd()
         self.near.other, self.far.other = self.far, self.near
         self.link = Link("b", lambda name: None, {}, self.clock, None)
-        inlet = _Inlet("a", {"test.newer": self.take}, self.clock)
+        incoming = _IncomingStream("a", {"test.newer": self.take}, self.clock)
         link = self.link
-        parts = [link._write(self.near), link._read(self.near), inlet.run(self.far)]
+        parts = [link._write(self.near), link._read(self.near), incoming.run(self.far)]
         self.tasks = [asyncio.ensure_future(part) for part in parts]
-        self.watch = asyncio.ensure_future(link._watch())
+        self.watch = asyncio.ensure_future(link._watch_silence())
         self.idle = asyncio.ensure_future(link._wait_until_idle())
 
     async def asyncTearDown(self):
@@ -359,9 +359,9 @@
 
     async def test_unused_stream_is_given_up(self):
         await self.beat(2)
-        await self.clock.advance(IDLE_LIMIT / 2)
+        await self.clock.advance(IDLE_TIMEOUT / 2)
         self.assertFalse(self.idle.done())
-        await self.clock.advance(IDLE_LIMIT / 2)
+        await self.clock.advance(IDLE_TIMEOUT / 2)
         self.assertTrue(self.idle.done())
         self.assertTrue(self.link.is_retired)
 
@@ -370,9 +370,9 @@
         self.assertFalse(self.idle.done())
         self.far.is_cut = True
         self.link.start_call(Envelope("test.newer", 1, 0, HEARTBEAT.body))
-        await self.clock.advance(3 * IDLE_LIMIT)
+        await self.clock.advance(3 * IDLE_TIMEOUT)
         self.assertFalse(self.idle.done())
         self.assertFalse(self.link.is_retired)
         self.link.end_call(1, "timeout")
-        await self.clock.advance(IDLE_LIMIT)
+        await self.clock.advance(IDLE_TIMEOUT)
         self.assertTrue(self.link.is_retired)
