--- a/src/damaskdeck/cli/jobs.py
+++ b/src/damaskdeck/cli/jobs.py
@@ -22,7 +22,7 @@
     workload: Annotated[str, typer.Argument(help="Name of a batch or gang workload.")],
     payload: Annotated[
         Path | None, typer.Option(help="File that each task receives.")
-    ] = (None),
+    ] = None,
     key: Annotated[str, typer.Option(help="Idempotency key.")] = "",
     wait: Annotated[bool, typer.Option(help="Wait until the job has ended.")] = False,
     output: Output = None,
--- a/src/damaskdeck/cli/losses.py
+++ b/src/damaskdeck/cli/losses.py
@@ -31,8 +31,8 @@
 END_DURABLE = "A final state is durable."
 # A run is slow when it takes more than this multiple of its step's median duration.
 SLOW_FACTOR = 2.0
-# The log line about an account that is held back is repeated at this interval for
-# the time that it is held back.
+# The log line about an account that is held back is repeated at this interval while
+# the account stays held back.
 HOLD_REPORT_SECONDS = 5.0
 # A poll without an answer ends after this time: its wait limit and the slack.
 SILENCE_DETECTION_SECONDS = 0.85
--- a/src/damaskdeck/transport/api/openapi.py
+++ b/src/damaskdeck/transport/api/openapi.py
@@ -71,18 +71,23 @@
 
 
 def _describe_parameters(entry: Route) -> list[dict[str, Any]]:
-    text = {"type": "string"}
+    string_schema = {"type": "string"}
     described: list[dict[str, Any]] = []
     if "{name}" in entry.path:
         described.append(
-            {"name": "name", "in": "path", "required": True, "schema": text}
+            {"name": "name", "in": "path", "required": True, "schema": string_schema}
         )
     for name in entry.parameters:
         # Names of headers begin with a capital letter, those of parameters do not.
         location = "header" if name[0].isupper() else "query"
         description = PARAMETERS[name]
         described.append(
-            {"name": name, "in": location, "description": description, "schema": text}
+            {
+                "name": name,
+                "in": location,
+                "description": description,
+                "schema": string_schema,
+            }
         )
     return described
 
@@ -123,17 +128,17 @@
 
 
 def _make_problem_schema() -> dict[str, Any]:
-    text = {"type": "string"}
+    string_schema = {"type": "string"}
     outcomes = ["failed", "refused", "unknown"]
     return {
         "type": "object",
         "required": ["type", "title", "status", "code", "outcome"],
         "properties": {
-            "type": text,
-            "title": text,
+            "type": string_schema,
+            "title": string_schema,
             "status": {"type": "integer"},
             "code": {"type": "string", "examples": sorted(CODES)},
-            "detail": text,
+            "detail": string_schema,
             "outcome": {"enum": outcomes},
             "revision": {"type": "integer"},
             "faults": {"type": "array", "items": {"type": "object"}},
--- a/src/damaskdeck/transport/api/server.py
+++ b/src/damaskdeck/transport/api/server.py
@@ -29,7 +29,7 @@
         self.must_stop = asyncio.Event()
 
     async def startup(self, sockets: list[socket.socket] | None = None) -> None:
-        """Start, and set the event."""
+        """Start the server and set ``has_started``."""
         await super().startup(sockets)
         self.has_started.set()
 
--- a/src/damaskdeck/transport/batches.py
+++ b/src/damaskdeck/transport/batches.py
@@ -22,7 +22,7 @@
 
 
 class BatchCodec(CodecBase):
-    """Encodes batches with MessagePack; an empty batch is a heartbeat."""
+    """Encodes batches with MessagePack; an empty batch is a ping or its answer."""
 
     __content_subtype__ = "msgpack"
 
--- a/src/damaskdeck/transport/pool.py
+++ b/src/damaskdeck/transport/pool.py
@@ -32,7 +32,7 @@
 
 
 class HttpPool:
-    """Persistent connections to the hosts behind one port of the daemon.
+    """Persistent connections to the hosts that one adapter calls.
 
     Only ``GET`` and ``POST`` are used: aiohttp repeats a request with an idempotent
     method when a reused connection breaks, and a repeated write would conflict with
--- a/src/damaskdeck/transport/store.py
+++ b/src/damaskdeck/transport/store.py
@@ -1,7 +1,7 @@
 """HTTP client of the platform's store; only this module knows its protocol.
 
-Values are sent as raw bytes. Revision and lease are in headers and in the query, where
-the expected revision is too. Listings and events are encoded with MessagePack.
+Values are sent as raw bytes; revision, lease and expected revision are sent in headers
+and in the query. Listings and events are encoded with MessagePack.
 """
 
 from collections.abc import Callable
