--- a/src/damaskdeck/pooldaemon.py
+++ b/src/damaskdeck/pooldaemon.py
@@ -40,7 +40,7 @@
 from damaskdeck.state.jobrecords import MemberRecord
 from damaskdeck.transport.api.server import HttpServer
 from damaskdeck.transport.exporter import install_exporter, read_metrics
-from damaskdeck.transport.listeners import open_listener, show_address
+from damaskdeck.transport.listeners import format_address, open_listener
 from damaskdeck.transport.peers import PeerNetwork
 
 # Distinguishes incompatible versions. It needn't be secret, because only daemons of the
@@ -180,7 +180,7 @@
         for address in addresses:
             host, _, port = address.rpartition(":")
             listeners.append(open_listener(host, int(port)))
-        bound_addresses = tuple(map(show_address, listeners))
+        bound_addresses = tuple(map(format_address, listeners))
         self.callers_address, self.ready_address, self.metrics_address = bound_addresses
         app = build_callers_app(
             self.frontend,
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -134,7 +134,7 @@
             self.handler._window -= 1
             log.info("Later.", id="quiet")
         reports = [
-            x for x in self.read_lines() if x["message"] == log_commands.LEFT_OUT
+            x for x in self.read_lines() if x["message"] == log_commands.LINES_OMITTED
         ]
         self.assertTrue(reports)
         self.assertIn("part: Again.", reports[-1]["left_out"])
@@ -184,7 +184,7 @@
     def test_missing_lines_are_reported_as_gaps(self):
         code, text = self.explain(
             write_line(2, "Ordered.", id="j1", step=0, tasks=[0, 1], attempt=3),
-            write_line(3, log_commands.LEFT_OUT, dropped=4, left_out={}),
+            write_line(3, log_commands.LINES_OMITTED, dropped=4, left_out={}),
             write_line(4, "A run has ended.", id="j1", task=[0, 0, 0], attempt=3),
         )
         self.assertEqual(code, 0)
