--- a/src/damaskdeck/coordination/pools/accountmetrics.py
+++ b/src/damaskdeck/coordination/pools/accountmetrics.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from damaskdeck.coordination.pools.urgency import find_objective
+from damaskdeck.coordination.pools.urgency import compute_objective
 from damaskdeck.metrics import count_account_job, set_account
 from damaskdeck.protocol.queues import QueueJobState
 from damaskdeck.state.pooljobs import Job, JobIndex
@@ -36,7 +36,7 @@
         outcome = str(job.final)
         if job.final is QueueJobState.COMPLETED:
             took = job.final_at - job.arrived_at
-            if took > find_objective(job.queue, job.record.spec):
+            if took > compute_objective(job.queue, job.record.spec):
                 outcome = "late"
         count_account_job(self._name(job.record.account), outcome)
 
--- a/src/damaskdeck/coordination/pools/delegatedcommits.py
+++ b/src/damaskdeck/coordination/pools/delegatedcommits.py
@@ -1,9 +1,9 @@
-"""Commits of an owner that the store turns away, made by another daemon for it.
+"""Commits that another daemon makes for an owner that the store refuses to serve.
 
-A store may turn some daemons away and serve the others. The owner's commits expect the
-fence, so it makes no difference who sends them: a commit that was passed on takes
-effect once or not at all, and not after a takeover. What has ended is durable, and told
-to callers, while the owner waits for its successor: 1.6 s of each such outage.
+The store may refuse some daemons and serve the others. The owner's commits expect the
+fence, so it makes no difference which daemon sends them: a delegated commit takes
+effect once or not at all, and never after a takeover. So ends become durable, and
+callers see them, while the owner waits for its successor: 1.6 s of each such outage.
 """
 
 from datetime import timedelta
@@ -21,11 +21,12 @@
 from damaskdeck.protocol.ports import Entry, Lapsed, Lost, Rejected, Written
 from damaskdeck.protocol.transactions import CommitResult, Mismatch, Transaction
 
-# A helper that the store answers needs some 10 ms, and some 250 ms while it is slow.
-RELAY_TIMEOUT = timedelta(milliseconds=450)
-# A commit that another daemon made tells for so long that the store answers others: an
-# owner makes some 25 a second.
-HELPED_SECONDS = 0.3
+# A delegate that the store serves needs about 10 ms, and about 250 ms if the store is
+# slow.
+COMMIT_TIMEOUT = timedelta(milliseconds=450)
+# For this long, a delegated commit shows that the store serves other daemons; an owner
+# makes about 25 commits per second.
+DELEGATING_SECONDS = 0.3
 
 _log = get_logger("journal")
 
@@ -34,7 +35,7 @@
 
 
 class DelegatingStore:
-    """Commits through the store, and through other daemons while that fails."""
+    """Commits to the store, and through other daemons while the store fails here."""
 
     def __init__(
         self,
@@ -47,12 +48,12 @@
         self._peers = peers
         self._clock = clock
         self._delegates = delegates
-        self._helped_at = float("-inf")
-        peers.register(DelegateCommit, self._commit_for)
+        self._delegated_at = float("-inf")
+        peers.register(DelegateCommit, self._handle_commit)
 
     @property
     def entry_limit(self) -> int:
-        """How many keys a transaction may name in all."""
+        """The maximum number of keys in a transaction."""
         return self._store.entry_limit
 
     async def commit(
@@ -63,18 +64,18 @@
         if not delegates:
             return await self._store.commit(transaction, timeout)
         delegate = delegates[0]
-        done = await self.commit_via_delegate(delegate, transaction)
-        if isinstance(done, Rejected | Lost):
+        result = await self.commit_via_delegate(delegate, transaction)
+        if isinstance(result, Rejected | Lost):
             self._delegates.suspend(delegate)
-            count_retry("relay", done.code)
+            count_retry("relay", result.code)
         else:
-            self._helped_at = self._now()
-        return done
+            self._delegated_at = self._now()
+        return result
 
     @property
     def is_delegating(self) -> bool:
-        """Whether the store fails here and answers another daemon."""
-        is_recent = self._now() - self._helped_at < HELPED_SECONDS
+        """Whether the store fails for this daemon but serves another one."""
+        is_recent = self._now() - self._delegated_at < DELEGATING_SECONDS
         return is_recent and self._store.is_failing
 
     async def commit_via_delegate(
@@ -82,17 +83,19 @@
     ) -> CommitResult:
         """Let another daemon make a commit."""
         message: DelegateCommit = {"transaction": _encoder.encode(transaction)}
-        reply = await self._peers.call(delegate, message, DelegateCommit, RELAY_TIMEOUT)
-        done = _read_reply(reply.message) if isinstance(reply, Answered) else None
-        if done is None:
+        reply = await self._peers.call(
+            delegate, message, DelegateCommit, COMMIT_TIMEOUT
+        )
+        result = _read_reply(reply.message) if isinstance(reply, Answered) else None
+        if result is None:
             code = "" if isinstance(reply, Answered) else reply.code
-            done = Rejected(code) if isinstance(reply, Unsent) else Lost(code)
-        return done
+            result = Rejected(code) if isinstance(reply, Unsent) else Lost(code)
+        return result
 
     def _now(self) -> float:
         return self._clock.monotonic().total_seconds()
 
-    async def _commit_for(
+    async def _handle_commit(
         self, peer: str, message: DelegateCommit
     ) -> DelegateCommitReply:
         if self._store.is_failing:
@@ -100,23 +103,27 @@
         try:
             transaction = _decoder.decode(message["transaction"])
         except DECODE_ERRORS as error:
-            _log.error("A commit can't be read.", peer=peer, error=str(error))
+            _log.error(
+                "A delegated commit can't be decoded.", peer=peer, error=str(error)
+            )
             return {"outcome": "rejected", "code": "unreadable"}
-        done = await self._store.commit(transaction)
-        _log.info("Committed for another daemon.", peer=peer, done=type(done).__name__)
-        return _build_reply(done)
-
-
-def _build_reply(done: CommitResult) -> DelegateCommitReply:
-    if isinstance(done, Written):
-        return {"outcome": "written", "code": "", "revision": done.revision}
-    if isinstance(done, Mismatch):
-        entries = [tuple(entry) for entry in done.entries]
+        result = await self._store.commit(transaction)
+        _log.info(
+            "Made a commit for another daemon.", peer=peer, done=type(result).__name__
+        )
+        return _build_reply(result)
+
+
+def _build_reply(result: CommitResult) -> DelegateCommitReply:
+    if isinstance(result, Written):
+        return {"outcome": "written", "code": "", "revision": result.revision}
+    if isinstance(result, Mismatch):
+        entries = [tuple(entry) for entry in result.entries]
         return {"outcome": "mismatch", "code": "", "entries": entries}
-    if isinstance(done, Lapsed):
+    if isinstance(result, Lapsed):
         return {"outcome": "lapsed", "code": ""}
-    outcome = "rejected" if isinstance(done, Rejected) else "lost"
-    return {"outcome": outcome, "code": done.code}
+    outcome = "rejected" if isinstance(result, Rejected) else "lost"
+    return {"outcome": outcome, "code": result.code}
 
 
 def _read_reply(reply: DelegateCommitReply) -> CommitResult:
--- a/src/damaskdeck/coordination/pools/leadership.py
+++ b/src/damaskdeck/coordination/pools/leadership.py
@@ -1,10 +1,10 @@
-"""Which daemon owns the pools, agreed on through the store.
+"""Election of the daemon that owns the pools, agreed on through the store.
 
-Every daemon holds a lease with its member key. The owner's record names the owner
-and its epoch without a lease, as a key that is bound to one may vanish at any
-time; the lead key is bound to the owner's lease and is a hint that somebody
-should take over. Taking over is safe at any time: workers refuse the older epoch,
-and the fence key refuses the older owner's writes.
+Every daemon holds a store lease that its member key is bound to. The owner's record
+names the owner and its epoch and is bound to no lease, as a key with a lease may vanish
+at any time. The lead key is bound to the owner's lease; its absence is only a hint that
+a takeover is due. A takeover is safe at any time: workers refuse the older epoch, and
+the fence key makes the store refuse the older owner's writes.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 from datetime import timedelta
 
 from damaskdeck.clock import Clock
-from damaskdeck.coordination.pools.memberlease import RETRY_DELAY, Membership
+from damaskdeck.coordination.pools.memberlease import RETRY_DELAY, MemberLease
 from damaskdeck.coordination.pools.monitoredstore import MonitoredStore
 from damaskdeck.coordination.pools.succession import (
     DeposedOwners,
@@ -55,25 +55,29 @@
     encode_record,
 )
 
-# Daemons try one after the other, so that one takeover isn't undone by the next.
+# Daemons stand for election one after the other, so that one takeover is not undone by
+# the next.
 RANK_DELAY = timedelta(milliseconds=120)
-# After the store was away, the owner gets the first turn to renew its hint.
+# After an outage of the store, the owner has this time to rewrite its lead key first.
 RETURN_DELAY = timedelta(milliseconds=500)
 
-# One of them with the fence as it was last seen, one as the store then tells it.
-TAKEOVER_TRIES = 2
-# A third of the daemons may be turned away with an owner; of so many one is not.
-HEIRS_ASKED = 6
+# One attempt with the fence as last seen, and one with the fence that the store
+# reports.
+MAX_TAKEOVER_ATTEMPTS = 2
+# The store may refuse a third of the daemons together with the owner; among six other
+# daemons at least one is served.
+MAX_RELEASE_DELEGATES = 6
 
 _log = get_logger("leadership")
 
 
 class Leadership:
-    """Membership of this daemon and the election of the owner.
+    """Membership of this daemon and election of the owner.
 
-    :param member: what this daemon tells of itself.
-    :param take: called with a :class:`OwnerTerm` when this daemon becomes owner.
-    :param lose: called when it no longer is.
+    :param member: what this daemon publishes about itself.
+    :param on_elected: called with the :class:`OwnerTerm` when this daemon becomes
+        owner.
+    :param on_deposed: called when this daemon is no longer the owner.
     """
 
     def __init__(
@@ -82,33 +86,33 @@
         store: MonitoredStore,
         clock: Clock,
         times: PoolTimes,
-        take: Callable[[OwnerTerm], None],
-        lose: Callable[[], None],
+        on_elected: Callable[[OwnerTerm], None],
+        on_deposed: Callable[[], None],
     ) -> None:
         self._member = member
         self._store = store
         self._clock = clock
         self._times = times
-        self._take = take
-        self._lose = lose
-        self._membership = Membership(
+        self._on_elected = on_elected
+        self._on_deposed = on_deposed
+        self._member_lease = MemberLease(
             member, store, clock, times, lambda: self._wakeup.set()
         )
         self._members: dict[str, MemberRecord] = {}
         self._owner: OwnerRecord | None = None
         self._owner_revision = 0
-        self._successions = DeposedOwners()
+        self._deposed_owners = DeposedOwners()
         self._has_lead = False
         self._is_synced = False
-        self._lost_contact_at = float("-inf")
+        self._store_failed_at = float("-inf")
         self._confirmed_at = float("-inf")
         self._wakeup = asyncio.Event()
         self._suspected_epoch = 0
         self._absent: frozenset[str] = frozenset()
-        self._asking: asyncio.Future[None] | None = None
+        self._owner_read: asyncio.Future[None] | None = None
         self._is_leaving = False
-        self._mandate: OwnerTerm | None = None
-        # Whether the owner was heard lately; whoever listens to it says so.
+        self._term: OwnerTerm | None = None
+        # Whether the owner was seen alive recently; set by the monitor of the owner.
         self.is_owner_alive: Callable[[], bool] = lambda: False
 
     @property
@@ -118,25 +122,25 @@
 
     @property
     def owner_revision(self) -> int:
-        """Revision of the owner's record, 0 while there is none."""
+        """Revision of the owner's record, 0 if there is none."""
         return self._owner_revision
 
     @property
     def is_synced(self) -> bool:
-        """Whether the store's view has been read since the start."""
+        """Whether the control keys have been read since the start."""
         return self._is_synced
 
     @property
     def term(self) -> OwnerTerm | None:
-        """The mandate that this daemon holds."""
-        return self._mandate
+        """The term that this daemon holds, ``None`` if it is not the owner."""
+        return self._term
 
     def list_members(self) -> list[str]:
-        """List the daemons that are up, as last seen."""
+        """List the daemons that were last seen alive."""
         return sorted(self._members)
 
-    def list_heirs(self) -> list[str]:
-        """List the members by who should own next, the best first."""
+    def list_successors(self) -> list[str]:
+        """List the members in the order in which they should succeed the owner."""
         own, owner = self._member.instance, self._owner
         members = {**self._members, own: self._member}
         if owner is not None and owner.instance != own:
@@ -146,95 +150,98 @@
                 members.pop(name, None)
         return rank_successors(members, owner.epoch if owner is not None else 0)
 
-    def list_spread(self) -> list[str]:
-        """List the members by turns of their availability zones."""
+    def list_interleaved(self) -> list[str]:
+        """List the members alternating between their availability zones."""
         return interleave_zones(self._members)
 
     def find_address(self, instance: str) -> str | None:
-        """Return the peers' address of a daemon, ``None`` when it isn't known."""
+        """Return the peer address of a daemon, ``None`` if it is unknown."""
         member = self._members.get(instance)
         return member.address if member else None
 
     def is_gone(self, instance: str, incarnation: str) -> bool:
-        """Whether a process is proved dead by its successor's member key."""
+        """Whether a later incarnation's member key proves that a process has ended."""
         if instance == self._member.instance:
             return incarnation != self._member.incarnation
         member = self._members.get(instance)
         return member is not None and member.incarnation != incarnation
 
     def is_cut_off(self) -> bool:
-        """Whether the store has been silent for as long as our lease lasts."""
+        """Whether the store has been silent for the lifetime of the member lease."""
         return self._store.measure_silence() > self._times.member_ttl
 
     def may_decide(self) -> bool:
-        """Whether this daemon's belief to be owner is fresh enough to act on."""
-        if self._mandate is None:
+        """Whether this daemon is the owner and its owner lease has not expired."""
+        if self._term is None:
             return False
         age = self._clock.monotonic().total_seconds() - self._confirmed_at
-        return age < self._times.tenure.total_seconds()
+        return age < self._times.owner_lease.total_seconds()
 
     def confirm(self, since: float) -> None:
-        """Take note that the store showed this daemon as owner.
+        """Record that the store named this daemon as the owner.
 
-        :param since: when the call that showed it was sent, monotonic seconds.
+        :param since: when the call that returned it was sent, in monotonic seconds.
         """
         self._confirmed_at = max(self._confirmed_at, since)
 
-    async def is_confirmed_since(self, moment: float) -> bool:
-        """Whether the store names this daemon in a call sent at ``moment`` or later.
+    async def is_confirmed_since(self, earliest: float) -> bool:
+        """Whether a store call sent since ``earliest`` named this daemon as the owner.
 
-        It is asked if no call has told yet; those who ask at a time share a call.
+        The store is read if no call has confirmed that yet; concurrent callers share
+        one read.
 
-        :param moment: monotonic seconds.
+        :param earliest: monotonic seconds.
         """
-        if self._mandate is not None and self._confirmed_at < moment:
-            if self._asking is None or self._asking.done():
-                self._asking = asyncio.ensure_future(self._ask_for_owner())
-            await asyncio.shield(self._asking)
-        return self._mandate is not None and self._confirmed_at >= moment
+        if self._term is not None and self._confirmed_at < earliest:
+            if self._owner_read is None or self._owner_read.done():
+                self._owner_read = asyncio.ensure_future(self._read_owner())
+            await asyncio.shield(self._owner_read)
+        return self._term is not None and self._confirmed_at >= earliest
 
-    async def _ask_for_owner(self) -> None:
+    async def _read_owner(self) -> None:
         sent = self._clock.monotonic().total_seconds()
         found = await self._store.read(OWNER_KEY)
         if isinstance(found, Found):
             self.refresh(found.entry)
-            if self._mandate is not None and self._is_own(self._owner):
+            if self._term is not None and self._is_this_process(self._owner):
                 self.confirm(sent)
 
     def refresh(self, entry: Entry | None) -> None:
-        """Take note of the owner's record as a call to the store showed it."""
+        """Apply the owner's record as a store call returned it."""
         if entry is not None:
             self._apply(entry.key, entry.value, entry.revision)
 
     def suspect(self, epoch: int, absent: frozenset[str] = frozenset()) -> None:
-        """Stand for election, as nobody hears the owner of that epoch.
+        """Stand for election, as no daemon reaches the owner of an epoch.
 
-        :param absent: daemons that nobody has to wait for.
+        :param absent: daemons that the election does not wait for.
         """
         self._suspected_epoch = max(self._suspected_epoch, epoch)
         self._absent = absent
         self._wakeup.set()
 
     def step_down(self, reason: str) -> None:
-        """Stop deciding, as another owner was heard of."""
-        if self._mandate is not None:
-            _log.info("Deposed.", epoch=self._mandate.epoch, reason=reason)
-            self._mandate = None
-            self._lose()
+        """Stop deciding, as there is another owner."""
+        if self._term is not None:
+            _log.info("Deposed.", epoch=self._term.epoch, reason=reason)
+            self._term = None
+            self._on_deposed()
         self._wakeup.set()
 
     async def run(self) -> None:
-        """Hold the member's lease, follow the control keys and stand for election."""
-        await asyncio.gather(self._membership.run(), self._follow(), self._stand())
+        """Maintain the member lease, follow the control keys and join elections."""
+        await asyncio.gather(
+            self._member_lease.run(), self._follow_control_keys(), self._run_elections()
+        )
 
-    # Watch -------------------------------------------------------------------
+    # Control keys -------------------------------------------------------------
 
-    async def _follow(self) -> None:
+    async def _follow_control_keys(self) -> None:
         revision = 0
         while True:
             sent = self._clock.monotonic().total_seconds()
             if not revision:
-                revision = await self._list(sent)
+                revision = await self._list_control_keys(sent)
                 continue
             events = await self._store.watch(
                 CONTROL_PREFIX, revision, self._times.control_wait
@@ -243,17 +250,17 @@
                 for event in events.events:
                     self._apply(event.key, event.value, event.revision)
                 revision = events.revision
-                self._note_contact(sent)
+                self._record_contact(sent)
             elif isinstance(events, RevisionTooOld):
                 revision = 0
             else:
-                self._lost_contact_at = self._clock.monotonic().total_seconds()
+                self._store_failed_at = self._clock.monotonic().total_seconds()
                 await self._clock.sleep(RETRY_DELAY)
 
-    async def _list(self, sent: float) -> int:
+    async def _list_control_keys(self, sent: float) -> int:
         found = await read_all(self._store, CONTROL_PREFIX)
         if not isinstance(found, tuple) or not isinstance(found[0], tuple):
-            self._lost_contact_at = self._clock.monotonic().total_seconds()
+            self._store_failed_at = self._clock.monotonic().total_seconds()
             await self._clock.sleep(RETRY_DELAY)
             return 0
         entries, revision = found
@@ -265,11 +272,11 @@
             self._apply(entry.key, entry.value, entry.revision)
         self._has_lead = LEAD_KEY in present
         self._is_synced = True
-        self._note_contact(sent)
+        self._record_contact(sent)
         return revision
 
-    def _note_contact(self, sent: float) -> None:
-        if self._mandate is not None:
+    def _record_contact(self, sent: float) -> None:
+        if self._term is not None:
             self.confirm(sent)
         self._wakeup.set()
 
@@ -295,43 +302,44 @@
             return
         owner = decode_record(OwnerRecord, value)
         if revision > self._owner_revision:
-            # A takeover writes its hint with it; the watch tells when that goes. Who
-            # learns of the owner by a refused commit may not have seen the hint yet.
+            # A takeover writes the lead key in the same commit, and the watch reports
+            # when it vanishes. A daemon that learns of the owner from a refused commit
+            # may not have seen the lead key yet.
             self._has_lead = not owner.is_released
-        self._successions.record_owner_change(
+        self._deposed_owners.record_owner_change(
             self._owner, owner, self._clock.monotonic()
         )
         self._owner = owner
         self._owner_revision = revision
-        if self._mandate is not None and not self._is_own(self._owner):
+        if self._term is not None and not self._is_this_process(self._owner):
             self.step_down("the store names another owner")
 
-    def count_deposed(self, lately: timedelta) -> int:
-        """Count the owners that were deposed lately though they are alive."""
-        since = self._clock.monotonic() - lately
-        return self._successions.count_alive_deposed(self._members, since)
+    def count_deposed(self, window: timedelta) -> int:
+        """Count the owners deposed within a time window that are still alive."""
+        since = self._clock.monotonic() - window
+        return self._deposed_owners.count_alive_deposed(self._members, since)
 
-    def _is_own(self, owner: OwnerRecord) -> bool:
+    def _is_this_process(self, owner: OwnerRecord) -> bool:
         is_self = owner.incarnation == self._member.incarnation
         return is_self and not owner.is_released
 
     # Election ----------------------------------------------------------------
 
-    async def _stand(self) -> None:
+    async def _run_elections(self) -> None:
         while True:
             await self._wakeup.wait()
             self._wakeup.clear()
-            if self._is_leaving or not self._is_synced or not self._membership.lease:
+            if self._is_leaving or not self._is_synced or not self._member_lease.lease:
                 continue
-            if self._mandate is not None:
+            if self._term is not None:
                 if not self._has_lead:
-                    await self._renew_lead()
+                    await self._rewrite_lead_key()
             elif self._is_vacant():
                 fence = await self._wait_for_turn()
                 if self._is_vacant() and not self._is_leaving:
                     await self._take_over(fence)
             elif not self._has_lead:
-                # An owner that is behind has let its lease run out.
+                # An owner that is overloaded has let its store lease expire.
                 await self._clock.sleep(RETRY_DELAY)
                 self._wakeup.set()
 
@@ -344,91 +352,94 @@
         if not self._has_lead and not self.is_owner_alive():
             return True
         if owner.incarnation == self._member.incarnation:
-            # Without a mandate: a takeover was carried out after it seemed lost.
+            # This daemon holds no term: a takeover took effect after it was taken for
+            # lost.
             return True
         return self.is_gone(owner.instance, owner.incarnation)
 
-    def _find_delay(self) -> timedelta:
+    def _compute_delay(self) -> timedelta:
         owner = self._owner
         own = self._member.instance
         if owner is not None and owner.is_released and owner.successor == own:
             return timedelta()
-        rank = self.list_heirs().index(own)
-        away = self._clock.monotonic().total_seconds() - self._lost_contact_at
-        base = RETURN_DELAY if away < 1.0 else timedelta()
+        rank = self.list_successors().index(own)
+        since_failure = self._clock.monotonic().total_seconds() - self._store_failed_at
+        base = RETURN_DELAY if since_failure < 1.0 else timedelta()
         if owner is not None and owner.is_released:
             base = RETURN_DELAY
         return base + rank * RANK_DELAY
 
-    def find_heir(self, epoch: int, absent: frozenset[str]) -> str:
-        """Return who should succeed the owner of an epoch that nobody hears."""
+    def choose_successor(self, epoch: int, absent: frozenset[str]) -> str:
+        """Return the member that should succeed an unreachable owner of an epoch."""
         self.suspect(epoch, absent)
-        return self.list_heirs()[0]
+        return self.list_successors()[0]
 
     def find_stronger_member(self) -> str:
-        """Return a member that should own in this daemon's place, or nothing."""
+        """Return a member that should own the pools in place of this one, or ""."""
         return find_stronger_member(self._members.values(), self._member.power)
 
-    async def find_fence(self) -> int:
-        """Return the revision of the fence key, 0 when it isn't known."""
+    async def read_fence_revision(self) -> int:
+        """Return the revision of the fence key, 0 if it is unknown."""
         found = await self._store.read(FENCE_KEY)
         return found.entry.revision if isinstance(found, Found) else 0
 
     async def _wait_for_turn(self) -> int:
-        """Wait until this daemon may stand; returns the revision of the fence key."""
-        owner, delay = self._owner, self._find_delay()
+        """Wait for this daemon's turn and return the revision of the fence key."""
+        owner, delay = self._owner, self._compute_delay()
         if owner is not None and owner.is_released and owner.fence and not delay:
             return owner.fence
-        _, fence = await asyncio.gather(self._clock.sleep(delay), self.find_fence())
+        _, fence = await asyncio.gather(
+            self._clock.sleep(delay), self.read_fence_revision()
+        )
         return fence
 
     async def _take_over(self, fence: int) -> None:
-        """Take over, expecting the owner's record as it was seen.
+        """Take over, expecting the owner's record as last seen.
 
-        :param fence: revision of the fence key. When it is an older one the store's
-            refusal tells the newer, as the old owner may have been writing.
+        :param fence: revision of the fence key. If it is outdated because the old owner
+            is still writing, the store's refusal contains the current one.
         """
-        # The epoch follows from the record that the commit expects: another may take
-        # over while the fence is read.
+        # The epoch is derived from the record that the commit expects, as another
+        # daemon may take over while the fence is read.
         old, revision = self._owner, self._owner_revision
         epoch = (old.epoch if old else 0) + 1
         record = OwnerRecord(epoch, self._member.instance, self._member.incarnation)
-        for _ in range(TAKEOVER_TRIES):
+        for _ in range(MAX_TAKEOVER_ATTEMPTS):
             sent = self._clock.monotonic().total_seconds()
-            done = await self._store.commit(
-                build_takeover(record, revision, fence, self._membership.lease)
+            result = await self._store.commit(
+                build_takeover(record, revision, fence, self._member_lease.lease)
             )
-            if isinstance(done, Written):
-                self._begin(record, done.revision, sent, old)
+            if isinstance(result, Written):
+                self._begin_term(record, result.revision, sent, old)
                 return
-            if not isinstance(done, Mismatch):
+            if not isinstance(result, Mismatch):
                 break
-            found = done.find(OWNER_KEY)
+            found = result.find(OWNER_KEY)
             if (found.revision if found is not None else 0) != revision:
                 self.refresh(found)
                 return
-            entry = done.find(FENCE_KEY)
+            entry = result.find(FENCE_KEY)
             fence = entry.revision if entry is not None else 0
-        if isinstance(done, Lapsed):
-            self._membership.note_lapse()
-        await self._settle_takeover(record, old)
+        if isinstance(result, Lapsed):
+            self._member_lease.discard_lease()
+        await self._check_takeover(record, old)
 
-    async def _settle_takeover(
+    async def _check_takeover(
         self, record: OwnerRecord, old: OwnerRecord | None
     ) -> None:
-        """Look whether a takeover without an answer took effect."""
+        """Read whether a takeover without an answer took effect."""
         sent = self._clock.monotonic().total_seconds()
         found = await self._store.read(OWNER_KEY)
         if isinstance(found, Found):
             entry: Entry = found.entry
             self._apply(OWNER_KEY, entry.value, entry.revision)
             if self._owner == record:
-                self._begin(record, entry.revision, sent, old)
+                self._begin_term(record, entry.revision, sent, old)
                 return
         await self._clock.sleep(RETRY_DELAY)
         self._wakeup.set()
 
-    def _begin(
+    def _begin_term(
         self,
         record: OwnerRecord,
         revision: int,
@@ -436,48 +447,48 @@
         old: OwnerRecord | None,
     ) -> None:
         if self._owner_revision > revision:
-            _log.info("Overtaken before it began.", epoch=record.epoch)
+            _log.info("Another takeover came first.", epoch=record.epoch)
             return
-        self._successions.record_owner_change(
+        self._deposed_owners.record_owner_change(
             self._owner, record, self._clock.monotonic()
         )
         self._owner, self._owner_revision = record, revision
         self._has_lead = True
         self.confirm(sent)
-        self._mandate = OwnerTerm(record.epoch, revision, revision, old)
+        self._term = OwnerTerm(record.epoch, revision, revision, old)
         _log.info("Owner of the pools.", epoch=record.epoch, revision=revision)
-        self._take(self._mandate)
+        self._on_elected(self._term)
 
-    async def _renew_lead(self) -> None:
-        """Write the hint again after it vanished, unless another took over."""
-        assert self._mandate is not None
-        value = encode_record(self._mandate.epoch)
-        done = await self._store.commit(
+    async def _rewrite_lead_key(self) -> None:
+        """Rewrite the lead key after it vanished, unless another daemon took over."""
+        assert self._term is not None
+        value = encode_record(self._term.epoch)
+        result = await self._store.commit(
             Transaction(
                 ((OWNER_KEY, self._owner_revision),),
-                (Write(LEAD_KEY, value, self._membership.lease),),
+                (Write(LEAD_KEY, value, self._member_lease.lease),),
             )
         )
-        if isinstance(done, Written):
+        if isinstance(result, Written):
             self._has_lead = True
-        elif isinstance(done, Lapsed):
-            self._membership.note_lapse()
+        elif isinstance(result, Lapsed):
+            self._member_lease.discard_lease()
 
-    # Leaving -----------------------------------------------------------------
+    # Handover and departure ---------------------------------------------------
 
     async def release(self, fence: int = 0, is_leaving: bool = True) -> None:
-        """Hand over: nobody has to wait for the lease. Order nothing after this.
+        """Hand over, so that no daemon waits for the lease; order no task after this.
 
-        :param fence: revision of the fence key, which saves the heir a call.
-        :param is_leaving: this daemon stands for no election any more.
+        :param fence: revision of the fence key, which saves the successor a call.
+        :param is_leaving: this daemon takes part in no further election.
         """
         self._is_leaving = self._is_leaving or is_leaving
-        term = self._mandate
+        term = self._term
         if term is None:
             return
         self.step_down("handover")
-        heirs = self._list_other_heirs()
-        successor = heirs[0] if heirs else ""
+        successors = self._list_other_successors()
+        successor = successors[0] if successors else ""
         await self._store.commit(build_release(term, self._member, successor, fence))
 
     async def release_via_delegate(
@@ -485,25 +496,27 @@
         fence: int,
         commit_via_delegate: Callable[[str, Transaction], Awaitable[CommitResult]],
     ) -> None:
-        """Hand over to the first heir that the store answers, by a commit of its own.
+        """Hand over by a commit that the first successor served by the store makes.
 
-        :param commit_via_delegate: lets a daemon make a commit.
+        :param commit_via_delegate: makes a commit through another daemon.
         """
-        term = self._mandate
+        term = self._term
         if term is None:
             return
         self.step_down("handover")
-        for successor in self._list_other_heirs()[:HEIRS_ASKED]:
+        for successor in self._list_other_successors()[:MAX_RELEASE_DELEGATES]:
             release = build_release(term, self._member, successor, fence)
             if isinstance(
                 await commit_via_delegate(successor, release), Written | Mismatch
             ):
                 return
 
-    def _list_other_heirs(self) -> list[str]:
-        return [name for name in self.list_heirs() if name != self._member.instance]
+    def _list_other_successors(self) -> list[str]:
+        return [
+            name for name in self.list_successors() if name != self._member.instance
+        ]
 
     async def leave(self) -> None:
-        """Take the member's key away, so that nobody forwards here."""
+        """Remove the member key, so that no peer forwards to this daemon."""
         self._is_leaving = True
-        await self._membership.leave()
+        await self._member_lease.leave()
--- a/src/damaskdeck/coordination/pools/liveness.py
+++ b/src/damaskdeck/coordination/pools/liveness.py
@@ -1,8 +1,8 @@
-"""Signs of life of the owner as one daemon has them, and how long none is usual.
+"""Liveness of the owner as one daemon sees it, with an adaptive timeout.
 
-An owner that is behind answers late. What it usually takes is learnt as for the
-retransmission timeout of TCP, so that a slow owner is not taken for a dead one; and
-whoever was deposed and is still a member shows that owners were doubted too soon.
+An overloaded owner answers late. Its usual response time is learned as for the
+retransmission timeout of TCP, so that a slow owner is not taken for a dead one. A
+deposed owner that is still a member shows that owners were suspected too early.
 """
 
 from datetime import timedelta
@@ -10,108 +10,109 @@
 
 from damaskdeck.clock import Clock
 
-# Two beats in a row without an answer, and what a pause of the collector takes.
-LEAST_SILENCE = timedelta(milliseconds=300)
-# An owner that is silent for so long holds its workers' leases, 6 s, only just, and
-# no caller's deadline, 3 s, any more.
-LONGEST_SILENCE = timedelta(milliseconds=2400)
-# A successor that has not answered yet is left alone for so long: it loads all jobs and
-# looks at all workers, 0.4 s on half a core for 250 jobs and 270 workers, over 1 s on a
-# tenth of one for a sixth of that.
-FIRST_SILENCE = timedelta(milliseconds=1500)
-# Weights of the newest round trip and of its error, and how many errors are waited
-# for: those of RFC 6298.
-TRIP_SHARE = 0.125
-ERROR_SHARE = 0.25
-ERRORS = 4.0
+# Two heartbeats in a row without a reply, and the time of a garbage collection.
+MIN_SILENCE = timedelta(milliseconds=300)
+# After this silence an owner can only just renew its workers' leases of 6 s, and no
+# longer meets callers' deadlines of 3 s.
+MAX_SILENCE = timedelta(milliseconds=2400)
+# A successor that has not replied yet has this time to load all jobs and poll all
+# workers. That took 0.4 s on half a core with 250 jobs and 270 workers, and over 1 s on
+# a tenth of a core with a sixth of them.
+LOADING_SILENCE = timedelta(milliseconds=1500)
+# Weights of the latest round trip and of its error, and the number of errors added to
+# the mean: those of RFC 6298.
+MEAN_WEIGHT = 0.125
+ERROR_WEIGHT = 0.25
+ERROR_FACTOR = 4.0
 
 
 class RoundTrips(NamedTuple):
-    """What answers to beats take, in seconds.
+    """Statistics of the round trips of heartbeats, in seconds.
 
-    :param error: mean of how far they are off.
-    :param answers: how many told it.
+    :param error: mean deviation.
+    :param answers: number of replies.
     """
 
     mean: float = 0.0
     error: float = 0.0
     answers: int = 0
 
-    def learn(self, took: float) -> "RoundTrips":
-        """Return what is known with one more answer."""
+    def add_sample(self, seconds: float) -> "RoundTrips":
+        """Return the statistics with one more reply."""
         if not self.answers:
-            return RoundTrips(took, took / 2, 1)
-        error = self.error + ERROR_SHARE * (abs(took - self.mean) - self.error)
-        mean = self.mean + TRIP_SHARE * (took - self.mean)
+            return RoundTrips(seconds, seconds / 2, 1)
+        error = self.error + ERROR_WEIGHT * (abs(seconds - self.mean) - self.error)
+        mean = self.mean + MEAN_WEIGHT * (seconds - self.mean)
         return RoundTrips(mean, error, self.answers + 1)
 
     @property
-    def longest(self) -> float:
-        """What an answer takes at most as a rule."""
-        return self.mean + ERRORS * self.error
+    def expected_max(self) -> float:
+        """The time within which a reply usually arrives."""
+        return self.mean + ERROR_FACTOR * self.error
 
 
-class LifeSigns:
-    """Signs of the owner of one epoch after the other.
+class OwnerLiveness:
+    """Liveness of the owners of successive epochs.
 
-    :ivar epoch: of the owner that is followed, 0 before any.
+    :ivar epoch: of the followed owner, 0 before the first one.
     """
 
     def __init__(self, clock: Clock) -> None:
         self.epoch = 0
         self._clock = clock
-        self._trips = RoundTrips()
-        self._heard_at = self._told_at = self._followed_at = float("-inf")
+        self._round_trips = RoundTrips()
+        self._alive_at = self._message_at = self._followed_at = float("-inf")
 
     def _now(self) -> float:
         return self._clock.monotonic().total_seconds()
 
     def follow(self, epoch: int) -> None:
-        """Follow a newer owner; it counts as heard when it is first heard of."""
+        """Follow a newer owner, which counts as alive from now on."""
         if epoch > self.epoch:
             self.epoch = epoch
-            self._trips = RoundTrips()
-            self._heard_at = self._told_at = self._followed_at = self._now()
+            self._round_trips = RoundTrips()
+            self._alive_at = self._message_at = self._followed_at = self._now()
 
     def record_heartbeat(self, epoch: int) -> None:
-        """Take note of a message that the owner has sent."""
+        """Record a message that the owner has sent."""
         if epoch >= self.epoch:
             self.follow(epoch)
-            self._heard_at = self._told_at = self._now()
+            self._alive_at = self._message_at = self._now()
 
-    def note_answer(self, epoch: int, sent: float) -> None:
-        """Take note of the answer to a beat.
+    def record_reply(self, epoch: int, sent: float) -> None:
+        """Record the reply to a heartbeat request.
 
-        :param sent: when it was asked for, monotonic seconds.
+        :param sent: when the request was sent, in monotonic seconds.
         """
         self.record_heartbeat(epoch)
         if epoch == self.epoch:
-            self._trips = self._trips.learn(self._now() - sent)
+            self._round_trips = self._round_trips.add_sample(self._now() - sent)
 
-    def note_progress(self) -> None:
-        """Take note that the owner has stored something.
+    def record_progress(self) -> None:
+        """Record that the owner has stored something.
 
-        That holds for a while only: one that is cut off from the other daemons may
-        still store what it does in its own availability zone.
+        This counts for a limited time only, as an owner that is cut off from the other
+        daemons may still store changes of its own availability zone.
         """
-        if self._now() - self._told_at < LONGEST_SILENCE.total_seconds():
-            self._heard_at = self._now()
+        if self._now() - self._message_at < MAX_SILENCE.total_seconds():
+            self._alive_at = self._now()
 
     def measure_silence(self) -> float:
-        """Return the seconds since the last sign."""
-        return self._now() - self._heard_at
+        """Return the seconds since the last evidence that the owner is alive."""
+        return self._now() - self._alive_at
 
-    def find_timeout(self, doubted: int) -> float:
-        """Return the seconds without a sign that tell of a loss.
+    def find_timeout(self, deposed_alive: int) -> float:
+        """Return the seconds of silence after which the owner counts as lost.
 
-        :param doubted: how many owners were deposed lately that are still alive.
+        :param deposed_alive: the number of recently deposed owners that are still
+            alive.
         """
-        # The first owner of all finds nothing to load.
+        # The first owner of all has nothing to load.
         is_loading = (
             self.epoch > 1
-            and not self._trips.answers
-            and self._now() - self._followed_at < FIRST_SILENCE.total_seconds()
+            and not self._round_trips.answers
+            and self._now() - self._followed_at < LOADING_SILENCE.total_seconds()
         )
-        least = FIRST_SILENCE if is_loading else LEAST_SILENCE
-        usual = max(least.total_seconds(), self._trips.longest)
-        return min(usual * 2**doubted, LONGEST_SILENCE.total_seconds())
+        minimum = LOADING_SILENCE if is_loading else MIN_SILENCE
+        expected = max(minimum.total_seconds(), self._round_trips.expected_max)
+        return min(expected * 2**deposed_alive, MAX_SILENCE.total_seconds())
--- a/src/damaskdeck/coordination/pools/memberlease.py
+++ b/src/damaskdeck/coordination/pools/memberlease.py
@@ -1,4 +1,4 @@
-"""This daemon's membership: a lease in the store, and the key that is bound to it."""
+"""The store lease of this daemon and the member key that is bound to it."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,18 +14,18 @@
 from damaskdeck.state.jobrecords import MEMBERS_PREFIX, MemberRecord, encode_record
 
 RETRY_DELAY = timedelta(milliseconds=100)
-# Between two looks whether a failing store is back.
+# Time between two checks whether a failing store answers again.
 PROBE_INTERVAL = timedelta(milliseconds=150)
 
 _log = get_logger("leadership")
 
 
-class Membership:
-    """Holds the lease and writes the member's key.
+class MemberLease:
+    """Maintains the lease and writes the member key.
 
-    :param member: what this daemon tells of itself.
-    :param note: called when the key has been written.
-    :ivar lease: an empty string while there is none.
+    :param member: what this daemon publishes about itself.
+    :param on_registered: called when the key has been written.
+    :ivar lease: the lease, an empty string if there is none.
     """
 
     def __init__(
@@ -34,35 +34,35 @@
         store: MonitoredStore,
         clock: Clock,
         times: PoolTimes,
-        note: Callable[[], None],
+        on_registered: Callable[[], None],
     ) -> None:
         self.lease = ""
         self._member = member
         self._store = store
         self._clock = clock
         self._times = times
-        self._note = note
+        self._on_registered = on_registered
         self._probes: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Hold the lease until cancelled."""
+        """Maintain the lease until cancelled."""
         try:
-            await asyncio.gather(self._keep(), self._probe())
+            await asyncio.gather(self._maintain(), self._probe_store())
         finally:
             for probe in self._probes:
                 probe.cancel()
 
-    def note_lapse(self) -> None:
-        """Take note that the store no longer knows the lease."""
+    def discard_lease(self) -> None:
+        """Discard a lease that the store no longer knows."""
         self.lease = ""
 
-    async def _keep(self) -> None:
+    async def _maintain(self) -> None:
         while True:
             if not self.lease:
                 granted = await self._store.grant_lease(self._times.member_ttl)
                 if isinstance(granted, Granted):
                     self.lease = granted.lease
-                    await self._write()
+                    await self._write_key()
                 else:
                     await self._clock.sleep(RETRY_DELAY)
                 continue
@@ -72,11 +72,12 @@
                 _log.warn("The member's lease lapsed.", lease=self.lease)
                 self.lease = ""
 
-    async def _probe(self) -> None:
-        """Ask a store that is failing again and again, whatever is on its way.
+    async def _probe_store(self) -> None:
+        """Call a failing store repeatedly, whatever other calls are in flight.
 
-        A call that hangs holds up its loop for its time-out; the return of the store
-        is noticed by the first call that is sent after it. A renewal costs least.
+        A call that hangs blocks its loop until its timeout, whereas the first call sent
+        after the store has recovered notices that at once. A renewal is the cheapest
+        call.
         """
         while True:
             await self._clock.sleep(PROBE_INTERVAL)
@@ -86,21 +87,21 @@
     async def _renew(self, lease: str) -> None:
         await self._store.renew_lease(lease)
 
-    async def _write(self) -> None:
-        """Write the key; twice at worst, as it says the same."""
+    async def _write_key(self) -> None:
+        """Write the member key; a repeated write is harmless, its value is the same."""
         key = MEMBERS_PREFIX + self._member.instance
         write = Write(key, encode_record(self._member), self.lease)
         while self.lease:
-            done = await self._store.commit(Transaction(writes=(write,)))
-            if isinstance(done, Lapsed):
+            result = await self._store.commit(Transaction(writes=(write,)))
+            if isinstance(result, Lapsed):
                 self.lease = ""
-            elif isinstance(done, Written):
-                self._note()
+            elif isinstance(result, Written):
+                self._on_registered()
                 return
             else:
                 await self._clock.sleep(RETRY_DELAY)
 
     async def leave(self) -> None:
-        """Take the key away, so that nobody forwards here."""
+        """Remove the member key, so that no peer forwards to this daemon."""
         key = MEMBERS_PREFIX + self._member.instance
         await self._store.commit(Transaction(removals=(key,)))
--- a/src/damaskdeck/coordination/pools/orderspacing.py
+++ b/src/damaskdeck/coordination/pools/orderspacing.py
@@ -1,34 +1,38 @@
-"""Orders to one worker that are kept apart, so that its crash tells under which.
+"""Spacing between orders to one worker, so that a crash can be attributed to one job.
 
-What ran together on a worker that crashed is lost at the same moment, would be started
-again at the same moment, and packed together once more: what only stood beside the
-cause would then crash as often.
+The runs on a worker that crashes are lost at the same moment. They would be started
+again together and packed together once more, so runs that merely stood beside the cause
+would crash as often as the cause itself.
 """
 
 from damaskdeck.state.pooljobs import Step
 
-# Longer than a worker needs to fall and its channel to break.
-APART_SECONDS = 0.1
+# Longer than a worker needs to crash and its connection to break.
+SPACING_SECONDS = 0.1
 
 
 class LastOrder:
-    """What a worker was last told to start."""
+    """The last order to one worker."""
 
     def __init__(self) -> None:
-        self._at = float("-inf")
+        self._ordered_at = float("-inf")
         self._job = ""
-        self._is_suspect = False
+        self._has_crashes = False
 
-    def note(self, step: Step, now: float) -> None:
-        """Take note of an order."""
-        self._at, self._job = now, step.job.identifier
-        self._is_suspect = step.has_crashes
+    def record(self, step: Step, now: float) -> None:
+        """Record an order."""
+        self._ordered_at, self._job = now, step.job.identifier
+        self._has_crashes = step.has_crashes
 
     def allows(self, step: Step, now: float) -> bool:
         """Whether tasks of a step may be ordered now.
 
-        Not where either has seen workers crash, just after one of another job.
+        An order shortly after one of another job is not allowed if either step has
+        crashed workers before.
         """
-        if now - self._at >= APART_SECONDS or self._job == step.job.identifier:
+        if (
+            now - self._ordered_at >= SPACING_SECONDS
+            or self._job == step.job.identifier
+        ):
             return True
-        return not (self._is_suspect or step.has_crashes)
+        return not (self._has_crashes or step.has_crashes)
--- a/src/damaskdeck/coordination/pools/owner.py
+++ b/src/damaskdeck/coordination/pools/owner.py
@@ -1,8 +1,8 @@
-"""The pools' owner: knows all jobs on queues and all workers, and decides.
+"""The pools' owner, which knows all queued jobs and all workers and decides.
 
-It lives as long as its mandate. Its memory is filled from the store and from the
-workers' inventories; a task that a predecessor may have started on a worker that
-doesn't answer waits until nothing can run there any more.
+An owner exists for one owner term. Its state is read from the store and from the
+workers' inventories. A task that a predecessor may have started on a worker that does
+not answer is not started again until nothing can still be running on that worker.
 """
 
 import asyncio
@@ -22,12 +22,12 @@
 from damaskdeck.coordination.pools.dispatcher import Dispatcher
 from damaskdeck.coordination.pools.intake import Intake
 from damaskdeck.coordination.pools.journal import Journal
-from damaskdeck.coordination.pools.supervision import Supervisor
+from damaskdeck.coordination.pools.supervision import RunSupervisor
 from damaskdeck.coordination.pools.transfers import OwnerTerm
 from damaskdeck.coordination.pools.workerfleet import (
+    FleetCallbacks,
     FleetDependencies,
-    Workforce,
-    WorkforceEvents,
+    WorkerFleet,
 )
 from damaskdeck.coordination.pools.zoneconfinement import measure_zone_capacities
 from damaskdeck.logs import get_logger
@@ -44,64 +44,66 @@
 from damaskdeck.state.pooljobs import Job, JobIndex, Run, Step, Task
 
 SWEEP_INTERVAL = timedelta(milliseconds=100)
-# A few messages a second for each daemon; room changes with each second's jobs.
-ROOM_INTERVAL = timedelta(milliseconds=500)
-# How long a contact waits for the store before it looks at its worker again: so much
-# later at most a next step starts while the store is slow or away.
-DURABLE_WAIT = timedelta(milliseconds=100)
-# Attempts of a later epoch start above those of the ones before.
-ATTEMPTS_OF_EPOCH = 100
+# At most a few messages per second to each daemon; free capacity changes with the jobs
+# of every second.
+CAPACITY_REPORT_INTERVAL = timedelta(milliseconds=500)
+# How long a contact waits for the store before it polls its worker again. While the
+# store is slow or unavailable, this is the most by which the start of a following step
+# is delayed.
+DURABLE_WAIT_LIMIT = timedelta(milliseconds=100)
+# Attempt numbers of a later epoch are above those of all earlier epochs.
+ATTEMPTS_PER_EPOCH = 100
 
 _log = get_logger("owner")
 
 
 class OwnerDependencies(NamedTuple):
-    """What an owner works with.
+    """The components that an owner works with.
 
-    :param basis: what it shares with its workforce.
+    :param shared: components that the owner shares with its worker fleet.
     :param declarations: the queues and accounts in force on this daemon.
     :param commits: makes the owner's commits.
     """
 
-    basis: FleetDependencies
+    shared: FleetDependencies
     peers: Peers
     declarations: Declarations
     commits: DelegatingStore
 
 
 class PoolOwner:
-    """Decides for all pools under one mandate.
+    """Decides for all pools during one owner term.
 
-    :ivar intake: how jobs come to it.
+    :ivar intake: receives new jobs.
     :ivar is_loaded: whether the jobs have been read from the store.
     """
 
-    def __init__(self, term: OwnerTerm, parts: OwnerDependencies) -> None:
+    def __init__(self, term: OwnerTerm, dependencies: OwnerDependencies) -> None:
         self.term = term
         self.job_index = JobIndex()
         self.is_loaded = False
-        basis = self._basis = parts.basis
-        self._clock = basis.clock
-        self._declarations = parts.declarations
-        self._peers = parts.peers
+        shared = self._shared = dependencies.shared
+        self._clock = shared.clock
+        self._declarations = dependencies.declarations
+        self._peers = dependencies.peers
         self._changes = ChangeSet(
             self.job_index,
             lambda: self._journal,
-            self._write_workers,
+            self._build_write,
             lambda: self.dispatcher.request_full_pass(),
         )
         self._journal = Journal(
             term,
-            basis.leadership,
-            parts.commits,
-            basis.clock,
-            basis.times,
+            shared.leadership,
+            dependencies.commits,
+            shared.clock,
+            shared.times,
             self._changes.gather,
         )
         self.advice_scheduler = AdviceScheduler(
-            parts.peers,
-            basis.clock,
-            basis.leadership.list_members,
+            dependencies.peers,
+            shared.clock,
+            shared.leadership.list_members,
             lambda step: self.dispatcher.handle_advice(step),
         )
         self.account_limits = AccountLimits(
@@ -111,21 +113,21 @@
             self.job_index, lambda name: self.account_limits.get_usage(name).millicores
         )
         self.dispatcher = Dispatcher(
-            self, basis.clock, basis.times, self.advice_scheduler
+            self, shared.clock, shared.times, self.advice_scheduler
         )
-        self._supervisor = Supervisor(
-            self, self.dispatcher, basis.times, self.advice_scheduler
+        self._supervisor = RunSupervisor(
+            self, self.dispatcher, shared.times, self.advice_scheduler
         )
         self._crashes = Crashes(self)
-        self.intake = Intake(self, basis.store, basis.leadership, basis.clock)
-        self._workforce = Workforce(
+        self.intake = Intake(self, shared.store, shared.leadership, shared.clock)
+        self._fleet = WorkerFleet(
             term,
-            basis,
+            shared,
             self,
-            WorkforceEvents(
+            FleetCallbacks(
                 self.dispatcher.request_full_pass,
                 self._changes.record_roster_change,
-                self._make_sure,
+                self._confirm_jobs,
                 self._changes.record_cordon_change,
                 self._crashes.record_inherited,
             ),
@@ -133,37 +135,37 @@
 
     @property
     def contacts(self) -> dict[str, WorkerContact]:
-        """Contacts to workers, by the identifier of their life."""
-        return self._workforce.contacts
+        """The contacts to workers, by the identifier of the worker's incarnation."""
+        return self._fleet.contacts
 
     def now(self) -> float:
-        """Return monotonic seconds."""
+        """Return the monotonic time in seconds."""
         return self._clock.monotonic().total_seconds()
 
     def get_table(self) -> QueueTable | None:
-        """Return the declared queues in force here."""
+        """Return the declared queues in force on this daemon."""
         return self._declarations.table
 
     def are_quotas_fresh(self) -> bool:
-        """Whether the document in force is fresh enough to start work by it."""
-        return self._declarations.is_fresh(self._basis.times.document_max_age)
+        """Whether the document in force is fresh enough to apply its quotas."""
+        return self._declarations.is_fresh(self._shared.times.document_max_age)
 
     def list_unreconciled(self) -> list[Size]:
-        """List the sizes of the workers that may run what isn't known."""
-        return self._workforce.list_unreconciled()
+        """List the sizes of the workers that may run tasks unknown to this owner."""
+        return self._fleet.list_unreconciled()
 
     def list_unconfirmed_jobs(self) -> Iterator[Job]:
-        """Yield the jobs that may run without our knowing, ended ones too."""
+        """Yield the jobs, ended ones too, that may have runs unknown to this owner."""
         return filter(self.may_have_started, self.job_index.jobs.values())
 
     def may_decide(self) -> bool:
-        """Whether the mandate is fresh enough to act on."""
-        return self._basis.leadership.may_decide()
+        """Whether the owner lease allows decisions at this moment."""
+        return self._shared.leadership.may_decide()
 
-    # Life --------------------------------------------------------------------
+    # Lifecycle ----------------------------------------------------------------
 
     async def run(self) -> None:
-        """Load, then decide until cancelled."""
+        """Load the state, then decide until cancelled."""
         try:
             await self._load()
             self.is_loaded = True
@@ -171,16 +173,16 @@
             await asyncio.gather(
                 self._journal.run(),
                 self.dispatcher.run(),
-                self._workforce.run(),
+                self._fleet.run(),
                 self.intake.follow(),
                 self._sweep(),
-                self._tell_room(),
+                self._report_capacity(),
             )
         finally:
             self.intake.close()
             self.advice_scheduler.close()
             self.dispatcher.close()
-            self._workforce.close()
+            self._fleet.close()
 
     @property
     def fence(self) -> int:
@@ -188,32 +190,33 @@
         return self._journal.revision
 
     async def drain(self) -> None:
-        """Order nothing any more and make all that is known durable."""
+        """Stop ordering tasks and make everything that is known durable."""
         await self.dispatcher.drain()
         if self.is_loaded:
             await self._journal.flush()
 
     async def _load(self) -> None:
-        # Jobs come first: an inventory can only be read by who knows the jobs.
+        # The jobs must be loaded before the contacts start, as an inventory is
+        # interpreted against the known jobs.
         _, _, workers = await asyncio.gather(
             self.intake.load(),
-            self.account_limits.ceilings.read(self._basis.store, self._clock),
-            self._workforce.read(),
+            self.account_limits.ceilings.read(self._shared.store, self._clock),
+            self._fleet.read(),
         )
-        self._workforce.load(workers)
-        self._mark_unsure()
+        self._fleet.load(workers)
+        self._mark_unconfirmed_jobs()
         _log.info(
             "Loaded.",
             epoch=self.term.epoch,
             jobs=len(self.job_index.open_jobs),
             workers=len(self.contacts),
-            unaccounted=self._workforce.unaccounted,
+            unaccounted=self._fleet.unreconciled_count,
         )
 
     # Jobs --------------------------------------------------------------------
 
     def cancel(self, job: Job) -> None:
-        """End a job as cancelled, unless it has ended; its runs are stopped."""
+        """End a job as cancelled and stop its runs, unless it has already ended."""
         if not job.is_final:
             self.end_job(job, QueueJobState.CANCELLED, "cancelled by a caller")
 
@@ -225,7 +228,7 @@
         return job.visible_state
 
     def end_job(self, job: Job, state: QueueJobState, reason: str) -> None:
-        """Give a job its final state and stop what still runs of it."""
+        """Set the final state of a job and stop its remaining runs."""
         job.close(state, self.now())
         _log.info(
             "A job has ended.",
@@ -248,26 +251,26 @@
                 self.stop(run)
 
     def mark_dirty(self, job: Job) -> None:
-        """Let the journal write a job's progress."""
+        """Queue a job's progress for the next commit of the journal."""
         self._changes.record_job_change(job)
 
     def stop(self, run: Run) -> None:
-        """Tell a run's worker to end it."""
+        """Request the worker of a run to end it."""
         contact = self.contacts.get(run.worker)
         if contact is not None:
             contact.stop(run)
 
     # Journal -----------------------------------------------------------------
 
-    def _write_workers(self, kind: ChangeKind) -> tuple[Write, Callable[[], bool]]:
-        """Return what to write of one kind, and what to call once it is durable.
+    def _build_write(self, kind: ChangeKind) -> tuple[Write, Callable[[], bool]]:
+        """Return the write of one kind and the function to call once it is durable.
 
-        The call tells whether orders may go to more workers.
+        The function returns whether orders may now go to more workers.
         """
         if kind is ChangeKind.ROSTER:
-            return self._workforce.write_roster()
+            return self._fleet.build_roster_write()
         if kind is ChangeKind.CORDONS:
-            return self._workforce.cordons.build_write()
+            return self._fleet.cordons.build_write()
         return self.account_limits.ceilings.build_write()
 
     async def wait_until_durable(self, contact: WorkerContact) -> bool:
@@ -275,33 +278,35 @@
         self._changes.record_worker_ends(contact)
         self._journal.wake()
         try:
-            async with asyncio.timeout(DURABLE_WAIT.total_seconds()):
+            async with asyncio.timeout(DURABLE_WAIT_LIMIT.total_seconds()):
                 while contact.observed < contact.processed:
                     await self._journal.flush_batched()
         except TimeoutError:
             return False
         return True
 
-    # Doubt left by predecessors ------------------------------------------------
+    # Unconfirmed runs of predecessors -----------------------------------------
 
-    def _mark_unsure(self) -> None:
+    def _mark_unconfirmed_jobs(self) -> None:
         for job in self.job_index.open_jobs.values():
             job.has_unconfirmed_runs = self.may_have_started(job)
-        self._make_sure()
+        self._confirm_jobs()
 
     def may_have_started(self, job: Job) -> bool:
-        """Whether a predecessor may have started a job without our knowing.
+        """Whether a predecessor may have started runs of a job unknown to this owner.
 
-        Only on workers of the zones that the job was confined to when this owner's
-        takeover ended the commits of the one before.
+        Only workers in the zones that the job was confined to count, as of the moment
+        when this owner's takeover ended the commits of its predecessor.
         """
         is_older = job.record.epoch < self.term.epoch
-        return is_older and not self._workforce.is_accounted(job.zones, job.identifier)
+        return is_older and not self._fleet.are_workers_reconciled(
+            job.zones, job.identifier
+        )
 
-    def _make_sure(self) -> None:
-        """Let the jobs start of which all workers have told what they run."""
-        if not self._workforce.unaccounted:
-            _log.info("All workers are accounted for.", epoch=self.term.epoch)
+    def _confirm_jobs(self) -> None:
+        """Release the jobs for which all workers have reported what they run."""
+        if not self._fleet.unreconciled_count:
+            _log.info("All workers are reconciled.", epoch=self.term.epoch)
         for job in self.job_index.open_jobs.values():
             if not job.has_unconfirmed_runs or self.may_have_started(job):
                 continue
@@ -311,12 +316,12 @@
             self.dispatcher.mark_changed(job)
 
     def widen_zones(self, job: Job, zones: frozenset[str]) -> None:
-        """Let workers of more zones run a job, as soon as that is durable."""
+        """Allow workers of more zones to run a job, as soon as that is durable."""
         if not job.can_widen_zones:
             return
         job.wider_zones = job.zones | zones
         _log.info(
-            "A job is let into more zones.",
+            "A job may run in more zones.",
             id=job.identifier,
             zones=sorted(job.wider_zones),
         )
@@ -324,7 +329,7 @@
         self._journal.expedite()
 
     def stop_if_incomplete(self, step: Step) -> None:
-        """Stop the runs of a gang of which a member is missing."""
+        """Stop the runs of a gang that lacks a member."""
         if not step.spec.is_gang:
             return
         runs = list(step.list_runs())
@@ -333,7 +338,7 @@
             for run in runs:
                 self.stop(run)
 
-    # What contacts tell --------------------------------------------------------
+    # Callbacks of the contacts ------------------------------------------------
 
     def adopt(self, contact: WorkerContact, row: RunningTask) -> Run | None:
         """Return a run for a task that a predecessor started."""
@@ -343,34 +348,34 @@
         run = Run(task, contact.info.identifier, row.attempt, self.now())
         run.is_adopted = True
         task.attempt = max(task.attempt, row.attempt)
-        is_unwanted = task.step.job.is_final or task.is_completed
+        is_surplus = task.step.job.is_final or task.is_completed
         if task.runs and not task.step.spec.is_speculative:
-            is_unwanted = True
+            is_surplus = True
         task.runs.append(run)
         if not contact.is_reconciled:
             self.account_limits.record_inherited_run(run)
         self.dispatcher.mark_changed(task.step.job)
-        if is_unwanted:
+        if is_surplus:
             contact.stop(run)
         return run
 
     def charge(self, run: Run) -> None:
-        """Count a run that takes room."""
+        """Count the capacity of a run towards its account."""
         self.account_limits.charge(run)
 
     def release(self, run: Run) -> None:
-        """Count a run no longer."""
+        """Stop counting the capacity of a run."""
         self.account_limits.release(run)
 
     def record_running(self, run: Run) -> None:
-        """Take note that a run was seen to run."""
+        """Record that a run was seen running."""
         job = run.task.step.job
         job.record_start()
         if job.is_final:
             self.stop(run)
 
     def handle_lost_run(self, contact: WorkerContact, run: Run) -> None:
-        """Take note that a run is gone without an end."""
+        """Handle a run that is gone without a reported end."""
         task = run.task
         if run in task.runs:
             task.runs.remove(run)
@@ -382,20 +387,20 @@
         self.dispatcher.handle_freed_capacity(contact)
 
     def record_crash(self, contact: WorkerContact, lost: list[Run]) -> None:
-        """Take note of the runs that went with a worker's life."""
+        """Record the runs that were lost with an incarnation of a worker."""
         self._crashes.record_crash(contact, lost)
 
     def handle_contact_change(self, contact: WorkerContact) -> None:
-        """Take note that a worker has answered, or that its lease is over."""
+        """Handle a worker that has answered, or whose lease has expired."""
         is_over = contact.is_gone or self.now() >= contact.lease_until
         if contact.is_synchronized or is_over:
-            self._workforce.account(contact)
+            self._fleet.mark_reconciled(contact)
         self.dispatcher.handle_contact_change(contact)
 
     def handle_end(
         self, contact: WorkerContact, end: EndedTask, run: Run | None
     ) -> None:
-        """Take note of an end."""
+        """Handle the end of a run."""
         task = run.task if run is not None else self.job_index.find_task(end.task)
         self._changes.record_worker_ends(contact)
         self.dispatcher.handle_freed_capacity(contact)
@@ -408,15 +413,15 @@
         step.store_checkpoint(task, end.checkpoint)
         self.dispatcher.record_end(contact, task, end, run)
         if end.kind is EndKind.COMPLETED and not step.spec.is_long_running:
-            self._complete(step, task, run)
+            self._complete_task(step, task, run)
         elif end.kind is EndKind.FAILED and not step.spec.is_long_running:
             task.failed_on.add(contact.info.identifier)
-            self._fail(step, task, end.attempt)
+            self._handle_failure(step, task, end.attempt)
         if job.is_final or end.kind in (EndKind.COMPLETED, EndKind.FAILED):
             self.mark_dirty(job)
         self.dispatcher.mark_changed(job)
 
-    def _complete(self, step: Step, task: Task, run: Run | None) -> None:
+    def _complete_task(self, step: Step, task: Task, run: Run | None) -> None:
         step.complete(task)
         for member in step.tasks:
             if member.is_completed and not step.spec.is_gang:
@@ -427,7 +432,7 @@
             if not step.job.is_final and step.job.close_if_completed(self.now()):
                 self.end_job(step.job, QueueJobState.COMPLETED, "all tasks completed")
 
-    def _fail(self, step: Step, task: Task, attempt: int) -> None:
+    def _handle_failure(self, step: Step, task: Task, attempt: int) -> None:
         failed = step.fail(task, attempt)
         job = step.job
         if failed >= job.queue.attempts and not job.is_final:
@@ -435,22 +440,23 @@
             self.end_job(job, QueueJobState.FAILED, reason)
 
     def next_attempt(self, tasks: list[Task]) -> int:
-        """Return an attempt number above all that the tasks had."""
-        least = (self.term.epoch - 1) * ATTEMPTS_OF_EPOCH
-        return max(least, *(task.attempt for task in tasks)) + 1
+        """Return an attempt number above all earlier ones of the tasks."""
+        lowest = (self.term.epoch - 1) * ATTEMPTS_PER_EPOCH
+        return max(lowest, *(task.attempt for task in tasks)) + 1
 
     # Loops -------------------------------------------------------------------
 
-    async def _tell_room(self) -> None:
-        """Let the daemons that take jobs know where there is room."""
+    async def _report_capacity(self) -> None:
+        """Report the free capacity to the daemons that accept jobs."""
         while True:
-            await self._clock.sleep(ROOM_INTERVAL)
-            if self._basis.leadership.is_cut_off():
-                # It is a sign of life, too, of an owner that may go on deciding.
+            await self._clock.sleep(CAPACITY_REPORT_INTERVAL)
+            if self._shared.leadership.is_cut_off():
+                # A capacity report also counts as a heartbeat of an owner that may go
+                # on deciding.
                 continue
-            rooms = measure_zone_capacities(self.contacts.values(), self.now())
-            message: ReportCapacity = {"epoch": self.term.epoch, "zones": rooms}
-            for name in self._basis.leadership.list_members():
+            capacities = measure_zone_capacities(self.contacts.values(), self.now())
+            message: ReportCapacity = {"epoch": self.term.epoch, "zones": capacities}
+            for name in self._shared.leadership.list_members():
                 self._peers.send(name, message, ReportCapacity)
 
     async def _sweep(self) -> None:
@@ -458,23 +464,23 @@
             await self._clock.sleep(SWEEP_INTERVAL)
             now = self.now()
             self.advice_scheduler.dispatch()
-            self._workforce.sweep_rooms(now)
+            self._fleet.check_capacity_ages(now)
             self._supervisor.sweep(now)
-            self._workforce.cordons.sweep(
-                now, may_add=not self._basis.leadership.is_cut_off()
+            self._fleet.cordons.sweep(
+                now, may_add=not self._shared.leadership.is_cut_off()
             )
-            self._forget_ended(now)
+            self._discard_ended(now)
             self._account_metrics.publish(now)
-            if not self._basis.leadership.is_cut_off():
-                # What is lowered now could not be raised again.
+            if not self._shared.leadership.is_cut_off():
+                # A ceiling that is lowered without the store could not be raised again.
                 self.account_limits.sweep()
             self.dispatcher.wake()
 
-    def _forget_ended(self, now: float) -> None:
-        limit = self._basis.times.discard_after.total_seconds()
+    def _discard_ended(self, now: float) -> None:
+        limit = self._shared.times.discard_after.total_seconds()
         for job in list(self.job_index.jobs.values()):
             if not job.is_final or job.visible_state != job.final:
-                # Jobs stand in the order in which they came.
+                # Jobs are ordered by their arrival.
                 if now - job.arrived_at < limit:
                     break
                 continue
--- a/src/damaskdeck/coordination/pools/pending.py
+++ b/src/damaskdeck/coordination/pools/pending.py
@@ -1,27 +1,27 @@
-"""The steps with tasks to start, kept as jobs change in place of searched for.
+"""The steps with tasks to start, updated as jobs change.
 
-With some hundred open jobs a search through all steps costs milliseconds; what one
-event changes is the steps of one job.
+With some hundred open jobs, a search through all steps would take milliseconds, whereas
+one event changes the steps of one job only.
 """
 
 from typing import NamedTuple
 
-from damaskdeck.coordination.pools.relocation import may_have_copies
+from damaskdeck.coordination.pools.relocation import may_run_copies
 from damaskdeck.coordination.pools.urgency import (
     Deadlines,
     Urgency,
+    compute_urgency,
     find_deadlines,
-    judge_deadlines,
 )
 from damaskdeck.state.pooljobs import Job, Step, Task
 
 
 class PendingStep:
-    """A step with tasks that wait for room.
+    """A step with tasks that wait for capacity.
 
-    :ivar tasks: those that wait; of a gang all.
-    :ivar is_tried: whether all workers were looked at for it since it last changed:
-        then only those whose room has grown since can help.
+    :ivar tasks: the waiting tasks; of a gang all tasks.
+    :ivar is_tried: whether all workers were tried since the step last changed. Then
+        only workers whose free capacity has grown since need to be tried.
     """
 
     __slots__ = ("deadlines", "is_tried", "name", "step", "tasks")
@@ -35,7 +35,7 @@
 
 
 class RankedStep(NamedTuple):
-    """A pending step with its place in the order of urgency."""
+    """A pending step with its sort key."""
 
     urgency: Urgency
     name: str
@@ -50,29 +50,29 @@
         self._touched: dict[str, Job] = {}
 
     def mark_changed(self, job: Job) -> None:
-        """Take note that a job's steps may have changed."""
+        """Record that the steps of a job may have changed."""
         self._touched[job.identifier] = job
 
     def retry(self, step: Step) -> None:
-        """Let all workers be looked at again for a step."""
+        """Let the next pass try all workers again for a step."""
         pending = self._steps.get(step.job.identifier, {}).get(step.name)
         if pending is not None:
             pending.is_tried = False
 
     def retry_all(self) -> None:
-        """Let all workers be looked at again for every step."""
+        """Let the next pass try all workers again for every step."""
         for steps in self._steps.values():
             for pending in steps.values():
                 pending.is_tried = False
 
     def rank(self, now: float) -> list[RankedStep]:
-        """List what is pending, most urgent first."""
+        """List the pending steps, most urgent first."""
         touched, self._touched = self._touched, {}
         for job in touched.values():
             self._renew(job)
         ranked = [
             RankedStep(
-                judge_deadlines(pending.step, pending.deadlines, now), name, pending
+                compute_urgency(pending.step, pending.deadlines, now), name, pending
             )
             for steps in self._steps.values()
             for name, pending in steps.items()
@@ -92,6 +92,6 @@
     return {
         step.name: PendingStep(step, tasks, find_deadlines(step))
         for step in job.list_steps()
-        if not job.has_unconfirmed_runs or may_have_copies(step)
+        if not job.has_unconfirmed_runs or may_run_copies(step)
         if step.is_due and (tasks := step.list_waiting())
     }
--- a/src/damaskdeck/coordination/pools/planning.py
+++ b/src/damaskdeck/coordination/pools/planning.py
@@ -1,4 +1,4 @@
-"""Where the tasks of a step go: best fit over the workers that may run them."""
+"""Best-fit placement of the tasks of a step on the workers that may run them."""
 
 from collections import Counter
 
@@ -10,29 +10,29 @@
 
 Plan = list[tuple[Task, Candidate]]
 
-# More tasks than any rack is asked for.
-UNBOUNDED = 1_000_000
+# More tasks than a step asks of any rack.
+UNLIMITED_TASKS = 1_000_000
 
 
 def is_suitable(spec: StepSpec, worker: PoolWorker) -> bool:
-    """Tell whether a worker's kind lets it run a step, room aside."""
+    """Whether the kind of a worker allows a step, regardless of capacity."""
     return not spec.label or spec.label in worker.labels
 
 
 def count_on_workers(step: Step) -> Counter[str]:
-    """Count the step's runs on each worker."""
+    """Count the runs of a step on each worker."""
     return Counter(run.worker for run in step.list_runs())
 
 
 def has_rack_preference(spec: StepSpec) -> bool:
-    """Tell whether the racks that a step runs on change how long it takes."""
+    """Whether the duration of a step depends on the racks that it runs on."""
     return spec.needs_one_rack or bool(spec.near)
 
 
 def fits_preferred_rack(step: Step, workers: list[PoolWorker]) -> bool:
-    """Tell whether a choosy step could run on the racks that it runs best on.
+    """Whether a step with a rack preference could run on its preferred racks.
 
-    :param workers: those that may run it, room aside.
+    :param workers: the workers that may run it, regardless of capacity.
     """
     spec = step.spec
     racks: Counter[str] = Counter()
@@ -40,19 +40,19 @@
         if not spec.near or worker.rack == spec.near:
             racks[worker.rack] += count_fitting(spec, worker.size)
     needed = len(step.tasks) if spec.is_gang else 1
-    most = max(racks.values(), default=0)
-    return most >= needed
+    max_tasks = max(racks.values(), default=0)
+    return max_tasks >= needed
 
 
 def count_fitting(spec: StepSpec, size: Size) -> int:
-    """Return how many tasks of a step find room in ``size``.
+    """Return the number of tasks of a step that fit in ``size``.
 
-    None where a worker that has shrunk holds more than it may: that takes no room
-    from the others.
+    It is 0 if a worker that has shrunk holds more than it may; a negative number would
+    reduce the capacity of other workers.
     """
     pairs = zip(spec.size, size, strict=True)
-    counts = [max(0, room) // need for need, room in pairs if need > 0]
-    fitting = min(counts, default=UNBOUNDED)
+    counts = [max(0, available) // need for need, available in pairs if need > 0]
+    fitting = min(counts, default=UNLIMITED_TASKS)
     return min(fitting, spec.spread) if spec.spread else fitting
 
 
@@ -60,28 +60,30 @@
     step: Step,
     tasks: list[Task],
     candidates: list[Candidate],
-    may_go_far: bool,
+    may_use_other_racks: bool,
     zones: frozenset[str] = frozenset(),
 ) -> Plan:
-    """Place tasks of a step; of a gang all, or none.
-
-    :param candidates: those that suit the step and may run it; not changed. Those
-        without room may be left out unless the step is choosy.
-    :param may_go_far: a choosy step is placed beside its best racks too.
-    :param zones: in which the step runs already.
+    """Place the tasks of a step; of a gang all tasks or none.
+
+    :param candidates: the workers that suit the step and may run it; not modified.
+        Workers without free capacity may be left out unless the step has a rack
+        preference.
+    :param may_use_other_racks: whether a step with a rack preference may run off its
+        preferred racks.
+    :param zones: the zones in which the step already runs.
     """
     if not has_rack_preference(step.spec):
         return _plan_tasks(step, tasks, candidates, zones)
-    plan = _plan_on_best_rack(step, tasks, candidates)
-    if not may_go_far or len(plan) == len(tasks):
+    plan = _plan_on_preferred_rack(step, tasks, candidates)
+    if not may_use_other_racks or len(plan) == len(tasks):
         return plan
     if step.spec.needs_one_rack and (plan or any(step.list_runs())):
-        # All of it slows down as soon as a part runs elsewhere.
+        # The whole step slows down as soon as a part of it runs on another rack.
         return plan
     return _plan_tasks(step, tasks, candidates)
 
 
-def _plan_on_best_rack(
+def _plan_on_preferred_rack(
     step: Step, tasks: list[Task], candidates: list[Candidate]
 ) -> Plan:
     running = {run.worker for run in step.list_runs()}
@@ -105,31 +107,31 @@
     zones: frozenset[str] = frozenset(),
 ) -> Plan:
     spec = step.spec
-    if spec.is_gang and _count_room(spec, candidates) < len(tasks):
+    if spec.is_gang and _count_total_fitting(spec, candidates) < len(tasks):
         return []
-    room = _Room(step, candidates)
-    for group in _list_groups(step, len(tasks), candidates, zones):
-        room.place(tasks, group)
-        if len(room.plan) == len(tasks):
-            return room.plan
-    room.place(tasks, candidates, is_last=True)
-    is_whole = len(room.plan) == len(tasks)
-    return room.plan if is_whole or not spec.is_gang else []
-
-
-def _count_room(spec: StepSpec, candidates: list[Candidate]) -> int:
-    """Return how many tasks of a step find room."""
+    builder = _PlanBuilder(step, candidates)
+    for group in _group_by_zone(step, len(tasks), candidates, zones):
+        builder.place_tasks(tasks, group)
+        if len(builder.plan) == len(tasks):
+            return builder.plan
+    builder.place_tasks(tasks, candidates, allow_failed=True)
+    is_whole = len(builder.plan) == len(tasks)
+    return builder.plan if is_whole or not spec.is_gang else []
+
+
+def _count_total_fitting(spec: StepSpec, candidates: list[Candidate]) -> int:
+    """Return the number of tasks of a step that fit on all candidates together."""
     return sum(count_fitting(spec, candidate.free) for candidate in candidates)
 
 
-def _list_groups(
+def _group_by_zone(
     step: Step, needed: int, candidates: list[Candidate], running: frozenset[str]
 ) -> list[list[Candidate]]:
-    """Group sound candidates by availability zone, best first.
+    """Group candidates that are not slow by availability zone, best first.
 
-    What hits a zone, or a rack of it, then hits the fewest jobs: a job is late as
-    soon as one of its tasks is. Zones where the step runs already come first, then
-    those that hold all of it, those with the most room before others.
+    A fault of a zone or a rack then affects the fewest jobs, as a job is late as soon
+    as one of its tasks is. Zones in which the step already runs come first, then zones
+    that hold the whole step, then those with the most capacity.
     """
     if has_rack_preference(step.spec):
         return []
@@ -139,67 +141,67 @@
             zones.setdefault(candidate.zone, []).append(candidate)
 
     def rank(group: list[Candidate]) -> tuple[bool, bool, int]:
-        holds = _count_room(step.spec, group)
-        return group[0].zone not in running, holds < needed, -holds
+        fitting = _count_total_fitting(step.spec, group)
+        return group[0].zone not in running, fitting < needed, -fitting
 
     return sorted(zones.values(), key=rank)
 
 
-class _Room:
-    """The room that a plan leaves, and the plan."""
+class _PlanBuilder:
+    """Builds a plan and tracks the capacity that it leaves."""
 
     def __init__(self, step: Step, candidates: list[Candidate]) -> None:
         self.plan: Plan = []
         self._spec = step.spec
-        self._left = {candidate.key: candidate.free for candidate in candidates}
+        self._free = {candidate.key: candidate.free for candidate in candidates}
         self._counts = count_on_workers(step) if step.spec.spread else Counter()
         self._placed: set[Task] = set()
 
-    def place(
-        self, tasks: list[Task], candidates: list[Candidate], is_last: bool = False
+    def place_tasks(
+        self, tasks: list[Task], candidates: list[Candidate], allow_failed: bool = False
     ) -> None:
-        """Place what fits of the tasks that have no place yet.
+        """Place the tasks that have no worker yet as far as they fit.
 
-        :param is_last: a task goes even to where it has failed.
+        :param allow_failed: whether a task may go to a worker on which it has failed.
         """
         for task in tasks:
             if task in self._placed:
                 continue
-            candidate = self._choose(task, candidates, is_last)
+            candidate = self._choose_candidate(task, candidates, allow_failed)
             if candidate is None:
-                if is_last or not task.failed_on:
+                if allow_failed or not task.failed_on:
                     return
                 continue
-            self._left[candidate.key] = subtract_sizes(
-                self._left[candidate.key], self._spec.size
+            self._free[candidate.key] = subtract_sizes(
+                self._free[candidate.key], self._spec.size
             )
             self._counts[candidate.key] += 1
             self._placed.add(task)
             self.plan.append((task, candidate))
 
-    def _choose(
-        self, task: Task, candidates: list[Candidate], is_last: bool
+    def _choose_candidate(
+        self, task: Task, candidates: list[Candidate], allow_failed: bool
     ) -> Candidate | None:
-        """Return the candidate that is left with the least.
+        """Return the candidate that is left with the least free capacity.
 
-        One where the task has failed before comes last, slow ones before it, one far
-        from its data after those near it; of the others those of faster workers come
-        first, and for tasks that last those of slower ones, which they don't mind.
+        Preferred in this order: candidates on which the task has not failed, candidates
+        that are not slow, candidates near its data, faster workers. Long-running tasks
+        prefer slower workers, as speed does not matter for them.
         """
         spec = self._spec
         best, best_score = None, (True, True, True, 0, 0)
         for candidate in candidates:
-            left = self._left[candidate.key]
-            if not fits(spec.size, left) or (
+            free = self._free[candidate.key]
+            if not fits(spec.size, free) or (
                 spec.spread and self._counts[candidate.key] >= spec.spread
             ):
                 continue
             is_far = bool(spec.near) and candidate.rack != spec.near
             has_failed = candidate.key in task.failed_on
-            if has_failed and not is_last:
+            if has_failed and not allow_failed:
                 continue
             pace = -candidate.pace if spec.is_long_running else candidate.pace
-            score = (has_failed, candidate.is_slow, is_far, pace, left.millicores)
+            score = (has_failed, candidate.is_slow, is_far, pace, free.millicores)
             if best is None or score < best_score:
                 best, best_score = candidate, score
         return best
--- a/src/damaskdeck/coordination/pools/relocation.py
+++ b/src/damaskdeck/coordination/pools/relocation.py
@@ -1,4 +1,4 @@
-"""Which runs to take off slow workers, as they would end earlier elsewhere."""
+"""Selection of runs on slow workers that would end earlier elsewhere."""
 
 from collections.abc import Iterator
 
@@ -7,18 +7,19 @@
 from damaskdeck.coordination.pools.planning import count_fitting, is_suitable
 from damaskdeck.coordination.pools.slowness import SlowWorkerDetector
 from damaskdeck.coordination.pools.urgency import DeadlineStatus, measure_urgency
-from damaskdeck.coordination.pools.workerhealth import is_working
+from damaskdeck.coordination.pools.workerhealth import should_progress
 from damaskdeck.state.pooljobs import Run, Step
 
-# Slowness passes, and what was done is lost: elsewhere it must take less than half.
-GAIN_FACTOR = 2.0
-# For the stop, the new start and the way to them.
+# Slowness may pass, and a move loses the work done: a run must take less than half the
+# time elsewhere.
+MIN_SPEEDUP = 2.0
+# Allowance for the stop, the new start and the messages for them.
 MOVE_SECONDS = 0.4
-# A task that was moved so often stays where it is.
-MOVES_LIMIT = 2
+# A task that was moved this often is not moved again.
+MAX_MOVES = 2
 
 
-def find_moves(
+def find_runs_to_move(
     contacts: dict[str, WorkerContact], slow_workers: SlowWorkerDetector, now: float
 ) -> Iterator[Run]:
     """Yield the runs on slow workers that would end much earlier elsewhere."""
@@ -29,49 +30,52 @@
             continue
         for run in contact.runs.values():
             spec = run.task.step.spec
-            if spec.is_long_running or run.task.moves >= MOVES_LIMIT:
+            if spec.is_long_running or run.task.moves >= MAX_MOVES:
                 continue
-            if is_working(run) and _gains(run, slow_workers, now):
+            if should_progress(run) and _is_worth_moving(run, slow_workers, now):
                 yield run
 
 
-def _gains(run: Run, slow_workers: SlowWorkerDetector, now: float) -> bool:
+def _is_worth_moving(run: Run, slow_workers: SlowWorkerDetector, now: float) -> bool:
     pace = run.pace
-    sound, _ = slow_workers.expect(run)
-    if pace is None or not sound:
+    expected_rate, _ = slow_workers.estimate_rate(run)
+    if pace is None or not expected_rate:
         return False
-    here = (100 - run.percent) / pace.rate
-    # Slack counts until a start: a run may end its whole estimate later.
+    remaining_here = (100 - run.percent) / pace.rate
+    # Slack is counted until the start, so a run may end later than that by its
+    # estimate.
     deadline_status, _, slack = measure_urgency(run.task.step, now)
     estimate = run.task.step.spec.estimate.total_seconds()
-    if deadline_status is DeadlineStatus.LOST or here <= slack + estimate:
+    if deadline_status is DeadlineStatus.LOST or remaining_here <= slack + estimate:
         return False
-    is_kept = run.task.step.spec.is_checkpointing and bool(run.checkpoint)
-    there = (100 - run.percent if is_kept else 100) / sound
-    return here > GAIN_FACTOR * there + MOVE_SECONDS
+    keeps_progress = run.task.step.spec.is_checkpointing and bool(run.checkpoint)
+    remaining_elsewhere = (100 - run.percent if keeps_progress else 100) / expected_rate
+    return remaining_here > MIN_SPEEDUP * remaining_elsewhere + MOVE_SECONDS
 
 
-def may_have_copies(step: Step) -> bool:
-    """Whether a task of a step may start beside a run of it."""
+def may_run_copies(step: Step) -> bool:
+    """Whether a task of a step may have a second run beside its first."""
     return step.spec.is_speculative and not step.spec.is_gang
 
 
-def find_silent(contacts: dict[str, WorkerContact], now: float) -> Iterator[Run]:
-    """Yield the only runs of tasks that may have copies on workers that are silent.
+def find_unreachable_runs(
+    contacts: dict[str, WorkerContact], now: float
+) -> Iterator[Run]:
+    """Yield the only runs, on silent workers, of tasks that may have copies.
 
-    What runs there is not lost yet, but nothing is learnt of it before its worker
-    answers or its lease is over, 6 s and more.
+    Such a run is not lost yet, but its state stays unknown until its worker answers or
+    the worker's lease expires, 6 s or more.
     """
     for contact in contacts.values():
         if not contact.is_silent(now):
             continue
         for run in contact.runs.values():
             is_wanted = run.stopping_since is None and not run.task.is_completed
-            if is_wanted and len(run.task.runs) == 1 and may_have_copies(run.task.step):
+            if is_wanted and len(run.task.runs) == 1 and may_run_copies(run.task.step):
                 yield run
 
 
-def has_room(
+def has_capacity(
     step: Step,
     pool: str,
     contacts: dict[str, WorkerContact],
@@ -80,9 +84,9 @@
     tasks: int,
     now: float,
 ) -> bool:
-    """Tell whether sound workers that may run a step have room for so many tasks."""
+    """Whether healthy workers have capacity for a number of tasks of a step."""
     spec = step.spec
-    room = 0
+    capacity = 0
     for key, contact in contacts.items():
         info = contact.info
         if (
@@ -94,5 +98,5 @@
         if not step.job.may_run_in(info.zone):
             continue
         if contact.is_usable(now) and not slow_workers.is_slow(key, now):
-            room += count_fitting(spec, contact.free)
-    return room >= tasks
+            capacity += count_fitting(spec, contact.free)
+    return capacity >= tasks
--- a/src/damaskdeck/coordination/pools/reservations.py
+++ b/src/damaskdeck/coordination/pools/reservations.py
@@ -1,9 +1,9 @@
-"""Room kept for gangs: EASY backfilling over the workers that they may run on.
+"""Capacity reserved for gangs: EASY backfilling on the workers that they may run on.
 
-A gang needs all its room at one moment. In a full pool room comes back in pieces, and
-whoever needs a piece takes it, so a wide gang would wait until the load is over. The
-workers from which its room will come first are kept for it: until it can start, others
-get only what will have ended by then.
+A gang needs all its capacity at one moment. In a full pool capacity is freed in pieces
+that other steps take at once, so a wide gang would wait until the load ends. Therefore
+the workers that will first have enough free capacity are reserved for the gang. Until
+it can start, other steps get only tasks there that will have ended by then.
 """
 
 import bisect
@@ -13,28 +13,32 @@
 from typing import NamedTuple
 
 from damaskdeck.coordination.pools.contacts import WorkerContact
-from damaskdeck.coordination.pools.departures import measure_rest
+from damaskdeck.coordination.pools.departures import estimate_remaining
 from damaskdeck.coordination.pools.planning import count_fitting
 from damaskdeck.protocol.queues import StepSpec
 from damaskdeck.protocol.sizes import add_sizes
 from damaskdeck.state.pooljobs import Run, Step
 
-# So much of the workers may be kept at a time; the most urgent gang alone may have
-# twice that. What is kept stands half empty: with a half in place of a quarter of 270
-# workers, 1,100 in place of 560 of 4,320 cores did, and gangs and others started later.
-KEPT_SHARE = 0.25
-FIRST_SHARE = 0.5
-# A gang's room may be spread over so many times the workers that would hold it alone:
-# fewer are idle while the last of it comes, and the gang waits little longer.
-SPREAD = 1.5
-# In a pool of which less is used nothing is kept: there is room for all.
-CROWDED_SHARE = 0.6
+# Share of the workers that may be reserved at a time; the most urgent gang alone may
+# have twice that. Reserved workers are half idle: with a half instead of a quarter of
+# 270 workers, 1,100 instead of 560 of 4,320 cores were idle, and gangs and other steps
+# started later.
+RESERVED_SHARE = 0.25
+FIRST_RESERVED_SHARE = 0.5
+# A gang may be spread over this many times the workers that could hold it alone. With
+# fewer workers, less capacity is idle until the last of them is free, and the gang
+# waits little longer.
+SPREAD_FACTOR = 1.5
+# Nothing is reserved in a pool with a smaller used share, as its capacity suffices for
+# all steps.
+CONTENDED_SHARE = 0.6
 
 
 class Reservation(NamedTuple):
-    """Workers that are kept for a step.
+    """Workers that are reserved for a step.
 
-    :param starts_at: when it should find its room there, monotonic seconds.
+    :param starts_at: when the step should find its capacity there, in monotonic
+        seconds.
     """
 
     step: Step
@@ -42,46 +46,46 @@
     starts_at: float
 
 
-class _Opening(NamedTuple):
+class _Availability(NamedTuple):
     at: float
     worker: str
     tasks: int
 
 
 class Reservations:
-    """What is kept for which gang."""
+    """All reservations, by gang and by worker."""
 
     def __init__(self) -> None:
         self._steps: dict[str, Reservation] = {}
         self._workers: dict[str, Reservation] = {}
 
     def find(self, worker: str) -> Reservation | None:
-        """Return the reservation that a worker is kept for."""
+        """Return the reservation of a worker, ``None`` if it has none."""
         return self._workers.get(worker)
 
     def list_workers(self, step: Step) -> frozenset[str]:
-        """Return the workers that are kept for a step."""
-        kept = self._steps.get(step.name)
-        return kept.workers if kept is not None else frozenset()
+        """Return the workers that are reserved for a step."""
+        reservation = self._steps.get(step.name)
+        return reservation.workers if reservation is not None else frozenset()
 
     def may_use(self, worker: str, step: Step, now: float) -> bool:
-        """Whether a step may start on a worker without delaying whom it is kept for."""
-        kept = self._workers.get(worker)
-        if kept is None or kept.step is step:
+        """Whether a step may start on a worker without delaying its reservation."""
+        reservation = self._workers.get(worker)
+        if reservation is None or reservation.step is step:
             return True
         spec = step.spec
         if spec.is_long_running:
             return False
-        return now + spec.estimate.total_seconds() <= kept.starts_at
+        return now + spec.estimate.total_seconds() <= reservation.starts_at
 
     def release(self, step: Step) -> None:
-        """Keep nothing for a step any more."""
-        kept = self._steps.pop(step.name, None)
-        for worker in kept.workers if kept is not None else ():
+        """Release the reservation of a step."""
+        reservation = self._steps.pop(step.name, None)
+        for worker in reservation.workers if reservation is not None else ():
             del self._workers[worker]
 
     def retain(self, names: Iterable[str]) -> None:
-        """Drop the reservations of all other steps."""
+        """Release the reservations of all other steps."""
         for name in self._steps.keys() - set(names):
             self.release(self._steps[name].step)
 
@@ -92,79 +96,91 @@
         fleet: list[WorkerContact],
         now: float,
     ) -> None:
-        """Keep the workers from which a gang's room will come first.
+        """Reserve the workers that will first have capacity for a gang.
 
-        :param contacts: those that it may run on.
+        :param contacts: the workers that the gang may run on.
         :param fleet: all workers of its pool.
         """
         self.release(step)
-        able = [c for c in contacts if c.info.identifier not in self._workers]
-        most = max((count_fitting(step.spec, c.info.size) for c in able), default=0)
-        if not most:
+        eligible = [c for c in contacts if c.info.identifier not in self._workers]
+        max_per_worker = max(
+            (count_fitting(step.spec, c.info.size) for c in eligible), default=0
+        )
+        if not max_per_worker:
             return
-        kept = sum(contact.info.identifier in self._workers for contact in fleet)
-        share = KEPT_SHARE if kept else FIRST_SHARE
+        reserved = sum(contact.info.identifier in self._workers for contact in fleet)
+        share = RESERVED_SHARE if reserved else FIRST_RESERVED_SHARE
         limit = min(
-            math.ceil(SPREAD * len(step.tasks) / most),
-            int(share * len(fleet)) - kept,
+            math.ceil(SPREAD_FACTOR * len(step.tasks) / max_per_worker),
+            int(share * len(fleet)) - reserved,
         )
-        openings = sorted(
-            opening
-            for contact in able
-            for opening in _list_openings(step, contact, now)
+        availabilities = sorted(
+            availability
+            for contact in eligible
+            for availability in _list_availabilities(step, contact, now)
         )
-        first = bisect.bisect_left(
-            range(len(openings) + 1),
+        count_needed = bisect.bisect_left(
+            range(len(availabilities) + 1),
             True,
-            key=lambda count: bool(_choose(openings[:count], len(step.tasks), limit)),
+            key=lambda count: bool(
+                _choose_workers(availabilities[:count], len(step.tasks), limit)
+            ),
         )
-        if first > len(openings):
+        if count_needed > len(availabilities):
             return
-        chosen = _choose(openings[:first], len(step.tasks), limit)
-        reservation = Reservation(step, frozenset(chosen), openings[first - 1].at)
+        chosen = _choose_workers(availabilities[:count_needed], len(step.tasks), limit)
+        reservation = Reservation(
+            step, frozenset(chosen), availabilities[count_needed - 1].at
+        )
         self._steps[step.name] = reservation
         self._workers.update(dict.fromkeys(chosen, reservation))
 
 
-def _choose(openings: list[_Opening], needed: int, limit: int) -> list[str]:
-    """Return the fewest workers that hold so many tasks; none if more than a limit."""
-    rooms = {opening.worker: opening.tasks for opening in openings}
+def _choose_workers(
+    availabilities: list[_Availability], needed: int, limit: int
+) -> list[str]:
+    """Return the fewest workers that hold the needed tasks, none if above the limit."""
+    capacities = {
+        availability.worker: availability.tasks for availability in availabilities
+    }
     chosen: list[str] = []
-    for worker in heapq.nlargest(limit, rooms, key=lambda name: rooms[name]):
+    for worker in heapq.nlargest(limit, capacities, key=lambda name: capacities[name]):
         chosen.append(worker)
-        needed -= rooms[worker]
+        needed -= capacities[worker]
         if needed <= 0:
             return chosen
     return []
 
 
 def is_contended(contacts: Iterable[WorkerContact]) -> bool:
-    """Whether so much of a pool's processors is used that gangs may lack room."""
+    """Whether a pool uses so much of its processors that gangs may lack capacity."""
     total = used = 0
     for contact in contacts:
         total += contact.info.size.millicores
         used += contact.used.millicores
-    return used > CROWDED_SHARE * total
+    return used > CONTENDED_SHARE * total
 
 
-def _list_openings(step: Step, contact: WorkerContact, now: float) -> list[_Opening]:
-    """List when a worker will hold how many tasks of a step, as its runs end."""
+def _list_availabilities(
+    step: Step, contact: WorkerContact, now: float
+) -> list[_Availability]:
+    """List how many tasks of a step a worker can hold as its runs end."""
     spec: StepSpec = step.spec
-    name, room = contact.info.identifier, contact.free
-    tasks = count_fitting(spec, room)
-    openings = [_Opening(now, name, tasks)] if tasks else []
-    for at, run in sorted(_list_ends(contact, now), key=lambda end: end[0]):
-        room = add_sizes(room, run.task.step.spec.size)
-        fitting = count_fitting(spec, room)
+    name, free = contact.info.identifier, contact.free
+    tasks = count_fitting(spec, free)
+    availabilities = [_Availability(now, name, tasks)] if tasks else []
+    for at, run in sorted(_list_run_ends(contact, now), key=lambda end: end[0]):
+        free = add_sizes(free, run.task.step.spec.size)
+        fitting = count_fitting(spec, free)
         if fitting > tasks:
             tasks = fitting
-            openings.append(_Opening(at, name, tasks))
-    return openings
+            availabilities.append(_Availability(at, name, tasks))
+    return availabilities
 
 
-def _list_ends(contact: WorkerContact, now: float) -> list[tuple[float, Run]]:
+def _list_run_ends(contact: WorkerContact, now: float) -> list[tuple[float, Run]]:
     return [
-        (now + max(0.0, measure_rest(run, now)), run)
+        (now + max(0.0, estimate_remaining(run, now)), run)
         for run in contact.runs.values()
         if not run.task.step.spec.is_long_running
     ]
--- a/src/damaskdeck/coordination/pools/revisions.py
+++ b/src/damaskdeck/coordination/pools/revisions.py
@@ -1,37 +1,37 @@
-"""When what the store shows was written, told by revisions that rise with time."""
+"""Bounds on when stored values were written, derived from rising store revisions."""
 
 from bisect import bisect_left
 from collections import deque
 
-# Dates that are kept, and the seconds between two of them.
-DATES_KEPT = 256
-DATES_APART_SECONDS = 0.05
+# Number of recorded revisions, and the minimum time between two of them.
+MAX_ENTRIES = 256
+MIN_SPACING_SECONDS = 0.05
 
 
 class RevisionTimes:
-    """From when on revisions of the store were written, in monotonic seconds.
+    """The times from which on revisions were written, in monotonic seconds.
 
-    What has a later revision than the store had when it was asked was written after
-    the question was sent. How long ago something was read says less: an outage may
-    lie between the writing and the reading.
+    A value whose revision is later than the store's revision at some request was
+    written after that request was sent. The time of reading says less, as an outage may
+    lie between writing and reading.
     """
 
     def __init__(self) -> None:
-        self._dates: deque[tuple[int, float]] = deque(maxlen=DATES_KEPT)
+        self._entries: deque[tuple[int, float]] = deque(maxlen=MAX_ENTRIES)
 
     def record(self, revision: int, sent: float) -> None:
-        """Take note that the store's revision was no later at ``sent``."""
-        if not self._dates:
-            self._dates.append((revision, sent))
+        """Record that the store's revision was at most ``revision`` at ``sent``."""
+        if not self._entries:
+            self._entries.append((revision, sent))
             return
-        newest, noted = self._dates[-1]
-        if revision >= newest and sent >= noted + DATES_APART_SECONDS:
-            self._dates.append((revision, sent))
+        newest, recorded_at = self._entries[-1]
+        if revision >= newest and sent >= recorded_at + MIN_SPACING_SECONDS:
+            self._entries.append((revision, sent))
 
     def find_write_time(self, revision: int) -> float:
-        """Return when a revision was written at the earliest.
+        """Return the earliest time at which a revision may have been written.
 
-        Before the first note nothing is known of it: negative infinity.
+        It is negative infinity for revisions that are older than the first record.
         """
-        place = bisect_left(self._dates, (revision,))
-        return self._dates[place - 1][1] if place else float("-inf")
+        index = bisect_left(self._entries, (revision,))
+        return self._entries[index - 1][1] if index else float("-inf")
--- a/src/damaskdeck/coordination/pools/slowness.py
+++ b/src/damaskdeck/coordination/pools/slowness.py
@@ -1,8 +1,8 @@
-"""How fast workers are, told by the progress of what they run.
+"""Detection of slow workers by the progress of their runs.
 
-What a run gains in a second is weighed against its estimate; how far estimates are
-off is learnt from the runs of a queue that have completed. Several runs on a worker
-together tell its speed, each with the weight that its queue's estimates deserve.
+The rate of a run is compared with the rate expected from its estimate. The bias of the
+estimates is learned per queue from completed runs. The runs of a worker are combined,
+each weighted by how reliable the estimates of its queue are.
 """
 
 import math
@@ -11,91 +11,99 @@
 from typing import NamedTuple
 
 from damaskdeck.coordination.pools.contacts import WorkerContact
-from damaskdeck.coordination.pools.workerhealth import is_working
+from damaskdeck.coordination.pools.workerhealth import should_progress
 from damaskdeck.logs import get_logger
 from damaskdeck.state.pooljobs import Run, Step
 
-# Sound workers differ by up to a half; a slow one takes several times as long.
+# Healthy workers differ by up to a half; a slow worker takes several times as long.
 SLOW_SPEED = 0.45
-# Even with twice the error that its evidence has, a slow worker is below this.
-SURELY_BELOW = 0.75
-CERTAINTY = 2.0
-# A slow worker without runs tells nothing; it is tried again after so long.
-SLOW_SECONDS = 1.5
-# Estimates tell something once so many runs of their queue have shown how far they
-# are off; the first guess is a factor of about 1.6.
-LEAST_LEARNT = 5
-LEARNING_SHARE = 0.1
-FIRST_VARIANCE = 0.25
-LEAST_VARIANCE = 0.04
-# A run that was seen for less of its work says little about its whole.
-LEAST_SHARE = 0.5
-# What a run gained before, and what others of its step gain, differs by less.
+# A slow worker's speed must be below this bound even if it is off by this many standard
+# errors.
+CONFIDENT_SPEED_BOUND = 0.75
+STANDARD_ERRORS = 2.0
+# A slow worker without runs gives no evidence; it is tried again after this time.
+SLOW_MARK_SECONDS = 1.5
+# Estimates count once this many runs of their queue have shown how far they are off.
+# Before that, the assumed error is a factor of about 1.6.
+MIN_BIAS_RUNS = 5
+LEARNING_RATE = 0.1
+INITIAL_VARIANCE = 0.25
+MIN_VARIANCE = 0.04
+# A run that was observed for a smaller share of its work says little about the whole.
+MIN_OBSERVED_SHARE = 0.5
+# The earlier rates of the same run and the rates of other runs of its step vary less
+# than estimates.
 OWN_VARIANCE = 0.02
 SIBLING_VARIANCE = 0.08
-LEAST_OTHERS = 2
-# Workers whose median is taken for what is usual.
-LEAST_MEASURED = 3
+MIN_SIBLINGS = 2
+# Number of measured workers from which on their median serves as the typical speed.
+MIN_MEASURED_WORKERS = 3
 
-_Told = tuple[str, float]
+_RateSample = tuple[str, float]
 
 _log = get_logger("speeds")
 
 
-class Bias(NamedTuple):
-    """How estimates of a queue differ from what its runs take, in logarithms."""
+class EstimateBias(NamedTuple):
+    """Bias of a queue's estimates against the durations of its runs, in logarithms."""
 
     mean: float = 0.0
-    variance: float = FIRST_VARIANCE
+    variance: float = INITIAL_VARIANCE
     runs: int = 0
 
 
 class SlowWorkerDetector:
-    """What is known of the workers' speeds, for one owner."""
+    """Tracks the speeds of the workers of one owner."""
 
     def __init__(self) -> None:
-        self._biases: dict[str, Bias] = {}
+        self._biases: dict[str, EstimateBias] = {}
         self._slow_until: dict[str, float] = {}
-        self._paces: dict[Step, list[_Told]] = {}
+        self._rates: dict[Step, list[_RateSample]] = {}
 
     def record_completion(self, run: Run, now: float) -> None:
-        """Learn from a run that has completed as it was observed to."""
+        """Learn from a run that has completed, if its progress was observed."""
         estimate = run.task.step.spec.estimate.total_seconds()
-        took = now - run.settled_at
-        if run.first_percent is None or not estimate or took <= 0:
+        duration = now - run.settled_at
+        if run.first_percent is None or not estimate or duration <= 0:
             return
         queue = run.task.step.job.queue.name
         share = (100 - run.first_percent) / 100
-        if share < LEAST_SHARE:
+        if share < MIN_OBSERVED_SHARE:
             return
-        off = math.log(estimate * share / took)
-        bias = self._biases.get(queue, Bias())
-        error = off - bias.mean
-        variance = bias.variance + LEARNING_SHARE * (error * error - bias.variance)
-        self._biases[queue] = Bias(
-            bias.mean + max(LEARNING_SHARE, 1 / (bias.runs + 1)) * error,
-            max(LEAST_VARIANCE, variance),
+        log_ratio = math.log(estimate * share / duration)
+        bias = self._biases.get(queue, EstimateBias())
+        error = log_ratio - bias.mean
+        variance = bias.variance + LEARNING_RATE * (error * error - bias.variance)
+        self._biases[queue] = EstimateBias(
+            bias.mean + max(LEARNING_RATE, 1 / (bias.runs + 1)) * error,
+            max(MIN_VARIANCE, variance),
             bias.runs + 1,
         )
 
     def is_slow(self, worker: str, now: float) -> bool:
-        """Tell whether a worker was seen to be slow lately."""
+        """Whether a worker was recently measured to be slow."""
         return self._slow_until.get(worker, 0.0) > now
 
-    def judge(self, contacts: Iterable[WorkerContact], now: float) -> None:
-        """Judge all workers by what their runs gain."""
+    def update(self, contacts: Iterable[WorkerContact], now: float) -> None:
+        """Update the speeds of all workers from the rates of their runs."""
         self._slow_until = {n: t for n, t in self._slow_until.items() if t > now}
-        listed = list(contacts)
-        self._paces = _gather_paces(listed)
-        measured = [(c, found) for c in listed if (found := self._measure(c))]
-        # Where all seem slow it is what was expected of them that is wrong.
-        is_telling = len(measured) >= LEAST_MEASURED
-        usual = median(found[0] for _, found in measured) if is_telling else 0.0
+        all_contacts = list(contacts)
+        self._rates = _collect_rates(all_contacts)
+        measured = [
+            (c, measurement) for c in all_contacts if (measurement := self._measure(c))
+        ]
+        # If all workers seem slow, the expected rates are wrong.
+        has_enough = len(measured) >= MIN_MEASURED_WORKERS
+        typical = (
+            median(measurement[0] for _, measurement in measured) if has_enough else 0.0
+        )
         for contact, (speed, error) in measured:
-            speed -= min(usual, 0.0)
+            speed -= min(typical, 0.0)
             name = contact.info.identifier
-            is_sure = speed + CERTAINTY * error < math.log(SURELY_BELOW)
-            if speed < math.log(SLOW_SPEED) and is_sure:
+            is_confident = speed + STANDARD_ERRORS * error < math.log(
+                CONFIDENT_SPEED_BOUND
+            )
+            if speed < math.log(SLOW_SPEED) and is_confident:
                 if not self.is_slow(name, now):
                     _log.info(
                         "A worker is slow.",
@@ -103,7 +111,7 @@
                         speed=round(math.exp(speed), 2),
                         runs=len(contact.runs),
                     )
-                self._slow_until[name] = now + SLOW_SECONDS
+                self._slow_until[name] = now + SLOW_MARK_SECONDS
             elif speed >= math.log(SLOW_SPEED):
                 self._slow_until.pop(name, None)
 
@@ -111,42 +119,43 @@
         """Return the logarithm of a worker's speed and its standard error."""
         total, weights = 0.0, 0.0
         for run in contact.runs.values():
-            if run.pace is None or not is_working(run):
+            if run.pace is None or not should_progress(run):
                 continue
-            expected, variance = self.expect(run)
+            expected, variance = self.estimate_rate(run)
             if not expected:
                 continue
-            # Progress comes in whole percent.
+            # Progress is reported in whole percent.
             variance += 1 / run.pace.least**2
             total += math.log(run.pace.rate / expected) / variance
             weights += 1 / variance
         return (total / weights, weights**-0.5) if weights else None
 
-    def expect(self, run: Run) -> tuple[float, float]:
-        """Return the percent in a second that a sound worker would give a run.
+    def estimate_rate(self, run: Run) -> tuple[float, float]:
+        """Return a run's rate on a healthy worker and the variance of its logarithm.
 
-        Its own best so far says most, then what others of its step gain elsewhere,
-        then its estimate; with the variance of the logarithm. 0 when nothing says.
+        The best rate of the run itself is the strongest evidence, then the rates of
+        other runs of its step on other workers, then its estimate. The rate is in
+        percent per second, and 0 if there is no evidence.
         """
         if run.best_pace:
             return run.best_pace, OWN_VARIANCE
-        told = self._paces.get(run.task.step, ())
-        others = [pace for name, pace in told if name != run.worker]
-        if len(others) >= LEAST_OTHERS:
+        samples = self._rates.get(run.task.step, ())
+        others = [rate for name, rate in samples if name != run.worker]
+        if len(others) >= MIN_SIBLINGS:
             return median(others), SIBLING_VARIANCE
         estimate = run.task.step.spec.estimate.total_seconds()
-        bias = self._biases.get(run.task.step.job.queue.name, Bias())
-        if not estimate or bias.runs < LEAST_LEARNT:
+        bias = self._biases.get(run.task.step.job.queue.name, EstimateBias())
+        if not estimate or bias.runs < MIN_BIAS_RUNS:
             return 0.0, 0.0
         return 100 / estimate * math.exp(bias.mean), bias.variance
 
 
-def _gather_paces(contacts: Iterable[WorkerContact]) -> dict[Step, list[_Told]]:
-    """Return what the runs of each step gain in a second, with their workers."""
-    paces: dict[Step, list[_Told]] = {}
+def _collect_rates(contacts: Iterable[WorkerContact]) -> dict[Step, list[_RateSample]]:
+    """Return the rates of the runs of each step, with their workers."""
+    rates: dict[Step, list[_RateSample]] = {}
     for contact in contacts:
         for run in contact.runs.values():
             if run.pace is not None:
-                told = paces.setdefault(run.task.step, [])
-                told.append((run.worker, run.pace.gained / run.pace.seconds))
-    return paces
+                samples = rates.setdefault(run.task.step, [])
+                samples.append((run.worker, run.pace.gained / run.pace.seconds))
+    return rates
--- a/src/damaskdeck/coordination/pools/speedranks.py
+++ b/src/damaskdeck/coordination/pools/speedranks.py
@@ -1,9 +1,10 @@
-"""How fast sound workers are against each other, learnt from steps that completed.
+"""Relative speeds of healthy workers, learned from completed steps.
 
-Tasks of one step do about the same work, so what each took, against the mean of its
-step, tells the speed of its worker; errors of estimates, which whole steps share,
-cancel out. It says nothing about a worker that turns slow: that passes within seconds,
-and is told by what its runs gain (:mod:`damaskdeck.coordination.pools.slowness`).
+The tasks of a step do about the same work, so the duration of each, compared with the
+mean of its step, shows the speed of its worker. Errors of estimates affect a whole step
+and cancel out. Workers that become slow are not detected here: that passes within
+seconds and shows in the progress of their runs
+(:mod:`damaskdeck.coordination.pools.slowness`).
 """
 
 import math
@@ -11,21 +12,21 @@
 
 from damaskdeck.state.pooljobs import Run, Step
 
-# Workers are told apart by a tenth more or less than the mean: kinds differ by a fifth
-# and more, and what is learnt is off by some 0.05.
-TELLING = 0.1
-# Runs of a worker that say something: tasks of a step differ by 0.3, so their mean is
-# off by less than a tenth.
-LEAST_RUNS = 10
-# Weight of the newest run, once there are more.
-LATEST_SHARE = 0.04
+# Workers are ranked apart if they deviate from the mean by a tenth: hardware kinds
+# differ by a fifth or more, and the learned value is off by about 0.05.
+MIN_DEVIATION = 0.1
+# Number of runs before a worker is ranked: the tasks of a step vary by 0.3, so the mean
+# of this many is off by less than a tenth.
+MIN_RUNS = 10
+# Weight of the latest run once there are many.
+MIN_WEIGHT = 0.04
 
 
-class Pace(NamedTuple):
-    """What is learnt of a worker.
+class RelativeSpeed(NamedTuple):
+    """The learned speed of a worker.
 
-    :param mean: logarithm of its speed against others.
-    :param runs: how many runs told it.
+    :param mean: logarithm of its speed relative to other workers.
+    :param runs: number of runs that contributed.
     """
 
     mean: float = 0.0
@@ -33,45 +34,47 @@
 
 
 class SpeedRanks:
-    """Speeds of workers, for one owner."""
+    """Relative speeds of the workers of one owner."""
 
     def __init__(self) -> None:
-        self._paces: dict[str, Pace] = {}
-        self._took: dict[Step, list[tuple[str, float]]] = {}
+        self._speeds: dict[str, RelativeSpeed] = {}
+        self._durations: dict[Step, list[tuple[str, float]]] = {}
 
     def record_completion(self, run: Run, now: float) -> None:
-        """Learn from a run that has completed, and that was seen from its start."""
-        took = now - run.settled_at
+        """Learn from a completed run that was observed from its start."""
+        duration = now - run.settled_at
         step = run.task.step
-        if took <= 0 or step.spec.is_gang or run.checkpoint:
+        if duration <= 0 or step.spec.is_gang or run.checkpoint:
             return
-        told = self._took.setdefault(step, [])
-        told.append((run.worker, math.log(took)))
-        if len(told) == len(step.tasks):
-            self._learn(self._took.pop(step))
+        samples = self._durations.setdefault(step, [])
+        samples.append((run.worker, math.log(duration)))
+        if len(samples) == len(step.tasks):
+            self._update_speeds(self._durations.pop(step))
 
     def discard(self, step: Step) -> None:
-        """Drop what was gathered of a step that won't complete."""
-        self._took.pop(step, None)
+        """Discard the samples of a step that will not complete."""
+        self._durations.pop(step, None)
 
-    def _learn(self, told: list[tuple[str, float]]) -> None:
-        if len({worker for worker, _ in told}) < 2:
+    def _update_speeds(self, samples: list[tuple[str, float]]) -> None:
+        if len({worker for worker, _ in samples}) < 2:
             return
-        mean = sum(took for _, took in told) / len(told)
-        for worker, took in told:
-            pace = self._paces.get(worker, Pace())
-            share = max(LATEST_SHARE, 1 / (pace.runs + 1))
-            error = (mean - took) - pace.mean
-            self._paces[worker] = Pace(pace.mean + share * error, pace.runs + 1)
-
-    def set_workers(self, identifiers: frozenset[str]) -> None:
-        """Forget workers that are gone."""
-        for gone in self._paces.keys() - identifiers:
-            del self._paces[gone]
+        mean = sum(log_duration for _, log_duration in samples) / len(samples)
+        for worker, log_duration in samples:
+            speed = self._speeds.get(worker, RelativeSpeed())
+            weight = max(MIN_WEIGHT, 1 / (speed.runs + 1))
+            error = (mean - log_duration) - speed.mean
+            self._speeds[worker] = RelativeSpeed(
+                speed.mean + weight * error, speed.runs + 1
+            )
+
+    def retain_workers(self, identifiers: frozenset[str]) -> None:
+        """Discard workers that are gone."""
+        for gone in self._speeds.keys() - identifiers:
+            del self._speeds[gone]
 
     def rank(self, worker: str) -> int:
-        """Return -1 for a fast worker, 1 for a slow one, 0 for others."""
-        pace = self._paces.get(worker, Pace())
-        if pace.runs < LEAST_RUNS or abs(pace.mean) < TELLING:
+        """Return -1 for a fast worker, 1 for a slow one and 0 for all others."""
+        speed = self._speeds.get(worker, RelativeSpeed())
+        if speed.runs < MIN_RUNS or abs(speed.mean) < MIN_DEVIATION:
             return 0
-        return -1 if pace.mean > 0 else 1
+        return -1 if speed.mean > 0 else 1
--- a/src/damaskdeck/coordination/pools/starter.py
+++ b/src/damaskdeck/coordination/pools/starter.py
@@ -1,4 +1,4 @@
-"""Orders to start what was placed, and what becomes of those without a clear answer."""
+"""Start orders for placed tasks, and the handling of orders without a clear answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,36 +15,36 @@
 from damaskdeck.metrics import observe_wait
 from damaskdeck.state.pooljobs import Job, Run, RunPhase, Step, Task
 
-# A gang that could not start tries again after so long.
-GANG_PAUSE_SECONDS = 0.2
-# Members of a gang that are in doubt are waited for so long: with the time-out of
-# an order it stays well below that of the workers, 3 s.
-GANG_DOUBT_SECONDS = 1.0
-# Between two looks whether a doubt is settled.
-DOUBT_INTERVAL = timedelta(milliseconds=4)
+# Time until a gang that could not start is tried again.
+GANG_RETRY_SECONDS = 0.2
+# How long unconfirmed members of a gang are waited for. Together with the timeout of an
+# order this is well below that of the workers, 3 s.
+GANG_CONFIRM_SECONDS = 1.0
+# Interval at which unconfirmed members are checked.
+CONFIRM_POLL_INTERVAL = timedelta(milliseconds=4)
 
 _log = get_logger("dispatching")
 
 
 class StartOwner(Protocol):
-    """What a starter asks of the owner."""
+    """The interface of the owner that a starter uses."""
 
     term: OwnerTerm
 
     def now(self) -> float:
-        """Return monotonic seconds."""
+        """Return the monotonic time in seconds."""
 
     def next_attempt(self, tasks: list[Task]) -> int:
-        """Return an attempt number above all that the tasks had."""
+        """Return an attempt number above all earlier ones of the tasks."""
 
     def stop(self, run: Run) -> None:
-        """Tell a run's worker to end it."""
+        """Request the worker of a run to end it."""
 
 
 class Starter:
     """Orders planned tasks on their workers.
 
-    :param mark_changed: called with the job whose tasks may wait again.
+    :param mark_changed: called with a job whose tasks may wait again.
     """
 
     def __init__(
@@ -61,17 +61,17 @@
         self._starts: set[asyncio.Task[None]] = set()
 
     def close(self) -> None:
-        """Stop at once."""
+        """Cancel all orders in flight."""
         for task in self._starts:
             task.cancel()
 
     async def drain(self, timeout: timedelta) -> None:
-        """Wait for the answers to what was ordered."""
+        """Wait for the answers to the orders in flight."""
         if self._starts:
             await asyncio.wait(self._starts, timeout=timeout.total_seconds())
 
     def order(self, step: Step, plan: Plan, now: float) -> list[Run]:
-        """Order what was planned; the runs take their room at once."""
+        """Order a plan; its runs take their capacity at once."""
         attempt = self._owner.next_attempt([task for task, _ in plan])
         runs: list[tuple[Run, WorkerContact]] = []
         for task, candidate in plan:
@@ -79,7 +79,7 @@
             run = Run(task, candidate.key, attempt, now)
             task.runs.append(run)
             candidate.contact.add_run(run)
-            candidate.contact.last_order.note(step, now)
+            candidate.contact.last_order.record(step, now)
             runs.append((run, candidate.contact))
         if not step.job.has_started:
             waited = timedelta(seconds=max(0.0, now - step.job.arrived_at))
@@ -115,19 +115,19 @@
             if not is_started and run.phase is RunPhase.ORDERED:
                 step_advice.discard_ticket(run.worker)
         is_gang = step.spec.is_gang and not step.is_completed
-        if is_gang and not await self._settle_gang([run for run, _ in runs]):
-            step.not_before = self._owner.now() + GANG_PAUSE_SECONDS
+        if is_gang and not await self._confirm_gang([run for run, _ in runs]):
+            step.not_before = self._owner.now() + GANG_RETRY_SECONDS
             for run in list(step.list_runs()):
                 self._owner.stop(run)
         self._touch(step.job)
 
-    async def _settle_gang(self, runs: list[Run]) -> bool:
-        """Wait while members are in doubt; returns whether all of them run.
+    async def _confirm_gang(self, runs: list[Run]) -> bool:
+        """Wait for unconfirmed members, and return whether all members run.
 
-        An answer that is lost is no start that failed: the next look at the worker
-        tells, mostly within a few milliseconds.
+        A lost answer does not mean that a start failed: the next poll of the worker
+        shows its state, mostly within a few milliseconds.
         """
-        latest = self._owner.now() + GANG_DOUBT_SECONDS
+        latest = self._owner.now() + GANG_CONFIRM_SECONDS
         while any(run.phase is RunPhase.DOUBTFUL for run in runs):
             is_lost = any(
                 run.stopping_since is not None or run not in run.task.runs
@@ -135,5 +135,5 @@
             )
             if is_lost or self._owner.now() >= latest:
                 return False
-            await self._clock.sleep(DOUBT_INTERVAL)
+            await self._clock.sleep(CONFIRM_POLL_INTERVAL)
         return all(run.phase is RunPhase.RUNNING for run in runs)
--- a/src/damaskdeck/coordination/pools/submitter.py
+++ b/src/damaskdeck/coordination/pools/submitter.py
@@ -1,4 +1,4 @@
-"""Callers' jobs stored from any daemon, or by others where the store turns it away."""
+"""Storing of callers' jobs, by another daemon if the store does not serve this one."""
 
 import asyncio
 from datetime import timedelta
@@ -45,7 +45,7 @@
 )
 
 RETRY_DELAY = timedelta(milliseconds=60)
-# Daemons that are asked to store what the store doesn't take from here.
+# Number of daemons that are requested to store a job that this daemon can't store.
 DELEGATE_COUNT = 2
 DELEGATE_TIMEOUT = timedelta(milliseconds=450)
 
@@ -55,7 +55,7 @@
 class JobSubmitter:
     """Stores jobs.
 
-    :param rooms: where jobs are confined to.
+    :param zone_capacities: chooses the zones that a job is confined to.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         times: PoolTimes,
         declarations: Declarations,
         delegates: Delegates,
-        rooms: ZoneCapacities,
+        zone_capacities: ZoneCapacities,
     ) -> None:
         self._store = store
         self._peers = peers
@@ -77,8 +77,8 @@
         self._declarations = declarations
         self._authorizer = CallAuthorizer(declarations)
         self._delegates = delegates
-        self._rooms = rooms
-        peers.register(StoreJob, self._take_for)
+        self._zone_capacities = zone_capacities
+        peers.register(StoreJob, self._handle_store_job)
 
     def _now(self) -> float:
         return self._clock.monotonic().total_seconds()
@@ -88,39 +88,44 @@
     ) -> JobAccepted | JobNotAccepted | JobUnconfirmed | CallRejected:
         """Store a job; the same identifier is the same job.
 
-        Where the store doesn't answer this daemon, others are asked to store it.
+        If the store does not answer this daemon, other daemons are requested to store
+        it.
         """
         began = self._now()
-        zones = self._rooms.choose(queue, identifier, spec)
+        zones = self._zone_capacities.choose(queue, identifier, spec)
         record = JobRecord(identifier, queue, spec, 0, 0.0, zones, caller.account)
-        done = await self._store_job(record, caller)
-        if not isinstance(done, JobAccepted | CallRejected):
-            is_unsettled = isinstance(done, JobUnconfirmed)
-            passed = await self._pass_on(record, caller)
-            if isinstance(passed, JobAccepted | JobUnconfirmed) or not is_unsettled:
-                done = passed
-        if not isinstance(done, JobAccepted):
-            is_unsettled = isinstance(done, JobUnconfirmed)
+        answer = await self._store_job(record, caller)
+        if not isinstance(answer, JobAccepted | CallRejected):
+            is_unconfirmed = isinstance(answer, JobUnconfirmed)
+            delegated = await self._delegate(record, caller)
+            if (
+                isinstance(delegated, JobAccepted | JobUnconfirmed)
+                or not is_unconfirmed
+            ):
+                answer = delegated
+        if not isinstance(answer, JobAccepted):
+            is_unconfirmed = isinstance(answer, JobUnconfirmed)
             _log.info(
-                "Not taken.",
+                "A job was not accepted.",
                 id=identifier,
-                reason=done.code,
-                unsettled=is_unsettled,
+                reason=answer.code,
+                unsettled=is_unconfirmed,
                 account=caller.account,
             )
-            count_refusal("submit", done.code)
+            count_refusal("submit", answer.code)
             if caller.account:
                 count_account_job(caller.account, "refused")
         observe_latency("desk", "submit", self._now() - began)
-        return done
+        return answer
 
     async def _store_job(
         self, record: JobRecord, caller: Caller
     ) -> JobAccepted | JobNotAccepted | JobUnconfirmed | CallRejected:
-        """Store a job from here; a store that is failing is not even tried.
+        """Store a job from this daemon; no call is made while the store is failing.
 
-        The commit expects the document by which the call was judged, so a key that
-        was taken away before hands nothing in, whatever this daemon believes.
+        The commit expects the document that the caller was authorized by. So a key that
+        was revoked before can't submit a job, however outdated this daemon's document
+        is.
         """
         until = self._now() + self._times.accept_timeout.total_seconds()
         may_be_stored = False
@@ -132,45 +137,47 @@
                 accepted_at=self._clock.now().timestamp(),
             )
             sent, expected = self._now(), self._declarations.expected
-            done = await self._store.commit(
-                self._build(record, expected),
+            answer = await self._store.commit(
+                self._build_transaction(record, expected),
                 self._times.accept_timeout,
                 MAX_COMMIT_REPLY_BYTES if expected else None,
             )
-            if isinstance(done, Written):
+            if isinstance(answer, Written):
                 self._declarations.confirm(expected, sent)
-                self._tell_owner(record)
+                self._announce(record)
                 return JobAccepted()
-            if isinstance(done, Mismatch):
-                judged = self._judge_mismatch(record, caller, done, sent)
-                if not isinstance(judged, JobRecord):
-                    return judged
-                record = judged
+            if isinstance(answer, Mismatch):
+                resolved = self._resolve_mismatch(record, caller, answer, sent)
+                if not isinstance(resolved, JobRecord):
+                    return resolved
+                record = resolved
                 code = "document_or_owner_changing"
-            elif isinstance(done, ReplyTooLarge):
+            elif isinstance(answer, ReplyTooLarge):
                 self._declarations.handle_unread_document()
                 code = "document_changing"
             else:
-                may_be_stored = may_be_stored or isinstance(done, Lost)
-                code = getattr(done, "code", "lapsed")
+                may_be_stored = may_be_stored or isinstance(answer, Lost)
+                code = getattr(answer, "code", "lapsed")
             if self._now() >= until:
                 break
             count_retry("submit", code)
             if expected == self._declarations.expected:
-                # Else it was judged anew, and there is nothing to wait for.
+                # If the document has changed, the call was authorized again and can be
+                # retried at once.
                 await self._clock.sleep(RETRY_DELAY)
         return JobUnconfirmed(code) if may_be_stored else JobNotAccepted(code)
 
-    def _judge_mismatch(
-        self, record: JobRecord, caller: Caller, done: Mismatch, sent: float
+    def _resolve_mismatch(
+        self, record: JobRecord, caller: Caller, answer: Mismatch, sent: float
     ) -> JobRecord | JobAccepted | CallRejected:
-        """Return the record to store in place of one that was refused.
+        """Return the record to store in place of one whose commit was refused.
 
-        What is stored comes first: a try without an answer may have stored it under
-        the document before, and then it runs. Under another document none can any more.
+        A stored job takes precedence: an attempt without an answer may have stored it
+        under the previous document, so that it runs. No attempt can store it under
+        another document any more.
         """
-        has_changed = self._declarations.handle_mismatch(done, sent)
-        stored = done.find(JOBS_PREFIX + record.identifier)
+        has_changed = self._declarations.handle_mismatch(answer, sent)
+        stored = answer.find(JOBS_PREFIX + record.identifier)
         if stored is not None:
             is_same = is_visible(stored.value, caller)
             return (
@@ -185,31 +192,31 @@
             if isinstance(queue, CallRejected):
                 return queue
             record = record._replace(queue=queue)
-        # Another owner: the job has to be stored for that one.
-        self._leadership.refresh(done.find(OWNER_KEY))
+        # If the owner has changed, the job has to be stored for the new owner.
+        self._leadership.refresh(answer.find(OWNER_KEY))
         return record
 
-    async def _pass_on(
+    async def _delegate(
         self, record: JobRecord, caller: Caller
     ) -> JobAccepted | JobNotAccepted | JobUnconfirmed:
-        """Let other daemons store a job; the identifier makes it one job."""
-        asked = self._delegates.choose(DELEGATE_COUNT)
+        """Let other daemons store a job; its identifier prevents duplicates."""
+        delegates = self._delegates.choose(DELEGATE_COUNT)
         calls = [
-            asyncio.ensure_future(self._ask_to_take(name, record, caller))
-            for name in asked
+            asyncio.ensure_future(self._delegate_to(name, record, caller))
+            for name in delegates
         ]
         result: JobAccepted | JobNotAccepted | JobUnconfirmed = JobNotAccepted(
             "store_failing"
         )
         for call in asyncio.as_completed(calls):
-            done = await call
-            if isinstance(done, JobAccepted):
-                return done
-            if isinstance(done, JobUnconfirmed) or isinstance(result, JobNotAccepted):
-                result = done
+            answer = await call
+            if isinstance(answer, JobAccepted):
+                return answer
+            if isinstance(answer, JobUnconfirmed) or isinstance(result, JobNotAccepted):
+                result = answer
         return result
 
-    async def _ask_to_take(
+    async def _delegate_to(
         self, name: str, record: JobRecord, caller: Caller
     ) -> JobAccepted | JobNotAccepted | JobUnconfirmed:
         message: StoreJob = {
@@ -229,24 +236,24 @@
             return JobNotAccepted(reply.code)
         return JobUnconfirmed(reply.code)
 
-    async def _take_for(self, peer: str, message: StoreJob) -> StoreJobReply:
+    async def _handle_store_job(self, peer: str, message: StoreJob) -> StoreJobReply:
         try:
             record = decode_job(message["record"])
         except MessageError as error:
-            _log.error("A job can't be read.", peer=peer, error=str(error))
+            _log.error("A delegated job can't be decoded.", peer=peer, error=str(error))
             return {"outcome": "not_taken", "code": "unreadable"}
         caller = Caller(record.account, record.queue.name, message.get("digest", b""))
         queue = self._authorizer.reauthorize(record.queue, record.identifier, caller)
-        done = queue
+        answer = queue
         if not isinstance(queue, CallRejected):
-            done = await self._store_job(record._replace(queue=queue), caller)
-        if isinstance(done, JobAccepted):
+            answer = await self._store_job(record._replace(queue=queue), caller)
+        if isinstance(answer, JobAccepted):
             return {"outcome": "taken", "code": ""}
-        is_unsettled = isinstance(done, JobUnconfirmed)
-        outcome = "unsettled" if is_unsettled else "not_taken"
-        return {"outcome": outcome, "code": done.code}
+        is_unconfirmed = isinstance(answer, JobUnconfirmed)
+        outcome = "unsettled" if is_unconfirmed else "not_taken"
+        return {"outcome": outcome, "code": answer.code}
 
-    def _build(
+    def _build_transaction(
         self, record: JobRecord, expected: tuple[tuple[str, int], ...]
     ) -> Transaction:
         key = JOBS_PREFIX + record.identifier
@@ -255,7 +262,7 @@
             (owner, (key, 0), *expected), (Write(key, encode_record(record)),)
         )
 
-    def _tell_owner(self, record: JobRecord) -> None:
+    def _announce(self, record: JobRecord) -> None:
         _log.info(
             "Taken.",
             id=record.identifier,
@@ -269,10 +276,11 @@
 
 
 def is_visible(stored: bytes, caller: Caller) -> bool:
-    """Whether a job as stored is one that the caller may know of."""
+    """Whether a caller may know of a stored job."""
     try:
         record = decode_job(stored)
     except MessageError:
-        # Nobody's work can be told from it; that it can't be read the owner tells.
+        # The account of an unreadable record is unknown; the owner reports that it is
+        # unreadable.
         return True
     return caller.may_see(record.account, record.queue.name)
--- a/src/damaskdeck/coordination/pools/supervision.py
+++ b/src/damaskdeck/coordination/pools/supervision.py
@@ -1,27 +1,27 @@
-"""Watches what runs: gives up what won't end where it is, and starts copies."""
+"""Supervision of runs: stops those that can't end where they are, and starts copies."""
 
 from damaskdeck.coordination.pools.advice import AdviceScheduler
-from damaskdeck.coordination.pools.departures import find_departing
+from damaskdeck.coordination.pools.departures import find_runs_to_stop
 from damaskdeck.coordination.pools.dispatcher import Dispatcher, DispatchOwner
 from damaskdeck.coordination.pools.relocation import (
-    find_moves,
-    find_silent,
-    has_room,
-    may_have_copies,
+    find_runs_to_move,
+    find_unreachable_runs,
+    has_capacity,
+    may_run_copies,
 )
 from damaskdeck.coordination.pools.times import PoolTimes
 from damaskdeck.coordination.pools.urgency import is_due_soon
 from damaskdeck.logs import get_logger
 from damaskdeck.state.pooljobs import Run
 
-# A look at a worker, which tells the progress of its runs, comes every half second.
-JUDGE_SECONDS = 0.25
+# Workers are polled, and so report the progress of their runs, every half second.
+EVALUATION_SECONDS = 0.25
 
 _log = get_logger("dispatching")
 
 
-class Supervisor:
-    """Looks after the runs of one owner."""
+class RunSupervisor:
+    """Supervises the runs of one owner."""
 
     def __init__(
         self,
@@ -34,51 +34,54 @@
         self._dispatcher = dispatcher
         self._times = times
         self._advice_scheduler = advice_scheduler
-        self._judged_at = float("-inf")
+        self._evaluated_at = float("-inf")
 
     def sweep(self, now: float) -> None:
-        """Look at all workers and at what they run."""
-        longest = self._times.max_stop_time
+        """Check all workers and their runs."""
+        max_stop_time = self._times.max_stop_time
         contacts = self._owner.contacts
-        for run in list(find_departing(contacts.values(), longest, now)):
-            self._give_up(run, "A run would outlast its worker's stay.")
-        if now - self._judged_at >= JUDGE_SECONDS:
-            self._judged_at = now
-            self._judge(now)
+        for run in list(find_runs_to_stop(contacts.values(), max_stop_time, now)):
+            self._stop_run(run, "A run would outlast the stay of its worker.")
+        if now - self._evaluated_at >= EVALUATION_SECONDS:
+            self._evaluated_at = now
+            self._evaluate_workers(now)
         self._move_runs(now)
-        self._ask_ahead(now)
+        self._request_advice_early(now)
         self._dispatcher.open_occurrences()
 
-    def _judge(self, now: float) -> None:
-        """Judge workers by the progress that looks at them have told."""
+    def _evaluate_workers(self, now: float) -> None:
+        """Evaluate workers by the progress that their polls have reported."""
         contacts = self._owner.contacts
         names = frozenset(contacts)
-        self._dispatcher.worker_health.set_workers(names)
-        self._dispatcher.speed_ranks.set_workers(names)
-        self._dispatcher.slow_workers.judge(contacts.values(), now)
+        self._dispatcher.worker_health.retain_workers(names)
+        self._dispatcher.speed_ranks.retain_workers(names)
+        self._dispatcher.slow_workers.update(contacts.values(), now)
         for contact in contacts.values():
             for run in list(self._dispatcher.worker_health.find_stalled(contact, now)):
-                self._give_up(run, "A run stands still.")
+                self._stop_run(run, "A run makes no progress.")
 
     def _move_runs(self, now: float) -> None:
-        """Take runs off slow workers, and copy those that nothing is heard of.
+        """Move runs off slow workers, and start copies of runs on silent workers.
 
-        As often as tickets for that may come: they don't last.
+        This is repeated on every sweep, as the tickets that it needs may arrive at any
+        time and expire soon.
         """
         contacts = self._owner.contacts
-        for run in list(find_moves(contacts, self._dispatcher.slow_workers, now)):
-            self._move(run, now)
-        for run in list(find_silent(contacts, now)):
+        for run in list(
+            find_runs_to_move(contacts, self._dispatcher.slow_workers, now)
+        ):
+            self._move_run(run, now)
+        for run in list(find_unreachable_runs(contacts, now)):
             if self._dispatcher.start_copy(run, now):
                 _log.info(
-                    "A task is started beside a run that nothing is heard of.",
+                    "A copy of a run on a silent worker is started.",
                     id=run.task.name.job,
                     task=run.task.name[1:],
                     worker=run.worker,
                 )
 
-    def _ask_ahead(self, now: float) -> None:
-        """Ask the advisor about steps that are about to become due."""
+    def _request_advice_early(self, now: float) -> None:
+        """Request advice for steps that will become due shortly."""
         for job in self._owner.job_index.open_jobs.values():
             if job.queue.advice is None or job.has_unconfirmed_runs:
                 continue
@@ -86,17 +89,17 @@
                 if is_due_soon(step, job.queue.advice, now):
                     self._dispatcher.request_urgent_advice(step, now)
 
-    def _move(self, run: Run, now: float) -> None:
-        """Take a run, or its whole gang, off a slow worker if there is room.
+    def _move_run(self, run: Run, now: float) -> None:
+        """Move a run, or its whole gang, off a slow worker if there is capacity.
 
-        Where copies may run side by side the slow one goes on, as it may yet win.
+        If copies are allowed, the slow run continues, as it may still end first.
         """
         task, step = run.task, run.task.step
         if len(task.runs) > 1:
             return
         tasks = step.tasks if step.spec.is_gang else [task]
         pool = self._dispatcher.find_pool(step)
-        is_possible = has_room(
+        is_possible = has_capacity(
             step,
             pool,
             self._owner.contacts,
@@ -107,16 +110,16 @@
         )
         if not is_possible:
             return
-        if may_have_copies(step):
+        if may_run_copies(step):
             if not self._dispatcher.start_copy(run, now):
                 return
         else:
-            self._give_up(run, "A run would end earlier elsewhere.")
+            self._stop_run(run, "A run would end earlier on another worker.")
         for moved in tasks:
             moved.moves += 1
 
-    def _give_up(self, run: Run, reason: str) -> None:
-        """Stop a run that won't end where it is, and with it its gang."""
+    def _stop_run(self, run: Run, reason: str) -> None:
+        """Stop a run, with its whole gang, that should not continue where it is."""
         step = run.task.step
         if run.stopping_since is not None:
             return
--- a/src/damaskdeck/coordination/pools/times.py
+++ b/src/damaskdeck/coordination/pools/times.py
@@ -1,32 +1,34 @@
-"""Each time of the pools, worked out from the bounds that the settings give."""
+"""All times of the pools, derived from the bounds in the settings."""
 
 from datetime import timedelta
 from typing import NamedTuple
 
-# A worker's steady clock may run so much slower than ours (the platform's bound).
+# Fraction by which a worker's steady clock may be slower than the local one (the
+# platform's bound).
 CLOCK_SLOWNESS = 0.02
-# A document is taken for the newest for so much less than the bound allows: an order
-# takes a tenth of a second at most where workers answer.
-SURENESS_MARGIN = timedelta(milliseconds=250)
-# The same for a worker's room, which a slow store may take a while to write.
-ROOM_MARGIN = timedelta(milliseconds=500)
+# A document counts as current for this much less than its bound allows, as an order
+# takes at most a tenth of a second on workers that answer.
+FRESHNESS_MARGIN = timedelta(milliseconds=250)
+# The same margin for a worker's capacity, which a slow store may delay longer.
+CAPACITY_MARGIN = timedelta(milliseconds=500)
 
 
 class PoolBounds(NamedTuple):
-    """What the platform promises and asks.
+    """Guarantees and requirements of the platform.
 
-    :param max_worker_lease: longest lease that a worker grants.
-    :param min_store_lease: shortest lease of the store.
-    :param grace: time from the order to stop until a daemon is killed.
-    :param status_retention: states of ended jobs are asked for at least so long.
-    :param remote_factor: a step takes so many times as long away from its best racks.
-    :param max_stop_time: a run that is told to stop takes so long at most.
-    :param in_force: a document is in force so long after it was acknowledged.
-    :param contact: a worker whose room has shrunk may have orders by its old room for
-        so long, and one heartbeat.
-    :param heartbeat: workers register anew so often.
-    :param revocation: what shows a key that was taken away longer ago is served by
-        nobody; ``None`` where that is only asked of daemons in touch.
+    :param max_worker_lease: the longest lease that a worker grants.
+    :param min_store_lease: the shortest lease of the store.
+    :param grace: time from the stop signal until a daemon is killed.
+    :param status_retention: how long states of ended jobs are queried at least.
+    :param remote_factor: how many times as long a step takes away from its best racks.
+    :param max_stop_time: the longest time that a run needs to stop.
+    :param in_force: how long after its acknowledgement a document is in force at the
+        latest.
+    :param contact: how long a worker whose capacity has shrunk may get orders for its
+        old capacity, in addition to one heartbeat.
+    :param heartbeat: the interval at which workers renew their registrations.
+    :param revocation: no daemon serves a caller whose key was revoked longer ago than
+        this; ``None`` if that is required only of daemons that are not cut off.
     """
 
     max_worker_lease: timedelta
@@ -42,15 +44,15 @@
 
 
 class PoolTimes(NamedTuple):
-    """The times that the pools work with; :func:`derive_times` gives the sums."""
+    """The times that the pools work with; :func:`derive_times` documents the sums."""
 
     member_ttl: timedelta
     member_renewal: timedelta
     control_wait: timedelta
-    tenure: timedelta
+    owner_lease: timedelta
     lease: timedelta
     lease_expiry: timedelta
-    succession: timedelta
+    takeover_wait: timedelta
     poll_wait: timedelta
     start_window: timedelta
     start_timeout: timedelta
@@ -66,47 +68,47 @@
 
 
 def derive_times(bounds: PoolBounds) -> PoolTimes:
-    """Work the times out.
+    """Derive all times.
 
-    The sums that safety rests on: a worker's tasks have ended ``lease_expiry``
-    after the last renewal reached it, and a deposed owner renews nothing once
-    ``tenure`` has passed since it last saw itself named in the store, so
-    ``succession`` after a takeover nothing that the old owner ordered runs on a
-    worker that did not answer.
+    Safety rests on these sums. A worker's tasks have ended ``lease_expiry`` after the
+    last renewal reached it. A deposed owner renews nothing once ``owner_lease`` has
+    passed since the store last named it. So nothing that the old owner ordered runs
+    ``takeover_wait`` after a takeover on a worker that did not answer.
     """
     lease = bounds.max_worker_lease
     lease_expiry = lease / (1 - CLOCK_SLOWNESS)
-    # As long as a lease: an owner that the store leaves alone for so long lets
-    # its workers' leases run out, which doubles what an outage may last.
-    tenure = lease
+    # As long as a worker lease: an owner that cannot reach the store for that time lets
+    # the leases of its workers expire only then, which doubles the outage that tasks
+    # survive.
+    owner_lease = lease
     member_ttl = max(bounds.min_store_lease, timedelta(milliseconds=1200))
-    # A worker that goes dark is noticed within this and a little.
+    # A worker that stops answering is noticed within little more than this time.
     poll_wait = min(timedelta(milliseconds=500), lease / 8)
     return PoolTimes(
         member_ttl=member_ttl,
-        # Three renewals may be lost before the lease is.
+        # Three renewals may be lost before the lease expires.
         member_renewal=member_ttl / 4,
-        # An owner sees itself named at least so often.
+        # The maximum time between two confirmations of the owner by the store.
         control_wait=timedelta(milliseconds=1500),
-        tenure=tenure,
+        owner_lease=owner_lease,
         lease=lease,
         lease_expiry=lease_expiry,
-        succession=tenure + lease_expiry,
+        takeover_wait=owner_lease + lease_expiry,
         poll_wait=poll_wait,
-        # An order that the network keeps longer is refused as late.
+        # An order that is delayed longer by the network is refused as late.
         start_window=timedelta(milliseconds=1200),
         start_timeout=timedelta(milliseconds=600),
-        # A store that answers a hundred times slower than usual is waited for.
+        # Long enough for a store that answers a hundred times slower than usual.
         accept_timeout=timedelta(milliseconds=900),
-        # Callers are better off with daemons that the store answers.
+        # Callers are better served by daemons that the store answers.
         unready_after=timedelta(milliseconds=400),
         discard_after=bounds.status_retention * 1.5,
-        # Ends of one moment share a commit and a look.
+        # Ends that arrive together share a commit and a poll.
         batch_delay=timedelta(milliseconds=35),
         remote_factor=bounds.remote_factor,
         max_stop_time=bounds.max_stop_time,
-        keys_max_age=bounds.revocation and bounds.revocation - SURENESS_MARGIN,
-        # Also an order that is under way begins within the bound.
-        document_max_age=bounds.in_force - SURENESS_MARGIN,
-        capacity_max_age=bounds.contact + bounds.heartbeat - ROOM_MARGIN,
+        keys_max_age=bounds.revocation and bounds.revocation - FRESHNESS_MARGIN,
+        # The margin lets an order that is already in flight start within the bound.
+        document_max_age=bounds.in_force - FRESHNESS_MARGIN,
+        capacity_max_age=bounds.contact + bounds.heartbeat - CAPACITY_MARGIN,
     )
--- a/src/damaskdeck/coordination/pools/transfers.py
+++ b/src/damaskdeck/coordination/pools/transfers.py
@@ -1,4 +1,4 @@
-"""How ownership passes on: what an owner decides under, and the commits that end it."""
+"""Transfer of ownership: the term of an owner and the commits that begin and end it."""
 
 from typing import NamedTuple
 
@@ -15,11 +15,11 @@
 
 
 class OwnerTerm(NamedTuple):
-    """What an owner decides under.
+    """What an owner decides under: a numbered epoch with its fence.
 
-    :param revision: of the owner's record, which new jobs are stored against.
-    :param fence: revision of the fence key when the mandate began.
-    :param predecessor: whose orders may still be carried out, if any.
+    :param revision: of the owner's record, which commits of new jobs expect.
+    :param fence: revision of the fence key when the term began.
+    :param predecessor: the owner whose orders may still be carried out, if any.
     """
 
     epoch: int
@@ -31,11 +31,12 @@
 def build_takeover(
     record: OwnerRecord, revision: int, fence: int, lease: str
 ) -> Transaction:
-    """Return the commit by which a daemon becomes owner.
+    """Return the commit by which a daemon becomes the owner.
 
-    :param revision: of the owner's record, as it was seen.
-    :param fence: revision of the fence key; writing it ends the old owner's commits.
-    :param lease: of the new owner, which its hint is bound to.
+    :param revision: of the owner's record as last seen.
+    :param fence: revision of the fence key; writing that key ends the old owner's
+        commits.
+    :param lease: store lease of the new owner, which its lead key is bound to.
     """
     return Transaction(
         ((OWNER_KEY, revision), (FENCE_KEY, fence)),
@@ -52,7 +53,7 @@
 ) -> Transaction:
     """Return the commit by which an owner hands over.
 
-    :param successor: who should take over first.
+    :param successor: the member that should take over first.
     :param fence: revision of the fence key as the owner last wrote it.
     """
     record = OwnerRecord(
--- a/src/damaskdeck/coordination/pools/workerfleet.py
+++ b/src/damaskdeck/coordination/pools/workerfleet.py
@@ -1,4 +1,4 @@
-"""The workers of all pools as an owner knows them: registered, rostered, contacted."""
+"""The workers of all pools as an owner knows them, with the contacts to them."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -38,11 +38,12 @@
 )
 
 WATCH_WAIT = timedelta(seconds=1)
-# Stands for the workers of a roster that can't be read; no worker has this name.
-_UNREADABLE = ""
-# Of workers that nothing is known of.
-UNBOUNDED = UNLIMITED_SIZE
-# Registrations change with each heartbeat; gathering them saves calls.
+# Stands for the workers of an unreadable roster; no worker has this name.
+_UNREADABLE_ROSTER = ""
+# Assumed size of workers that nothing is known of.
+UNKNOWN_WORKER_SIZE = UNLIMITED_SIZE
+# Registrations change with each heartbeat; collecting changes for this time saves
+# calls.
 REGISTRY_INTERVAL = timedelta(milliseconds=200)
 
 T = TypeVar("T")
@@ -51,10 +52,10 @@
 
 
 class FleetDependencies(NamedTuple):
-    """What a workforce works with.
+    """The components that a worker fleet works with.
 
-    :param is_pool_declared: tells whether the operators have declared a pool.
-    :param delay: how late this process is.
+    :param is_pool_declared: returns whether the operators have declared a pool.
+    :param delay: the current delay of this process's event loop.
     :param find_write_time: returns the earliest time at which a revision of the store
         was written.
     """
@@ -70,28 +71,29 @@
     find_write_time: Callable[[int], float]
 
 
-class WorkforceEvents(NamedTuple):
-    """Whom a workforce tells.
+class FleetCallbacks(NamedTuple):
+    """The callbacks of a worker fleet.
 
-    :param change: which workers may be used has changed.
-    :param roster: the roster has to be written.
-    :param account: all workers of another availability zone that a predecessor
-        may have used are accounted for.
-    :param cordons: the cordons have to be written.
-    :param crash: what a predecessor had written of a worker went with its life.
+    :param on_change: called when the set of usable workers has changed.
+    :param on_roster_change: called when the roster has to be written.
+    :param on_reconciled: called when all workers of another availability zone that a
+        predecessor may have used are reconciled.
+    :param on_cordon_change: called when the cordons have to be written.
+    :param on_inherited_crash: called with the runs that a predecessor recorded for an
+        incarnation of a worker that is lost.
     """
 
-    change: Callable[[], None]
-    roster: Callable[[], None]
-    account: Callable[[], None]
-    cordons: Callable[[], None]
-    crash: Callable[[tuple[CordonedRun, ...]], None]
+    on_change: Callable[[], None]
+    on_roster_change: Callable[[], None]
+    on_reconciled: Callable[[], None]
+    on_cordon_change: Callable[[], None]
+    on_inherited_crash: Callable[[tuple[CordonedRun, ...]], None]
 
 
-class Inherited(NamedTuple):
-    """What a takeover finds.
+class InheritedWorkers(NamedTuple):
+    """The workers that a new owner finds in the store.
 
-    :param roster: ``None`` where it can't be read.
+    :param roster: the roster of the previous owner, ``None`` if it is unreadable.
     """
 
     registered: RegisteredWorkers
@@ -99,43 +101,44 @@
     cordons: CordonsRecord
 
 
-class Workforce:
-    """Contacts to all workers, for one mandate.
+class WorkerFleet:
+    """The contacts to all workers during one owner term.
 
-    :param owner: whom the contacts tell.
-    :ivar contacts: by the identifier of a worker's life.
+    :param owner: receives the callbacks of the contacts.
+    :ivar contacts: by the identifier of the worker's incarnation.
     """
 
     def __init__(
         self,
         term: OwnerTerm,
-        parts: FleetDependencies,
+        dependencies: FleetDependencies,
         owner: ContactOwner,
-        events: WorkforceEvents,
+        callbacks: FleetCallbacks,
     ) -> None:
         self.contacts: dict[str, WorkerContact] = {}
-        self._mandate = term
-        self._parts = parts
+        self._term = term
+        self._dependencies = dependencies
         self._owner = owner
-        self._events = events
+        self._callbacks = callbacks
         self._revision = 0
-        # Those whose room may have shrunk too long ago, as last looked at.
-        self._unsure: set[str] = set()
-        self._are_rooms_unsure = False
-        # With the availability zone of each, an empty string where it isn't known.
-        self._unaccounted: dict[str, str] = {}
-        self.cordons = Cordons(self.contacts, events.cordons)
-        # Registered for a pool that isn't declared yet: no orders go there.
+        # Workers whose reported capacity was too old at the last check.
+        self._stale: set[str] = set()
+        self._has_stale_capacity = False
+        # The availability zone of each unreconciled worker, an empty string if it is
+        # unknown.
+        self._unreconciled: dict[str, str] = {}
+        self.cordons = Cordons(self.contacts, callbacks.on_cordon_change)
+        # Workers registered for a pool that is not declared yet; they get no orders.
         self._undeclared: dict[str, RegistryChange] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._broken: asyncio.Future[None] | None = None
+        self._failure: asyncio.Future[None] | None = None
 
-    def is_accounted(self, zones: frozenset[str], job: str) -> bool:
-        """Whether nothing unknown of a job can run on workers of availability zones.
+    def are_workers_reconciled(self, zones: frozenset[str], job: str) -> bool:
+        """Whether no run unknown to this owner can exist of a job in the given zones.
 
-        :param zones: all when empty.
+        :param zones: availability zones; all zones if empty.
         """
-        for worker, zone in self._unaccounted.items():
+        for worker, zone in self._unreconciled.items():
             if zones and zone and zone not in zones:
                 continue
             cordon = self.cordons.find(worker)
@@ -144,105 +147,107 @@
         return True
 
     @property
-    def unaccounted(self) -> int:
-        """How many workers may run what a predecessor ordered without our knowing."""
-        return len(self._unaccounted)
+    def unreconciled_count(self) -> int:
+        """Number of workers that may run unknown tasks of a predecessor."""
+        return len(self._unreconciled)
 
     def list_unreconciled(self) -> list[Size]:
-        """List what the workers that are not accounted for yet may hold at most.
+        """List the maximum sizes of the unreconciled workers.
 
-        One that has shrunk may run what it was given before.
+        A worker that has shrunk may still run tasks that fitted its earlier size.
         """
         return [
-            contact.peak_size if (contact := self.contacts.get(name)) else UNBOUNDED
-            for name in self._unaccounted
+            contact.peak_size
+            if (contact := self.contacts.get(name))
+            else UNKNOWN_WORKER_SIZE
+            for name in self._unreconciled
         ]
 
     def _now(self) -> float:
-        return self._parts.clock.monotonic().total_seconds()
+        return self._dependencies.clock.monotonic().total_seconds()
 
-    async def read(self) -> "Inherited":
-        """Read what the registry tells and the owner before has written."""
-        parts = self._parts
+    async def read(self) -> "InheritedWorkers":
+        """Read the registry and the records of the previous owner."""
+        dependencies = self._dependencies
         while True:
             found, roster, cordons = await asyncio.gather(
-                parts.registry.list_workers(),
-                parts.store.read(ROSTER_KEY),
-                parts.store.read(CORDONS_KEY),
+                dependencies.registry.list_workers(),
+                dependencies.store.read(ROSTER_KEY),
+                dependencies.store.read(CORDONS_KEY),
             )
             answers = roster, cordons
             if isinstance(found, RegisteredWorkers) and all(
                 isinstance(answer, Found | Missing) for answer in answers
             ):
                 break
-            await parts.clock.sleep(RETRY_DELAY)
-        return Inherited(
+            await dependencies.clock.sleep(RETRY_DELAY)
+        return InheritedWorkers(
             found,
             _decode(RosterRecord, roster),
-            # Where nothing can be told of them, no worker counts as cordoned.
+            # If the cordons are unreadable, no worker counts as cordoned.
             _decode(CordonsRecord, cordons) or CordonsRecord(),
         )
 
-    def load(self, inherited: "Inherited") -> None:
-        """Begin to contact all workers that :meth:`read` has found."""
+    def load(self, inherited: "InheritedWorkers") -> None:
+        """Start contacts to all workers that :meth:`read` has found."""
         found, roster = inherited.registered, inherited.roster
         self._revision = found.revision
         silent = {c.worker for c in inherited.cordons.cordons if c.is_silent}
         for worker in roster.workers if roster is not None else ():
-            contact = self._add(worker, worker.identifier in silent)
+            contact = self._add_contact(worker, worker.identifier in silent)
             contact.is_listed = False
             contact.is_rostered = True
-        self._list_all(found)
-        if self._mandate.predecessor is not None:
-            self._unaccounted = {
+        self._apply_all(found)
+        if self._term.predecessor is not None:
+            self._unreconciled = {
                 name: contact.info.zone for name, contact in self.contacts.items()
             }
         if roster is None:
-            self._unaccounted[_UNREADABLE] = ""
-            self._spawn(self._wait_for_unknown())
+            self._unreconciled[_UNREADABLE_ROSTER] = ""
+            self._start_task(self._wait_for_unknown_workers())
         else:
             self.cordons.load(inherited.cordons)
 
-    async def _wait_for_unknown(self) -> None:
-        """Wait until nothing runs on workers that an unreadable roster named."""
-        parts, bound = self._parts, self._find_bound()
-        await parts.clock.sleep(timedelta(seconds=bound - self._now()))
-        while not await parts.leadership.is_confirmed_since(bound):
-            await parts.clock.sleep(RETRY_DELAY)
-        self._account(_UNREADABLE)
+    async def _wait_for_unknown_workers(self) -> None:
+        """Wait until nothing can run on the workers of an unreadable roster."""
+        dependencies, bound = self._dependencies, self._bound_inherited_leases()
+        await dependencies.clock.sleep(timedelta(seconds=bound - self._now()))
+        while not await dependencies.leadership.is_confirmed_since(bound):
+            await dependencies.clock.sleep(RETRY_DELAY)
+        self._mark_reconciled(_UNREADABLE_ROSTER)
 
     async def run(self) -> None:
         """Follow the registry until cancelled.
 
-        :raises Exception: that of a contact that broke.
+        :raises Exception: the exception of a contact that failed.
         """
-        self._broken = asyncio.get_running_loop().create_future()
-        await asyncio.gather(self._broken, self._follow())
+        self._failure = asyncio.get_running_loop().create_future()
+        await asyncio.gather(self._failure, self._follow())
 
     def close(self) -> None:
-        """End all contacts."""
+        """Cancel all contacts."""
         for task in self._tasks:
             task.cancel()
 
-    def account(self, contact: WorkerContact) -> None:
-        """Take note that nothing unknown runs on a worker any more."""
-        self._account(contact.info.identifier)
+    def mark_reconciled(self, contact: WorkerContact) -> None:
+        """Record that a worker has no runs unknown to this owner any more."""
+        self._mark_reconciled(contact.info.identifier)
 
-    def _account(self, identifier: str) -> None:
-        if identifier in self._unaccounted:
-            zone = self._unaccounted.pop(identifier)
+    def _mark_reconciled(self, identifier: str) -> None:
+        if identifier in self._unreconciled:
+            zone = self._unreconciled.pop(identifier)
             left = (
                 other
-                for worker, other in self._unaccounted.items()
+                for worker, other in self._unreconciled.items()
                 if self.cordons.find(worker) is None
             )
             if zone not in left or self.cordons.find(identifier) is not None:
-                self._events.account()
+                self._callbacks.on_reconciled()
 
-    def write_roster(self) -> tuple[Write, Callable[[], bool]]:
-        """Return the roster to write, and what to call once that is durable.
+    def build_roster_write(self) -> tuple[Write, Callable[[], bool]]:
+        """Return the write of the roster and the function to call once it is durable.
 
-        The call tells whether orders may go to more workers.
+        The function returns whether orders may now go to more workers.
         """
         listed = [(c, c.peak_size) for c in self.contacts.values() if not c.is_gone]
         roster = RosterRecord(
@@ -256,48 +261,55 @@
 
         return Write(ROSTER_KEY, encode_record(roster)), note_durable
 
-    def _find_bound(self, is_silent: bool = False) -> float:
-        """Return when a lease that a predecessor granted is over at the latest.
+    def _bound_inherited_leases(self, is_silent: bool = False) -> float:
+        """Return the latest time at which leases granted by a predecessor expire.
 
-        :param is_silent: the predecessor had ceased to extend it before.
+        :param is_silent: whether the predecessor had already stopped extending the
+            lease.
         """
-        parts, old = self._parts, self._mandate.predecessor
+        dependencies, old = self._dependencies, self._term.predecessor
         now = self._now()
         if old is None:
             return now
-        is_gone = parts.leadership.is_gone(old.instance, old.incarnation)
+        is_gone = dependencies.leadership.is_gone(old.instance, old.incarnation)
         is_over = old.is_released or is_gone or is_silent
-        lasts = parts.times.lease_expiry if is_over else parts.times.succession
+        lasts = (
+            dependencies.times.lease_expiry
+            if is_over
+            else dependencies.times.takeover_wait
+        )
         return now + lasts.total_seconds()
 
-    def _add(self, worker: PoolWorker, is_silent: bool = False) -> WorkerContact:
-        parts = self._parts
+    def _add_contact(
+        self, worker: PoolWorker, is_silent: bool = False
+    ) -> WorkerContact:
+        dependencies = self._dependencies
         contact = WorkerContact(
             worker,
-            self._mandate,
+            self._term,
             self._owner,
-            parts.workers,
-            parts.leadership,
-            parts.clock,
-            parts.times,
-            self._find_bound(is_silent),
-            parts.delay,
+            dependencies.workers,
+            dependencies.leadership,
+            dependencies.clock,
+            dependencies.times,
+            self._bound_inherited_leases(is_silent),
+            dependencies.delay,
         )
         self.contacts[worker.identifier] = contact
-        self._spawn(self._keep(contact))
+        self._start_task(self._run_contact(contact))
         return contact
 
-    async def _keep(self, contact: WorkerContact) -> None:
+    async def _run_contact(self, contact: WorkerContact) -> None:
         await contact.run()
         cordon = self.cordons.find(contact.info.identifier)
         if contact.is_gone and not contact.is_reconciled and cordon is not None:
-            # Its runs are known to nobody else any more.
-            self._events.crash(cordon.runs)
+            # No other component knows of its runs any more.
+            self._callbacks.on_inherited_crash(cordon.runs)
         self.contacts.pop(contact.info.identifier, None)
-        self.account(contact)
-        self._events.roster()
+        self.mark_reconciled(contact)
+        self._callbacks.on_roster_change()
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._end_task)
@@ -305,53 +317,55 @@
     def _end_task(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         error = None if task.cancelled() else task.exception()
-        if error is not None and self._broken is not None and not self._broken.done():
-            self._broken.set_exception(error)
+        if error is not None and self._failure is not None and not self._failure.done():
+            self._failure.set_exception(error)
 
-    def _list_all(self, found: RegisteredWorkers) -> None:
+    def _apply_all(self, found: RegisteredWorkers) -> None:
         for worker, revision in zip(found.workers, found.revisions, strict=True):
-            self._list(worker, revision)
+            self._apply_registration(worker, revision)
 
-    def _list(self, worker: PoolWorker, revision: int) -> bool:
-        """Take note of a registration; tell whether it says anything new."""
-        told_at = self._parts.find_write_time(revision)
+    def _apply_registration(self, worker: PoolWorker, revision: int) -> bool:
+        """Apply a registration, and return whether it contains anything new."""
+        reported_at = self._dependencies.find_write_time(revision)
         contact = self.contacts.get(worker.identifier)
-        if contact is None and not self._parts.is_pool_declared(worker.pool):
-            self._note_undeclared(worker, revision)
+        if contact is None and not self._dependencies.is_pool_declared(worker.pool):
+            self._record_undeclared(worker, revision)
             return False
         self._undeclared.pop(worker.identifier, None)
         if contact is None:
-            self._add(worker).update(worker, told_at)
-            self._events.roster()
+            self._add_contact(worker).update(worker, reported_at)
+            self._callbacks.on_roster_change()
             return True
         is_new = not contact.is_listed or contact.info != worker
-        was_rostered = contact.is_rostered
-        contact.update(worker, told_at)
-        if worker.identifier in self._unsure and contact.is_capacity_fresh(self._now()):
-            self._unsure.discard(worker.identifier)
+        was_in_roster = contact.is_rostered
+        contact.update(worker, reported_at)
+        if worker.identifier in self._stale and contact.is_capacity_fresh(self._now()):
+            self._stale.discard(worker.identifier)
             self._owner.handle_contact_change(contact)
-        if was_rostered and not contact.is_rostered:
-            self._events.roster()
+        if was_in_roster and not contact.is_rostered:
+            self._callbacks.on_roster_change()
         return is_new
 
-    def sweep_rooms(self, now: float) -> None:
-        """Look which rooms have become too old to go by, and tell of it."""
-        unsure = {
+    def check_capacity_ages(self, now: float) -> None:
+        """Find workers whose capacity reports are too old, and log changes."""
+        stale = {
             name
             for name, contact in self.contacts.items()
             if contact.is_listed and not contact.is_capacity_fresh(now)
         }
-        for name in unsure - self._unsure:
+        for name in stale - self._stale:
             self._owner.handle_contact_change(self.contacts[name])
-        if bool(unsure) is not self._are_rooms_unsure:
-            self._are_rooms_unsure = bool(unsure)
-            if unsure:
-                _log.warn("Rooms aren't known for sure.", workers=len(unsure))
+        if bool(stale) is not self._has_stale_capacity:
+            self._has_stale_capacity = bool(stale)
+            if stale:
+                _log.warn(
+                    "Capacity reports of workers are too old.", workers=len(stale)
+                )
             else:
-                _log.warn("Rooms are known again.")
-        self._unsure = unsure
+                _log.warn("All capacity reports are fresh again.")
+        self._stale = stale
 
-    def _note_undeclared(self, worker: PoolWorker, revision: int) -> None:
+    def _record_undeclared(self, worker: PoolWorker, revision: int) -> None:
         if worker.identifier not in self._undeclared:
             _log.warn(
                 "A worker's pool isn't declared.",
@@ -364,30 +378,33 @@
         )
 
     async def _follow(self) -> None:
-        registry = self._parts.registry
+        registry = self._dependencies.registry
         while True:
             for change in list(self._undeclared.values()):
-                self._list(change.worker, change.revision)
+                self._apply_registration(change.worker, change.revision)
             answer = await registry.follow_workers(self._revision, WATCH_WAIT)
             if isinstance(answer, RegistryChanges):
                 self._revision = answer.revision
                 is_new = False
                 for change in answer.changes:
                     if change.worker is not None:
-                        is_new = self._list(change.worker, change.revision) or is_new
+                        is_new = (
+                            self._apply_registration(change.worker, change.revision)
+                            or is_new
+                        )
                     elif change.identifier in self.contacts:
                         self.contacts[change.identifier].is_listed = False
                     else:
                         self._undeclared.pop(change.identifier, None)
                 if is_new:
-                    # Heartbeats change a registration's time alone.
-                    self._events.change()
+                    # A heartbeat changes only the time of a registration.
+                    self._callbacks.on_change()
             elif isinstance(answer, RevisionTooOld):
-                await self._list_anew()
-            await self._parts.clock.sleep(REGISTRY_INTERVAL)
+                await self._relist()
+            await self._dependencies.clock.sleep(REGISTRY_INTERVAL)
 
-    async def _list_anew(self) -> None:
-        found = await self._parts.registry.list_workers()
+    async def _relist(self) -> None:
+        found = await self._dependencies.registry.list_workers()
         if isinstance(found, RegisteredWorkers):
             self._revision = found.revision
             present = {worker.identifier for worker in found.workers}
@@ -395,18 +412,18 @@
                 del self._undeclared[gone]
             for identifier, contact in self.contacts.items():
                 contact.is_listed = identifier in present
-            self._list_all(found)
+            self._apply_all(found)
 
 
 def _decode(kind: type[T], answer: Found | Missing) -> T | None:
-    """Return a record, an empty one where there is none, ``None`` if unreadable."""
+    """Return a record, an empty one if it is missing, ``None`` if it is unreadable."""
     if isinstance(answer, Missing):
         return kind()
     try:
         return decode_record(kind, answer.entry.value)
     except MessageError as error:
         _log.error(
-            "What the owner before wrote can't be read.",
+            "A record of the previous owner can't be decoded.",
             code=error.code,
             key=answer.entry.key,
             error=str(error),
--- a/src/damaskdeck/coordination/pools/workerhealth.py
+++ b/src/damaskdeck/coordination/pools/workerhealth.py
@@ -1,8 +1,8 @@
-"""Which workers are trusted with tasks: failures and standing still, by evidence.
+"""Health of workers by evidence: failed tasks and stalled runs.
 
-A worker that fails what runs well elsewhere goes into the quarantine that the
-product has for its own workers, with pauses that fit the pools' short tasks. A
-worker on which nothing moves is told by the progress that its tasks report.
+A worker that fails tasks that succeed elsewhere is put into the same quarantine as the
+product's own workers, with pauses that suit the pools' short tasks. A stalled worker
+shows in the progress that its tasks report.
 """
 
 from collections.abc import Iterator
@@ -17,28 +17,29 @@
 from damaskdeck.protocol.pools import EndedTask, EndKind
 from damaskdeck.state.pooljobs import Job, Run, RunPhase, Step, Task
 
-# A fault of a worker lasts for seconds; longer pauses would waste a sound one.
+# A fault of a worker lasts for seconds; longer pauses would waste healthy workers.
 QUARANTINE_PAUSE = timedelta(seconds=2)
-# A rack's share and somewhat more may be held at a time.
+# A rack's share of the workers, and somewhat more, may be in quarantine at a time.
 QUARANTINE_SHARE = 0.25
-# Attempts that a job must have left to be a probe of a doubted worker.
-ATTEMPTS_TO_SPARE = 2
-# Progress comes in whole percent; a task of a minute moves this often at least.
-STILL_SECONDS = 0.9
-# What a task has gained is not given up before it has stood still for as long,
-# at most so long.
-STANDSTILL_SECONDS = 3.0
-# Progress is a rough figure; from here on a run may have nothing left to do.
+# Attempts that a job must have left to probe a suspect worker.
+MIN_PROBE_ATTEMPTS = 2
+# Progress comes in whole percent, so a task of a minute progresses at least this often.
+STALL_SECONDS = 0.9
+# A run is stopped only after it has stalled for as long as the work that it would lose,
+# but for at most this time.
+MAX_STALL_SECONDS = 3.0
+# Progress is an estimate; from this value on a run may have no work left.
 DONE_PERCENT = 99
-# A worker on which everything stood still gets nothing for so long, then twice.
-STILL_PAUSE_SECONDS = 1.5
-STILL_PAUSE_LIMIT = 6.0
+# A worker on which all runs stalled gets no task for this time, then for twice as long
+# each time.
+STALL_PAUSE_SECONDS = 1.5
+MAX_STALL_PAUSE_SECONDS = 6.0
 
 _log = get_logger("trust")
 
 
 class WorkerHealth:
-    """What speaks against workers, for one owner."""
+    """Evidence on the health of the workers of one owner."""
 
     def __init__(self, clock: Clock) -> None:
         self._quarantine = Quarantine(
@@ -46,23 +47,25 @@
         )
         self._pauses: dict[str, float] = {}
 
-    def set_workers(self, identifiers: frozenset[str]) -> None:
-        """Note which workers there are."""
+    def retain_workers(self, identifiers: frozenset[str]) -> None:
+        """Discard workers that are gone."""
         self._quarantine.set_fleet(identifiers)
         for gone in [name for name in self._pauses if name not in identifiers]:
             del self._pauses[gone]
 
     def may_start(self, worker: str, job: Job) -> bool:
-        """Tell whether a task of a job may start on a worker."""
-        has_spare = job.queue.attempts >= ATTEMPTS_TO_SPARE
+        """Whether a task of a job may start on a worker."""
+        has_spare = job.queue.attempts >= MIN_PROBE_ATTEMPTS
         return self._quarantine.may_start(worker, has_spare)
 
     def record_start(self, run: Run) -> None:
-        """Take note of a start; on a doubted worker it is a probe."""
-        self._quarantine.record_start(run.worker, name_run(run.task, run.attempt))
+        """Record a start, which is a probe on a suspect worker."""
+        self._quarantine.record_start(
+            run.worker, format_run_name(run.task, run.attempt)
+        )
 
     def record_end(self, worker: str, task: Task, end: EndedTask) -> None:
-        """Take note of how a run ended."""
+        """Record the end of a run."""
         outcomes = {EndKind.COMPLETED: True, EndKind.FAILED: False}
         succeeded = outcomes.get(end.kind)
         if succeeded:
@@ -71,48 +74,48 @@
             worker,
             task.step.job.queue.name,
             task.step.job.identifier,
-            name_run(task, end.attempt),
+            format_run_name(task, end.attempt),
             succeeded,
         )
 
     def find_stalled(self, contact: WorkerContact, now: float) -> Iterator[Run]:
-        """Yield the runs to give up on a worker on which nothing moves.
+        """Yield the runs to stop on a worker on which nothing progresses.
 
-        The worker gets nothing new for a while.
+        The worker gets no new task for a while.
         """
-        runs = [run for run in contact.runs.values() if is_working(run)]
+        runs = [run for run in contact.runs.values() if should_progress(run)]
         if not runs or not contact.is_synchronized:
             return
-        still = contact.polled_at - max(run.progressed_at for run in runs)
-        if still < STILL_SECONDS:
+        stalled = contact.polled_at - max(run.progressed_at for run in runs)
+        if stalled < STALL_SECONDS:
             return
         name = contact.info.identifier
         if now >= contact.paused_until:
-            pause = self._pauses.get(name, STILL_PAUSE_SECONDS)
+            pause = self._pauses.get(name, STALL_PAUSE_SECONDS)
             contact.paused_until = now + pause
-            self._pauses[name] = min(2 * pause, STILL_PAUSE_LIMIT)
+            self._pauses[name] = min(2 * pause, MAX_STALL_PAUSE_SECONDS)
             count_retry("trust", "standing_still")
-            _log.warn("Nothing moves on a worker.", worker=name, runs=len(runs))
+            _log.warn("All runs of a worker have stalled.", worker=name, runs=len(runs))
         for run in runs:
-            if still >= min(measure_gain(run), STANDSTILL_SECONDS):
+            if stalled >= min(estimate_lost_work(run), MAX_STALL_SECONDS):
                 yield run
 
 
-def name_run(task: Task, attempt: int) -> str:
-    """Return a name of a run that no other has."""
+def format_run_name(task: Task, attempt: int) -> str:
+    """Return a unique name of a run."""
     return f"{task.step.name}.{task.name.index}#{attempt}"
 
 
-def is_working(run: Run) -> bool:
-    """Tell whether a run should be making progress.
+def should_progress(run: Run) -> bool:
+    """Whether a run should make progress.
 
-    One that has done its work may wait for slower members of its gang.
+    A run that has done its work may wait for slower members of its gang.
     """
     is_running = run.phase is RunPhase.RUNNING and run.stopping_since is None
     return is_running and run.percent < DONE_PERCENT
 
 
-def measure_gain(run: Run) -> float:
+def estimate_lost_work(run: Run) -> float:
     """Return the seconds of work that stopping a run would lose, by estimates."""
     step: Step = run.task.step
     if step.spec.is_checkpointing:
--- a/src/damaskdeck/coordination/pools/workerlease.py
+++ b/src/damaskdeck/coordination/pools/workerlease.py
@@ -1,4 +1,4 @@
-"""A worker's clock as one owner knows it, and when its lease is over by ours."""
+"""One owner's estimate of a worker's clock and of the expiry of the worker's lease."""
 
 from datetime import timedelta
 
@@ -6,40 +6,40 @@
 
 
 class WorkerLease:
-    """The lease of all that a worker runs.
+    """The lease under which a worker runs its tasks.
 
-    :param bound: when the leases that predecessors granted are over, monotonic
-        seconds as all times here.
-    :ivar expires_at: when all that it runs has ended if it never answers again.
+    :param inherited_until: when the leases that predecessors granted expire; all times
+        are monotonic seconds.
+    :ivar expires_at: when all tasks of the worker have ended if it never answers again.
     """
 
-    def __init__(self, bound: float) -> None:
-        self.expires_at = bound
-        self._clock: timedelta | None = None
-        self._clock_at = 0.0
+    def __init__(self, inherited_until: float) -> None:
+        self.expires_at = inherited_until
+        self._worker_clock: timedelta | None = None
+        self._clock_read_at = 0.0
 
     @property
     def is_synchronized(self) -> bool:
-        """Whether the worker has told its clock."""
-        return self._clock is not None
+        """Whether the worker has reported its clock."""
+        return self._worker_clock is not None
 
     def record_clock(self, clock: timedelta, now: float) -> None:
-        """Take note of the worker's steady clock; answers may overtake each other."""
-        if self._clock is None or clock >= self._clock:
-            self._clock = clock
-            self._clock_at = now
+        """Record the worker's steady clock; answers may arrive out of order."""
+        if self._worker_clock is None or clock >= self._worker_clock:
+            self._worker_clock = clock
+            self._clock_read_at = now
 
     def estimate_clock(self, now: float) -> timedelta:
-        """Return the worker's clock at a time, at most."""
-        assert self._clock is not None
-        return self._clock + timedelta(seconds=now - self._clock_at)
+        """Return an upper bound of the worker's clock at a time."""
+        assert self._worker_clock is not None
+        return self._worker_clock + timedelta(seconds=now - self._clock_read_at)
 
     def extend(self, now: float, lease: timedelta) -> timedelta:
-        """Bound when a lease until ``lease`` from now is over, by our clock.
+        """Extend the lease to ``lease`` from now; bound its expiry by the local clock.
 
-        :returns: its end by the worker's clock, to be told to the worker.
+        :returns: the end of the lease by the worker's clock, to be sent to the worker.
         """
-        since = now - self._clock_at
-        longest = (since + lease.total_seconds()) / (1 - CLOCK_SLOWNESS)
-        self.expires_at = max(self.expires_at, self._clock_at + longest)
+        elapsed = now - self._clock_read_at
+        duration = (elapsed + lease.total_seconds()) / (1 - CLOCK_SLOWNESS)
+        self.expires_at = max(self.expires_at, self._clock_read_at + duration)
         return self.estimate_clock(now) + lease
--- a/src/damaskdeck/coordination/pools/zoneconfinement.py
+++ b/src/damaskdeck/coordination/pools/zoneconfinement.py
@@ -14,7 +14,7 @@
 from damaskdeck.coordination.pools.contacts import WorkerContact
 from damaskdeck.coordination.pools.planning import has_rack_preference
 from damaskdeck.coordination.pools.urgency import (
-    find_objective,
+    compute_objective,
     measure_critical_path,
 )
 from damaskdeck.protocol.poolmessages import ReportCapacity
@@ -68,7 +68,7 @@
         is_old = self._clock.monotonic() - self._told_at > ROOM_LASTS
         if is_old or spec.repeats or not all(map(_may_be_confined, spec.steps)):
             return ()
-        slack = find_objective(queue, spec) - measure_critical_path(spec)
+        slack = compute_objective(queue, spec) - measure_critical_path(spec)
         if slack > self._lease.total_seconds():
             return ()
         millicores = max(s.tasks * s.size.millicores for s in spec.steps) * ROOM_MARGIN
