--- a/tests/poolcluster.py
+++ b/tests/poolcluster.py
@@ -64,14 +64,14 @@
 TERMS = AdvisorTiming(timedelta(milliseconds=10), timedelta(), timedelta(seconds=2))
 SIZE = Size(4000, 8000, 0)
 # A worker's room that has shrunk counts so much later, and one beat.
-CONTACT = timedelta(seconds=3)
-BEAT = timedelta(milliseconds=1500)
-BEAT_LOOK = timedelta(milliseconds=100)
+CONTACT_BOUND = timedelta(seconds=3)
+HEARTBEAT = timedelta(milliseconds=1500)
+HEARTBEAT_STEP = timedelta(milliseconds=100)
 # A crashed worker is back after so long, as a new life at its address.
-BACK_AFTER = timedelta(seconds=3)
+RESTART_DELAY = timedelta(seconds=3)
 # The bound of the users: a task may start twice more after three crashes.
-CRASHES_BORNE = 3
-STARTS_AFTER = 2
+CRASHES_BEFORE_LIMIT = 3
+STARTS_AFTER_LIMIT = 2
 SMALL = Size(1000, 1000, 0)
 
 
@@ -134,7 +134,7 @@
         self.advisor = StandinAdvisor(clock, cluster.allow)
         self.delay = LoopDelay()
         self.owner: PoolOwner | None = None
-        self.mandates: list[OwnerTerm] = []
+        self.terms: list[OwnerTerm] = []
         self._cluster = cluster
         self.peers = cluster.switch.connect(name)
         self._tasks: set[asyncio.Task[None]] = set()
@@ -146,8 +146,8 @@
             healthy,
             clock,
             cluster.times,
-            self._take,
-            self._lose,
+            self._begin_term,
+            self._end_term,
         )
         self.declarations = Declarations(
             StandinQueues(healthy, cluster.tables),
@@ -167,13 +167,13 @@
             cluster.times,
             self.declarations,
             lambda: self.owner,
-            lambda epoch: self.watch.record_heartbeat(epoch),
+            lambda epoch: self.monitor.record_heartbeat(epoch),
         )
 
         self.commits = DelegatingStore(
             healthy, self.peers, clock, Delegates(name, self.leadership, clock)
         )
-        self.watch = OwnerMonitor(
+        self.monitor = OwnerMonitor(
             name, self.peers, self.leadership, clock, self._get_epoch
         )
 
@@ -181,7 +181,7 @@
         """Let it run."""
         self._spawn(self.leadership.run())
         self._spawn(self.declarations.run())
-        self._spawn(self.watch.run())
+        self._spawn(self.monitor.run())
 
     def _get_epoch(self) -> int:
         owner = self.owner
@@ -192,10 +192,10 @@
         self._tasks.add(task)
         return task
 
-    def _take(self, term: OwnerTerm) -> None:
-        self.mandates.append(term)
+    def _begin_term(self, term: OwnerTerm) -> None:
+        self.terms.append(term)
         self._cluster.epochs.append(term.epoch)
-        basis = FleetDependencies(
+        fleet_dependencies = FleetDependencies(
             self.leadership,
             self.store,
             self.workers,
@@ -206,11 +206,13 @@
             self.delay,
             self.healthy.write_times.find_write_time,
         )
-        parts = OwnerDependencies(basis, self.peers, self.declarations, self.commits)
-        self.owner = PoolOwner(term, parts)
+        dependencies = OwnerDependencies(
+            fleet_dependencies, self.peers, self.declarations, self.commits
+        )
+        self.owner = PoolOwner(term, dependencies)
         self._owner_task = self._spawn(self.owner.run())
 
-    def _lose(self) -> None:
+    def _end_term(self) -> None:
         self.owner = None
         if self._owner_task is not None:
             self._owner_task.cancel()
@@ -290,7 +292,7 @@
                 f"r{number % 2}",
                 f"z{number % zones}",
             )
-        self._beats: asyncio.Task[None] | None = None
+        self._heartbeats: asyncio.Task[None] | None = None
         # Workers whose registrations somebody else writes.
         self.externally_registered: set[str] = set()
         self.daemons: dict[str, ClusterDaemon] = {}
@@ -328,15 +330,15 @@
         living = [d for d in self.daemons.values() if not d.is_killed]
         return bool(living) and all(d.store.faults.outage for d in living)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         """Let each worker register anew with each beat, if the store answers then."""
         due: dict[str, timedelta] = {}
         while True:
             now = self.clock.monotonic()
             for number, (name, worker) in enumerate(list(self.workers.items())):
-                phase = BEAT_LOOK * 4 * (number % 4)
+                phase = HEARTBEAT_STEP * 4 * (number % 4)
                 if worker.is_up and now >= due.setdefault(name, now + phase):
-                    due[name] += BEAT
+                    due[name] += HEARTBEAT
                     if (
                         not self.is_store_away
                         and name not in self.externally_registered
@@ -344,7 +346,7 @@
                         size = self.sizes[name][-1][1]
                         worker.info = worker.info._replace(size=size)
                         self.register(worker)
-            await self.clock.sleep(BEAT_LOOK)
+            await self.clock.sleep(HEARTBEAT_STEP)
 
     def add_worker(
         self, name: str, address: str, rack: str = "r0", zone: str = "z0"
@@ -371,7 +373,7 @@
         self.store.set(StandinRegistry.prefix + info.identifier, None)
         name = f"{info.identifier.partition('+')[0]}+{next(self.numbers)}"
         asyncio.get_running_loop().call_later(
-            BACK_AFTER.total_seconds(),
+            RESTART_DELAY.total_seconds(),
             lambda: self.add_worker(name, info.address, info.rack, info.zone),
         )
 
@@ -408,7 +410,7 @@
         await self.wait(
             lambda: all(d.declarations.table for d in self.daemons.values())
         )
-        self._beats = asyncio.ensure_future(self._beat())
+        self._heartbeats = asyncio.ensure_future(self._send_heartbeats())
         contacts = self.find_owner().owner.contacts.values()
         await self.wait(
             lambda: all(
@@ -435,7 +437,7 @@
         daemon = self.find_owner()
         return daemon is None or job in daemon.owner.job_index.open_jobs
 
-    def find_named(self) -> str:
+    def find_recorded_owner(self) -> str:
         """Return the name of the owner that the store shows, whoever it is."""
         return decode_record(OwnerRecord, self.store.entries[OWNER_KEY].value).instance
 
@@ -475,12 +477,12 @@
     ) -> None:
         """Wait until a daemon tells that state of a job."""
         ends = self.clock.monotonic() + timedelta(seconds=seconds)
-        told: object = None
-        while told != JobStateFound(state):
+        found: object = None
+        while found != JobStateFound(state):
             name = daemon or next(iter(self.daemons))
-            told = await self.daemons[name].frontend.read_state(job)
-            if isinstance(told, JobNotFound) or self.clock.monotonic() > ends:
-                raise AssertionError(f"{job} is {told}, wanted {state}")
+            found = await self.daemons[name].frontend.read_state(job)
+            if isinstance(found, JobNotFound) or self.clock.monotonic() > ends:
+                raise AssertionError(f"{job} is {found}, wanted {state}")
             await asyncio.sleep(0.02)
 
     def list_starts(self, job: str = "") -> list[tuple[timedelta, TaskName, int, str]]:
@@ -495,7 +497,7 @@
 
     def find_violations(self) -> list[str]:
         """Check what must hold of all that the workers saw."""
-        broken = []
+        violations = []
         spans: dict[TaskName, list[tuple[timedelta, timedelta, EndKind, str]]] = {}
         for name, worker in self.workers.items():
             worker.settle()
@@ -510,14 +512,14 @@
             rows.sort()
             for first, second in itertools.pairwise(rows):
                 if second[0] < first[1]:
-                    broken.append(f"{task} runs twice: {first} {second}")
+                    violations.append(f"{task} runs twice: {first} {second}")
                 if first[2] is EndKind.COMPLETED:
-                    broken.append(f"{task} starts after it completed: {second}")
-        return broken + self._find_crashing() + self._find_overfilled()
+                    violations.append(f"{task} starts after it completed: {second}")
+        return violations + self._find_excess_starts() + self._find_overfilled()
 
     def _find_overfilled(self) -> list[str]:
         """List the starts that brought a worker over the room that counted."""
-        broken = []
+        violations = []
         for name, worker in self.workers.items():
             spans = [(row[3], row[4], row[0]) for row in worker.history]
             spans += [(r.began, timedelta.max, t) for t, r in worker.running.items()]
@@ -525,8 +527,8 @@
                 there = [t for began, ended, t in spans if began <= at < ended]
                 used = functools.reduce(add_sizes, map(self._find_size, there), Size())
                 if not any(fits(used, size) for size in self._list_sizes(name, at)):
-                    broken.append(f"{task} at {at} overfills {name}: {used}")
-        return broken
+                    violations.append(f"{task} at {at} overfills {name}: {used}")
+        return violations
 
     def _find_size(self, task: TaskName) -> Size:
         spec = self.specs.get(task.job)
@@ -542,23 +544,23 @@
             if since <= at < _add_bound(end)
         ]
 
-    def _find_crashing(self) -> list[str]:
+    def _find_excess_starts(self) -> list[str]:
         """List the tasks that were started too often after crashing workers.
 
         Only those that crash each worker that starts them.
         """
-        broken = []
+        violations = []
         starts = self.list_starts()
         for task in sorted({task for _, task, _ in self.crashes}):
             crashed = [at for at, name, _ in self.crashes if name == task]
             mine = [row for row in starts if row[1] == task]
             crashes = [self._behave(task, row[2]).crash_after for row in mine]
-            if len(crashed) < CRASHES_BORNE or None in crashes:
+            if len(crashed) < CRASHES_BEFORE_LIMIT or None in crashes:
                 continue
-            after = sum(row[0] > crashed[CRASHES_BORNE - 1] for row in mine)
-            if after > STARTS_AFTER:
-                broken.append(f"{task} starts {after} times after three crashes")
-        return broken
+            after = sum(row[0] > crashed[CRASHES_BEFORE_LIMIT - 1] for row in mine)
+            if after > STARTS_AFTER_LIMIT:
+                violations.append(f"{task} starts {after} times after three crashes")
+        return violations
 
     def cut_zone(self, zone: str, inside: tuple[str, ...] = ()) -> None:
         """Cut an availability zone off from the others and from the store.
@@ -592,15 +594,15 @@
 
     def close(self) -> None:
         """End everything."""
-        if self._beats is not None:
-            self._beats.cancel()
+        if self._heartbeats is not None:
+            self._heartbeats.cancel()
         for daemon in self.daemons.values():
             daemon.kill()
         self.switch.close()
 
 
 def _add_bound(end: timedelta) -> timedelta:
-    return end if end == timedelta.max else end + CONTACT + BEAT
+    return end if end == timedelta.max else end + CONTACT_BOUND + HEARTBEAT
 
 
 class PoolCase(unittest.TestCase):
@@ -616,6 +618,6 @@
 
     def end(self) -> None:
         """Check and close."""
-        broken = self.cluster.find_violations()
+        violations = self.cluster.find_violations()
         self.cluster.close()
-        self.assertEqual(broken, [])
+        self.assertEqual(violations, [])
--- a/tests/test_pending.py
+++ b/tests/test_pending.py
@@ -72,7 +72,7 @@
 class TestCost(PoolCase):
     """How many workers are looked at when room becomes free."""
 
-    async def count_looks(self, workers: int) -> float:
+    async def count_candidates(self, workers: int) -> float:
         """Return how many workers are tested for each start in a full pool."""
         cluster = await self.begin(
             workers=workers, behave=lambda t, a: Work(timedelta(seconds=40))
@@ -82,16 +82,16 @@
         for number in range(WAITING):
             await cluster.submit(f"j{number}", make_job())
         await asyncio.sleep(1)
-        before, looks = len(cluster.list_starts()), 0
+        before, examined = len(cluster.list_starts()), 0
         build = Candidates._build
 
         def count(candidates: Candidates, worker: str) -> Candidate | None:
-            nonlocal looks
-            looks += 1
+            nonlocal examined
+            examined += 1
             return build(candidates, worker)
 
         owner = cluster.find_owner().owner
-        full_look = dispatcher.FULL_PASS_SECONDS
+        full_pass = dispatcher.FULL_PASS_SECONDS
         dispatcher.FULL_PASS_SECONDS = 1e6
         Candidates._build = count
         try:
@@ -102,15 +102,15 @@
                 await asyncio.sleep(0.02)
         finally:
             Candidates._build = build
-            dispatcher.FULL_PASS_SECONDS = full_look
+            dispatcher.FULL_PASS_SECONDS = full_pass
         await asyncio.sleep(0.5)
         started = len(cluster.list_starts()) - before
         self.end()
         self.assertGreater(started, 0)
-        return looks / started
+        return examined / started
 
     @virtual
     async def test_looks_for_a_start_do_not_grow_with_workers(self):
-        few = await self.count_looks(8)
-        many = await self.count_looks(48)
+        few = await self.count_candidates(8)
+        many = await self.count_candidates(48)
         self.assertLess(many, 1.2 * few)
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -151,8 +151,8 @@
         await cluster.submit("j1", make_job(), other.name)
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED, owner.name)
         cluster.switch.cut_both(owner.name, other.name)
-        told = await other.frontend.read_state("j1")
-        self.assertEqual(told, JobStateFound(QueueJobState.COMPLETED))
+        found = await other.frontend.read_state("j1")
+        self.assertEqual(found, JobStateFound(QueueJobState.COMPLETED))
         self.end()
 
 
@@ -278,9 +278,9 @@
             for number in range(8):
                 await cluster.submit(f"j{number}", make_job())
                 await cluster.wait_for_state(f"j{number}", QueueJobState.COMPLETED)
-        told = [r.message for r in handler.records if r.channel == "advising"]
-        self.assertEqual(told[0], "No advice.")
-        self.assertIn("Advice comes again.", told)
+        found = [r.message for r in handler.records if r.channel == "advising"]
+        self.assertEqual(found[0], "No advice.")
+        self.assertIn("Advice comes again.", found)
         self.end()
 
     @virtual
@@ -338,8 +338,8 @@
         cluster = await self.begin(behave=lambda t, a: Work(timedelta(seconds=30)))
         await cluster.submit("j1", make_job(StepSpec(20, SMALL, SECOND)))
         await asyncio.sleep(0.5)
-        told = await cluster.daemons["d1"].frontend.cancel("j1")
-        self.assertEqual(told, JobStateFound(QueueJobState.CANCELLED))
+        found = await cluster.daemons["d1"].frontend.cancel("j1")
+        self.assertEqual(found, JobStateFound(QueueJobState.CANCELLED))
         starts = len(cluster.list_starts())
         await asyncio.sleep(1)
         running = sum(len(worker.running) for worker in cluster.workers.values())
@@ -357,8 +357,8 @@
         await cluster.submit("j1", make_job(), other.name)
         await asyncio.sleep(0.5)
         cluster.switch.cut_both(owner.name, other.name)
-        told = await other.frontend.cancel("j1")
-        self.assertEqual(told, JobStateFound(QueueJobState.CANCELLED))
+        found = await other.frontend.cancel("j1")
+        self.assertEqual(found, JobStateFound(QueueJobState.CANCELLED))
         await asyncio.sleep(1)
         running = sum(len(worker.running) for worker in cluster.workers.values())
         self.assertEqual(running, 0)
--- a/tests/test_pools_capacity.py
+++ b/tests/test_pools_capacity.py
@@ -7,8 +7,8 @@
 from damaskdeck.protocol.sizes import Size
 from standins.pools import Work
 from tests.poolcluster import (
-    BEAT,
-    CONTACT,
+    CONTACT_BOUND,
+    HEARTBEAT,
     SECOND,
     SIZE,
     SMALL,
@@ -90,7 +90,7 @@
         cluster.begin_outage()
         if is_owner_killed:
             cluster.find_owner().kill()
-        await asyncio.sleep((CONTACT + BEAT).total_seconds() + longer)
+        await asyncio.sleep((CONTACT_BOUND + HEARTBEAT).total_seconds() + longer)
         cluster.heal()
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=120)
 
@@ -99,7 +99,7 @@
     async def test_in_an_outage_work_goes_on_by_rooms_that_still_count(self):
         cluster = await self.begin_work(workers=2, tasks=200, seconds=0.4)
         cluster.begin_outage()
-        await asyncio.sleep(CONTACT.total_seconds())
+        await asyncio.sleep(CONTACT_BOUND.total_seconds())
         late = cluster.clock.monotonic() - timedelta(milliseconds=500)
         starts = [row for row in cluster.list_starts("j1") if row[0] > late]
         self.assertNotEqual(starts, [])
@@ -121,7 +121,7 @@
         self.end()
 
 
-class TestMandate(PoolCase):
+class TestOwnerTerm(PoolCase):
     """Who may no longer start tasks starts no copies either."""
 
     @virtual
@@ -133,7 +133,7 @@
         await cluster.submit("j1", make_job(spec))
         await cluster.wait(lambda: cluster.find_host("j1") is not None)
         cluster.begin_outage()
-        await asyncio.sleep(cluster.times.tenure.total_seconds() - 0.5)
+        await asyncio.sleep(cluster.times.owner_lease.total_seconds() - 0.5)
         host = cluster.find_host("j1").info.identifier
         cluster.find_owner().workers.cut_off.add(host)
         await asyncio.sleep(4)
--- a/tests/test_pools_chaos.py
+++ b/tests/test_pools_chaos.py
@@ -21,9 +21,9 @@
 # DAMASKDECK_CHAOS=FROM:TO plays other seeds.
 FIRST, _, LAST = os.environ.get("DAMASKDECK_CHAOS", "0:16").partition(":")
 SEEDS = range(int(FIRST), int(LAST))
-TROUBLE_SECONDS = 25.0
+FAULT_SECONDS = 25.0
 # After the last fault everything that can end has ended by then.
-QUIET_SECONDS = 90.0
+SETTLE_SECONDS = 90.0
 # The platform's bound from the answer to a cancel to the last start.
 CANCEL_LIMIT = timedelta(seconds=3)
 
@@ -63,7 +63,7 @@
         self.healed_at = timedelta()
         self.problems: list[str] = []
         self.log: list[str] = []
-        self._lives = 0
+        self._incarnations = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
     def behave(self, task, attempt: int) -> Work:
@@ -138,8 +138,8 @@
         daemon = self.pick_daemon()
         if daemon.is_killed:
             return
-        told = await daemon.frontend.cancel(name)
-        if told == JobStateFound(QueueJobState.CANCELLED):
+        found = await daemon.frontend.cancel(name)
+        if found == JobStateFound(QueueJobState.CANCELLED):
             self.cancelled[name] = self.cluster.clock.monotonic()
 
     # Run -----------------------------------------------------------------------
@@ -147,13 +147,11 @@
     async def run(self) -> list[str]:
         """Play the run; returns what did not hold."""
         await self.cluster.start()
-        watch = asyncio.ensure_future(self.watch_room())
+        monitor = asyncio.ensure_future(self.watch_capacity())
         jobs = []
         began = self.cluster.clock.monotonic()
         number = 0
-        while self.cluster.clock.monotonic() - began < timedelta(
-            seconds=TROUBLE_SECONDS
-        ):
+        while self.cluster.clock.monotonic() - began < timedelta(seconds=FAULT_SECONDS):
             await asyncio.sleep(self.random.uniform(0.1, 0.8))
             roll = self.random.random()
             if roll < 0.55:
@@ -171,7 +169,7 @@
         self.heal()
         await asyncio.gather(*jobs)
         await self.wait_for_ends()
-        watch.cancel()
+        monitor.cancel()
         self.problems += self.cluster.find_violations()
         self.check_cancels()
         self.check_epochs()
@@ -192,7 +190,7 @@
             daemon.workers.cut_off.clear()
             daemon.store.late = daemon.workers.late = False
 
-    async def watch_room(self) -> None:
+    async def watch_capacity(self) -> None:
         """Look again and again whether a worker holds more than it can."""
         while True:
             await asyncio.sleep(0.05)
@@ -207,16 +205,16 @@
 
     async def wait_for_ends(self) -> None:
         """Wait until every job has ended and told so by each daemon."""
-        ends = self.cluster.clock.monotonic() + timedelta(seconds=QUIET_SECONDS)
+        ends = self.cluster.clock.monotonic() + timedelta(seconds=SETTLE_SECONDS)
         open_jobs = set(self.specs)
         while open_jobs and self.cluster.clock.monotonic() < ends:
             for daemon in self.cluster.daemons.values():
                 daemon.check()
             for name in sorted(open_jobs):
-                told = await self.pick_daemon().frontend.read_state(name)
-                if isinstance(told, JobStateFound) and told.state in FINAL_STATES:
+                found = await self.pick_daemon().frontend.read_state(name)
+                if isinstance(found, JobStateFound) and found.state in FINAL_STATES:
                     open_jobs.discard(name)
-                    self.check_final(name, told.state)
+                    self.check_final(name, found.state)
             await asyncio.sleep(0.5)
         if open_jobs:
             self.problems.append(f"never ended: {sorted(open_jobs)}")
@@ -229,8 +227,8 @@
 
     def check_cancels(self) -> None:
         """Check that nothing of a cancelled job started once all was well."""
-        for name, told_at in self.cancelled.items():
-            limit = max(told_at, self.healed_at) + CANCEL_LIMIT
+        for name, cancelled_at in self.cancelled.items():
+            limit = max(cancelled_at, self.healed_at) + CANCEL_LIMIT
             if any(row[0] > limit for row in self.cluster.list_starts(name)):
                 self.problems.append(f"{name} started long after its cancel")
 
@@ -370,8 +368,8 @@
     chaos.cluster.record_crash(worker)
     worker.kill()
     chaos.cluster.store.set(f"workers/{worker.info.identifier}", None)
-    chaos._lives += 1
-    name = f"{worker.info.identifier.split('+')[0]}+{chaos._lives}"
+    chaos._incarnations += 1
+    name = f"{worker.info.identifier.split('+')[0]}+{chaos._incarnations}"
     address, rack, zone = worker.info.address, worker.info.rack, worker.info.zone
     chaos.later(
         chaos.random.uniform(0.2, 4),
@@ -507,11 +505,11 @@
     def test_the_invariants_hold_under_faults(self):
         self.play(Chaos)
 
-    def test_the_promises_hold_where_zones_are_cut_off(self):
+    def test_the_invariants_hold_with_zone_cuts(self):
         self.play(ZonedChaos)
 
-    def test_the_promises_hold_where_tasks_crash_their_workers(self):
+    def test_the_invariants_hold_with_crashing_tasks(self):
         self.play(CrashingChaos)
 
-    def test_the_promises_hold_where_workers_shrink(self):
+    def test_the_invariants_hold_with_shrinking_workers(self):
         self.play(ShrinkingChaos)
--- a/tests/test_pools_overload.py
+++ b/tests/test_pools_overload.py
@@ -13,10 +13,10 @@
 from datetime import timedelta
 
 from damaskdeck.coordination.pools.liveness import (
-    FIRST_SILENCE,
-    LEAST_SILENCE,
-    LONGEST_SILENCE,
-    LifeSigns,
+    LOADING_SILENCE,
+    MAX_SILENCE,
+    MIN_SILENCE,
+    OwnerLiveness,
 )
 from damaskdeck.protocol.poolmessages import CountWaitingJobs
 from damaskdeck.protocol.queues import QueueJobState
@@ -32,13 +32,13 @@
 class TestOverload(PoolCase):
     """Takeovers while the owner is behind."""
 
-    async def press(self, rate: float, seconds: float) -> None:
+    async def load_owner(self, rate: float, seconds: float) -> None:
         """Let daemons ask the owner for numbers, so many a second."""
         rng = random.Random(1)
         names = list(self.cluster.daemons)
         calls = []
         for _ in range(int(rate * seconds)):
-            owner = self.cluster.find_named()
+            owner = self.cluster.find_recorded_owner()
             asker = self.cluster.daemons[rng.choice(names)]
             calls.append(
                 asyncio.ensure_future(
@@ -50,7 +50,7 @@
             await asyncio.sleep(1 / rate)
         await asyncio.gather(*calls)
 
-    async def begin_slow(self):
+    async def begin_slow_cluster(self):
         """Start a cluster whose processes need time for each message."""
         cluster = await self.begin(daemons=DAEMONS, workers=8)
         await cluster.run_first_job()
@@ -61,8 +61,8 @@
 
     @virtual
     async def test_an_owner_that_is_behind_is_not_deposed_again_and_again(self):
-        cluster = await self.begin_slow()
-        await self.press(rate=1.3 / WORK.total_seconds(), seconds=8)
+        cluster = await self.begin_slow_cluster()
+        await self.load_owner(rate=1.3 / WORK.total_seconds(), seconds=8)
         self.assertLessEqual(len(cluster.epochs), 1)
         await cluster.submit("j1", make_job())
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=5)
@@ -70,9 +70,9 @@
 
     @virtual
     async def test_an_owner_that_is_lost_under_load_is_succeeded_once(self):
-        cluster = await self.begin_slow()
+        cluster = await self.begin_slow_cluster()
         pressing = asyncio.ensure_future(
-            self.press(rate=0.8 / WORK.total_seconds(), seconds=6)
+            self.load_owner(rate=0.8 / WORK.total_seconds(), seconds=6)
         )
         await asyncio.sleep(1)
         cluster.find_owner().kill()
@@ -90,11 +90,11 @@
         owner = cluster.find_owner()
         cluster.switch.pause(owner.name)
         owner.freeze()
-        await cluster.wait(lambda: cluster.find_named() != owner.name)
+        await cluster.wait(lambda: cluster.find_recorded_owner() != owner.name)
         await asyncio.sleep(0.5)
-        successor = cluster.daemons[cluster.find_named()]
-        watches = [d.watch for d in cluster.daemons.values() if d is not successor]
-        answered = [w for w in watches if w._signs._trips.answers]
+        successor = cluster.daemons[cluster.find_recorded_owner()]
+        monitors = [d.monitor for d in cluster.daemons.values() if d is not successor]
+        answered = [w for w in monitors if w._liveness._round_trips.answers]
         self.assertGreaterEqual(len(answered), 3)
         cluster.switch.resume(owner.name)
         owner.thaw()
@@ -106,9 +106,9 @@
         cluster = await self.begin(daemons=48, workers=2)
         await cluster.run_first_job()
         owner = cluster.find_owner()
-        watch = cluster.find_other_daemon().watch
+        monitor = cluster.find_other_daemon().monitor
         before = sum(cluster.switch.messages.values())
-        await watch._doubt(owner.name, owner.owner.term.epoch)
+        await monitor._consult_witnesses(owner.name, owner.owner.term.epoch)
         asked = sum(cluster.switch.messages.values()) - before
         self.assertLess(asked, 60)
         self.end()
@@ -128,60 +128,60 @@
         cluster.add_daemon("a9", power=2.0, zone="z0")
         await cluster.start()
         await asyncio.sleep(1)
-        if cluster.find_named() != "a9":
+        if cluster.find_recorded_owner() != "a9":
             await cluster.find_owner().leadership.release(is_leaving=False)
-        await cluster.wait(lambda: cluster.find_named() == "a9")
+        await cluster.wait(lambda: cluster.find_recorded_owner() == "a9")
         await asyncio.sleep(1)
         cluster.cut_zone("z0", (*inside, "a9"))
         cut_at = cluster.clock.monotonic()
-        await cluster.wait(lambda: cluster.find_named() != "a9", seconds=5)
+        await cluster.wait(lambda: cluster.find_recorded_owner() != "a9", seconds=5)
         self.assertLess(cluster.clock.monotonic() - cut_at, 0.9 * SECOND)
         cluster.heal()
         await asyncio.sleep(2)
         self.end()
 
 
-class TestSigns(unittest.TestCase):
+class TestOwnerLiveness(unittest.TestCase):
     """How long a daemon waits for signs of the owner."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
-        self.signs = LifeSigns(self.clock)
-        self.signs.follow(1)
+        self.liveness = OwnerLiveness(self.clock)
+        self.liveness.follow(1)
 
-    def answer(self, took: timedelta, count: int = 30) -> None:
+    def reply(self, took: timedelta, count: int = 30) -> None:
         """Let the owner answer beats."""
         for _ in range(count):
             sent = self.clock.monotonic().total_seconds()
             self.clock.move(took)
-            self.signs.note_answer(1, sent)
+            self.liveness.record_reply(1, sent)
 
     def test_a_prompt_owner_is_missed_soon(self):
-        self.answer(timedelta(milliseconds=4))
-        self.assertEqual(self.signs.find_timeout(0), LEAST_SILENCE.total_seconds())
+        self.reply(timedelta(milliseconds=4))
+        self.assertEqual(self.liveness.find_timeout(0), MIN_SILENCE.total_seconds())
 
     def test_a_successor_is_left_alone_until_it_has_answered(self):
-        self.answer(timedelta(milliseconds=4))
-        self.signs.follow(2)
-        self.assertEqual(self.signs.find_timeout(0), FIRST_SILENCE.total_seconds())
-        self.clock.move(FIRST_SILENCE)
-        self.assertEqual(self.signs.find_timeout(0), LEAST_SILENCE.total_seconds())
+        self.reply(timedelta(milliseconds=4))
+        self.liveness.follow(2)
+        self.assertEqual(self.liveness.find_timeout(0), LOADING_SILENCE.total_seconds())
+        self.clock.move(LOADING_SILENCE)
+        self.assertEqual(self.liveness.find_timeout(0), MIN_SILENCE.total_seconds())
 
     def test_a_slow_owner_is_waited_for_as_long_as_it_usually_takes(self):
-        self.answer(timedelta(milliseconds=800))
-        self.assertGreater(self.signs.find_timeout(0), 0.8)
+        self.reply(timedelta(milliseconds=800))
+        self.assertGreater(self.liveness.find_timeout(0), 0.8)
 
     def test_each_owner_that_was_deposed_alive_doubles_the_patience(self):
-        self.answer(timedelta(milliseconds=4))
-        least = LEAST_SILENCE.total_seconds()
-        self.assertEqual(self.signs.find_timeout(2), 4 * least)
-        longest = LONGEST_SILENCE.total_seconds()
-        self.assertEqual(self.signs.find_timeout(9), longest)
+        self.reply(timedelta(milliseconds=4))
+        least = MIN_SILENCE.total_seconds()
+        self.assertEqual(self.liveness.find_timeout(2), 4 * least)
+        longest = MAX_SILENCE.total_seconds()
+        self.assertEqual(self.liveness.find_timeout(9), longest)
 
     def test_what_the_owner_stores_is_a_sign_for_a_while(self):
         self.clock.move(SECOND)
-        self.signs.note_progress()
-        self.assertEqual(self.signs.measure_silence(), 0)
+        self.liveness.record_progress()
+        self.assertEqual(self.liveness.measure_silence(), 0)
         self.clock.move(2 * SECOND)
-        self.signs.note_progress()
-        self.assertEqual(self.signs.measure_silence(), 2)
+        self.liveness.record_progress()
+        self.assertEqual(self.liveness.measure_silence(), 2)
--- a/tests/test_pools_takeover.py
+++ b/tests/test_pools_takeover.py
@@ -132,8 +132,8 @@
         await cluster.run_first_job()
         owner = cluster.find_owner()
         # Those whose turn would come first.
-        heirs = owner.leadership.list_heirs()
-        inside = [name for name in heirs if name != owner.name][:2]
+        successors = owner.leadership.list_successors()
+        inside = [name for name in successors if name != owner.name][:2]
         cluster.cut_zone("z0", (owner.name, *inside))
         cut_at = cluster.clock.monotonic()
 
@@ -159,7 +159,7 @@
                     cluster.switch.cut_both(daemon.name, cut.name)
         await asyncio.sleep(5)
         self.assertIs(cluster.find_owner(), owner)
-        self.assertEqual([d.mandates for d in minority], [[], []])
+        self.assertEqual([d.terms for d in minority], [[], []])
         self.end()
 
     @virtual
@@ -253,7 +253,7 @@
         await asyncio.sleep(0.5)
         owner = cluster.find_owner()
         owner.store.faults.pause()
-        await asyncio.sleep(cluster.times.tenure.total_seconds() + 2)
+        await asyncio.sleep(cluster.times.owner_lease.total_seconds() + 2)
         self.assertFalse(owner.leadership.may_decide())
         self.end()
 
@@ -262,7 +262,7 @@
         cluster = await self.begin(daemons=4)
         owner = cluster.find_owner()
         preferred_successor = cluster.daemons[
-            cluster.find_other_daemon().leadership.list_heirs()[0]
+            cluster.find_other_daemon().leadership.list_successors()[0]
         ]
         commit = preferred_successor.store.commit
 
@@ -278,7 +278,7 @@
         successor = cluster.find_owner()
         self.assertIsNot(successor, preferred_successor)
         await asyncio.sleep(5)
-        self.assertEqual(preferred_successor.mandates, [])
+        self.assertEqual(preferred_successor.terms, [])
         self.assertIs(cluster.find_owner(), successor)
         self.end()
 
@@ -304,7 +304,7 @@
         self.assertIsInstance(cluster.store.commit(delayed[0]), Written)
         daemon.store.faults.outage = False
         await cluster.wait(lambda: cluster.find_owner() is not None, seconds=5)
-        self.assertEqual([m.epoch for m in daemon.mandates], [2])
+        self.assertEqual([m.epoch for m in daemon.terms], [2])
         self.end()
 
     @virtual
--- a/tests/test_pools_workers.py
+++ b/tests/test_pools_workers.py
@@ -102,7 +102,7 @@
 class TestLeaving(PoolCase):
     """Workers that say how long they stay."""
 
-    async def leave(self, step: StepSpec, seconds: float) -> None:
+    async def run_and_retire(self, step: StepSpec, seconds: float) -> None:
         """Run a step on a worker and let that announce its leaving after 2 s."""
         cluster = await self.begin(
             workers=1, behave=lambda t, a: Work(timedelta(seconds=6))
@@ -111,22 +111,22 @@
         await asyncio.sleep(2)
         cluster.add_worker("w9", "10.0.0.9:1")
         cluster.retire("w0", timedelta(seconds=seconds))
-        self.left = cluster.clock.monotonic()
+        self.retired_at = cluster.clock.monotonic()
 
-    def find_stops(self) -> list[float]:
+    def list_stops(self) -> list[float]:
         """List when runs on the leaving worker were stopped, since the notice."""
         history = self.cluster.workers["w0"].history
         return [
-            (ended - self.left).total_seconds()
+            (ended - self.retired_at).total_seconds()
             for _, _, kind, _, ended in history
             if kind is EndKind.STOPPED
         ]
 
     @virtual
     async def test_what_would_be_cut_off_starts_elsewhere_at_once(self):
-        await self.leave(StepSpec(2, SMALL, timedelta(seconds=6)), 2)
+        await self.run_and_retire(StepSpec(2, SMALL, timedelta(seconds=6)), 2)
         await self.cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=8)
-        stops = self.find_stops()
+        stops = self.list_stops()
         self.assertEqual(len(stops), 2)
         self.assertLess(max(stops), 0.8)
         self.end()
@@ -134,9 +134,9 @@
     @virtual
     async def test_what_keeps_checkpoints_works_on_as_long_as_it_may(self):
         step = StepSpec(2, SMALL, timedelta(seconds=6), is_checkpointing=True)
-        await self.leave(step, 2)
+        await self.run_and_retire(step, 2)
         await self.cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=10)
-        stops = self.find_stops()
+        stops = self.list_stops()
         self.assertEqual(len(stops), 2)
         self.assertGreater(min(stops), 0.6)
         self.assertLess(max(stops), 1.0)
@@ -144,18 +144,18 @@
 
     @virtual
     async def test_what_ends_in_time_is_left_alone(self):
-        await self.leave(StepSpec(2, SMALL, timedelta(seconds=6)), 6)
+        await self.run_and_retire(StepSpec(2, SMALL, timedelta(seconds=6)), 6)
         await self.cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=8)
-        self.assertEqual(self.find_stops(), [])
+        self.assertEqual(self.list_stops(), [])
         self.assertEqual(len(self.cluster.list_starts()), 2)
         self.end()
 
     @virtual
     async def test_a_gang_leaves_as_a_whole(self):
         gang = StepSpec(4, SMALL, timedelta(seconds=6), is_gang=True)
-        await self.leave(gang, 2)
+        await self.run_and_retire(gang, 2)
         await self.cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=8)
-        self.assertEqual(len(self.find_stops()), 4)
+        self.assertEqual(len(self.list_stops()), 4)
         self.end()
 
 
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -83,7 +83,7 @@
     @virtual
     async def test_it_hands_over_to_who_has_the_store(self):
         cluster, owner = await self.turn_owner_away()
-        successor = owner.leadership._list_other_heirs()[0]
+        successor = owner.leadership._list_other_successors()[0]
         cluster.daemons[successor].store.faults.outage = True
         for _ in cluster.daemons:
             await owner.commits.commit(Transaction(writes=(Write("k", b"v"),)))
--- a/tests/test_reserving.py
+++ b/tests/test_reserving.py
@@ -22,7 +22,7 @@
 QUICK = make_queue("quick", rank=0, slack=1.5, allowance=SECOND / 4)
 WORKERS = 12
 # All workers hold so many small tasks.
-ROOM = 4 * WORKERS
+CAPACITY_TASKS = 4 * WORKERS
 
 
 def behave(task, attempt) -> Work:
@@ -35,70 +35,70 @@
 class TestGangs(PoolCase):
     """When a gang starts beside batches that fill the pool."""
 
-    async def press(self, seconds: float) -> None:
+    async def submit_batches(self, seconds: float) -> None:
         """Hand batches in that want somewhat more than the pool has."""
         for number in itertools.count():
             if self.cluster.clock.monotonic().total_seconds() > seconds:
                 return
-            await self.hand_in(
+            await self.submit(
                 BATCHES, f"b{number}", make_job(StepSpec(6, SMALL, SECOND))
             )
-            await asyncio.sleep(6 / ROOM / 1.1)
+            await asyncio.sleep(6 / CAPACITY_TASKS / 1.1)
 
-    async def hand_in(self, queue, name: str, spec) -> None:
+    async def submit(self, queue, name: str, spec) -> None:
         """Hand a job in on a queue."""
         done = await self.cluster.daemons["d0"].frontend.submit(queue, name, spec)
         self.assertEqual(done, JobAccepted())
 
-    async def begin_pressed(self, seconds: float) -> None:
+    async def begin_loaded(self, seconds: float) -> None:
         """Start a cluster and fill its pool."""
         self.cluster = await self.begin(
             workers=WORKERS, behave=behave, queues=(GANGS, BATCHES, QUICK)
         )
-        self.pressing = asyncio.ensure_future(self.press(seconds))
+        self.submitting = asyncio.ensure_future(self.submit_batches(seconds))
         await asyncio.sleep(4)
 
     @virtual
     async def test_a_wide_gang_starts_in_time_in_a_full_pool(self):
-        await self.begin_pressed(14)
-        came = self.cluster.clock.monotonic()
+        await self.begin_loaded(14)
+        submitted_at = self.cluster.clock.monotonic()
         gang = StepSpec(20, SMALL, 2 * SECOND, is_gang=True)
-        await self.hand_in(GANGS, "gang", make_job(gang))
+        await self.submit(GANGS, "gang", make_job(gang))
         await self.cluster.wait(lambda: len(self.cluster.list_starts("gang")) == 20)
-        waited = self.cluster.list_starts("gang")[0][0] - came
+        waited = self.cluster.list_starts("gang")[0][0] - submitted_at
         self.assertLess(waited, 3 * SECOND)
-        await self.pressing
+        await self.submitting
         self.end()
 
     @virtual
     async def test_quick_jobs_go_on_beside_the_room_that_is_kept(self):
-        await self.begin_pressed(14)
+        await self.begin_loaded(14)
         gang = StepSpec(20, SMALL, 2 * SECOND, is_gang=True)
         for number in range(6):
-            await self.hand_in(GANGS, f"gang{number}", make_job(gang))
+            await self.submit(GANGS, f"gang{number}", make_job(gang))
         quick = make_job(StepSpec(2, SMALL, SECOND / 2))
         waits = []
         for number in range(10):
-            came = self.cluster.clock.monotonic()
-            await self.hand_in(QUICK, f"q{number}", quick)
+            submitted_at = self.cluster.clock.monotonic()
+            await self.submit(QUICK, f"q{number}", quick)
             await asyncio.sleep(0.5)
             starts = self.cluster.list_starts(f"q{number}")
-            waits.append(starts[0][0] - came if starts else SECOND)
+            waits.append(starts[0][0] - submitted_at if starts else SECOND)
         self.assertLess(sorted(waits)[8], SECOND / 2)
-        await self.pressing
+        await self.submitting
         self.end()
 
     @virtual
     async def test_batches_go_on_beside_the_room_that_is_kept(self):
-        await self.begin_pressed(16)
+        await self.begin_loaded(16)
         gang = StepSpec(20, SMALL, 2 * SECOND, is_gang=True)
         for number in range(4):
-            await self.hand_in(GANGS, f"gang{number}", make_job(gang))
+            await self.submit(GANGS, f"gang{number}", make_job(gang))
         before = len(self.cluster.list_starts())
         await asyncio.sleep(8)
         started = len(self.cluster.list_starts()) - before
         # Seconds of tasks that began, of those that the pool has: gangs take 2 s each.
         gangs = len([r for r in self.cluster.list_starts() if r[1].job[:4] == "gang"])
-        self.assertGreater(started - gangs + 2 * gangs, 0.75 * ROOM * 8)
-        await self.pressing
+        self.assertGreater(started - gangs + 2 * gangs, 0.75 * CAPACITY_TASKS * 8)
+        await self.submitting
         self.end()
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from damaskdeck.coordination.pools.revisions import DATES_KEPT, RevisionTimes
+from damaskdeck.coordination.pools.revisions import MAX_ENTRIES, RevisionTimes
 
 
 class TestDates(unittest.TestCase):
@@ -32,8 +32,8 @@
         self.assertEqual(self.write_times.find_write_time(21), 2.0)
 
     def test_it_keeps_a_bounded_number(self):
-        for number in range(3 * DATES_KEPT):
+        for number in range(3 * MAX_ENTRIES):
             self.write_times.record(number, float(number))
         self.assertEqual(self.write_times.find_write_time(10), float("-inf"))
-        newest = 3 * DATES_KEPT
+        newest = 3 * MAX_ENTRIES
         self.assertEqual(self.write_times.find_write_time(newest), newest - 1.0)
--- a/tests/test_paces.py
+++ b/tests/test_speedranks.py
@@ -8,7 +8,7 @@
 import unittest
 from random import Random
 
-from damaskdeck.coordination.pools.speedranks import LEAST_RUNS, SpeedRanks
+from damaskdeck.coordination.pools.speedranks import MIN_RUNS, SpeedRanks
 from damaskdeck.protocol.queues import StepSpec
 from damaskdeck.state.jobrecords import JobRecord
 from damaskdeck.state.pooljobs import Job, Run
@@ -25,14 +25,14 @@
     ]
 
 
-class TestPaces(unittest.TestCase):
+class TestSpeedRanks(unittest.TestCase):
     """Speeds of workers against each other."""
 
     def setUp(self) -> None:
         self.random = Random(7)
-        self.paces = SpeedRanks()
+        self.ranks = SpeedRanks()
 
-    def play(self, steps: int, first: int = 0, **fields) -> None:
+    def complete_steps(self, steps: int, first: int = 0, **fields) -> None:
         """Let steps complete on workers of all speeds."""
         for number in range(steps):
             step = make_step(first + number, **fields)
@@ -41,29 +41,29 @@
                 worker = self.random.choice(list(SPEEDS))
                 run = Run(task, worker, 1, 0.0)
                 uneven = math.exp(self.random.gauss(0, 0.3))
-                self.paces.record_completion(run, work * uneven / SPEEDS[worker])
+                self.ranks.record_completion(run, work * uneven / SPEEDS[worker])
 
     def test_kinds_are_told_apart_after_some_tens_of_steps(self):
-        self.play(60)
-        self.assertEqual([self.paces.rank(name) for name in SPEEDS], [1, 0, -1])
+        self.complete_steps(60)
+        self.assertEqual([self.ranks.rank(name) for name in SPEEDS], [1, 0, -1])
 
     def test_a_few_runs_say_nothing(self):
-        self.play(2)
-        self.assertLess(12 / len(SPEEDS), LEAST_RUNS)
-        self.assertEqual({self.paces.rank(name) for name in SPEEDS}, {0})
+        self.complete_steps(2)
+        self.assertLess(12 / len(SPEEDS), MIN_RUNS)
+        self.assertEqual({self.ranks.rank(name) for name in SPEEDS}, {0})
 
     def test_gangs_end_together_and_say_nothing(self):
-        self.play(60, is_gang=True)
-        self.assertEqual({self.paces.rank(name) for name in SPEEDS}, {0})
+        self.complete_steps(60, is_gang=True)
+        self.assertEqual({self.ranks.rank(name) for name in SPEEDS}, {0})
 
     def test_a_worker_that_is_gone_is_forgotten(self):
-        self.play(60)
-        self.paces.set_workers(frozenset({"fast"}))
-        self.assertEqual(self.paces.rank("fast"), -1)
-        self.assertEqual(self.paces.rank("slow"), 0)
+        self.complete_steps(60)
+        self.ranks.retain_workers(frozenset({"fast"}))
+        self.assertEqual(self.ranks.rank("fast"), -1)
+        self.assertEqual(self.ranks.rank("slow"), 0)
 
     def test_a_step_that_ends_early_leaves_nothing_behind(self):
         step = make_step(1)
-        self.paces.record_completion(Run(step.tasks[0], "fast", 1, 0.0), 1.0)
-        self.paces.discard(step)
-        self.assertEqual(self.paces._took, {})
+        self.ranks.record_completion(Run(step.tasks[0], "fast", 1, 0.0), 1.0)
+        self.ranks.discard(step)
+        self.assertEqual(self.ranks._durations, {})
