--- a/tests/poolcluster.py
+++ b/tests/poolcluster.py
@@ -1,4 +1,4 @@
-"""Daemons of one process on the pools' stand-ins, in virtual time."""
+"""Pool daemons and workers in one process, on stand-ins and in virtual time."""
 
 import asyncio
 import functools
@@ -58,25 +58,26 @@
     status_retention=timedelta(seconds=120),
     max_stop_time=timedelta(milliseconds=900),
 )
-# What shows a key that was taken away longer ago is served by nobody.
+# No daemon serves a caller whose key was revoked longer ago than this.
 REVOCATION = timedelta(seconds=5)
 SECOND = timedelta(seconds=1)
 TERMS = AdvisorTiming(timedelta(milliseconds=10), timedelta(), timedelta(seconds=2))
 SIZE = Size(4000, 8000, 0)
-# A worker's room that has shrunk counts so much later, and one beat.
+# A worker may get orders for its old capacity for this long and one heartbeat after it
+# has shrunk.
 CONTACT_BOUND = timedelta(seconds=3)
 HEARTBEAT = timedelta(milliseconds=1500)
 HEARTBEAT_STEP = timedelta(milliseconds=100)
-# A crashed worker is back after so long, as a new life at its address.
+# A crashed worker returns after this time as a new incarnation at its address.
 RESTART_DELAY = timedelta(seconds=3)
-# The bound of the users: a task may start twice more after three crashes.
+# The users' bound: after three crashes a task may start at most twice more.
 CRASHES_BEFORE_LIMIT = 3
 STARTS_AFTER_LIMIT = 2
 SMALL = Size(1000, 1000, 0)
 
 
 def make_queue(name: str = "plans", **fields) -> Queue:
-    """Return a queue with a policy that tests may change."""
+    """Return a queue, whose policy is given by the fields."""
     values = {
         "name": name,
         "host": "a.example",
@@ -92,31 +93,31 @@
 
 
 def make_account(name: str, *keys: str, **fields) -> ClientAccount:
-    """Return an account that has these keys."""
+    """Return an account with the given keys."""
     digests = frozenset(digest_key(key.encode()) for key in keys)
     return ClientAccount(name, digests, **fields)
 
 
 def make_job(*steps: StepSpec, **fields) -> JobSpec:
-    """Return a job of the steps, of one small task unless given."""
+    """Return a job of the given steps; by default one step with a small task."""
     return JobSpec("payload", steps or (StepSpec(1, SMALL, SECOND),), **fields)
 
 
 class GatedClock(LoopClock):
-    """The loop's clock as a process sees it that may be frozen."""
+    """Clock of a process that can be frozen."""
 
     def __init__(self) -> None:
         self.runs = asyncio.Event()
         self.runs.set()
 
     async def sleep(self, duration: timedelta) -> None:
-        """Wait, and go on waiting while frozen."""
+        """Sleep, and do not return while frozen."""
         await super().sleep(duration)
         await self.runs.wait()
 
 
 class ClusterDaemon:
-    """What one daemon does for the pools; :meth:`kill` ends it at once."""
+    """The pool components of one daemon; :meth:`kill` ends them at once."""
 
     def __init__(
         self,
@@ -178,7 +179,7 @@
         )
 
     def start(self) -> None:
-        """Let it run."""
+        """Start the components."""
         self._spawn(self.leadership.run())
         self._spawn(self.declarations.run())
         self._spawn(self.monitor.run())
@@ -218,15 +219,15 @@
             self._owner_task.cancel()
 
     def freeze(self) -> None:
-        """Let it stand still; time goes on."""
+        """Stop the process without ending it, as SIGSTOP does; time goes on."""
         self.clock.runs.clear()
 
     def thaw(self) -> None:
-        """Let it go on."""
+        """Let the process continue, as SIGCONT does."""
         self.clock.runs.set()
 
     def kill(self) -> None:
-        """End it as SIGKILL does."""
+        """End the process as SIGKILL does."""
         self.is_killed = True
         self._cluster.switch.disconnect(self.name)
         self.owner = None
@@ -234,13 +235,13 @@
             task.cancel()
 
     def check(self) -> None:
-        """Raise what ended one of its parts."""
+        """Raise the exception that ended a component, if there is one."""
         for task in self._tasks:
             if task.done() and not task.cancelled() and task.exception():
                 raise task.exception()
 
     async def stop(self) -> None:
-        """End it as SIGTERM does."""
+        """End the process as SIGTERM does."""
         owner = self.owner
         if owner is not None:
             await owner.drain()
@@ -252,8 +253,8 @@
 class PoolCluster:
     """Daemons, workers and an operator.
 
-    :param behave: tells how a task's attempt behaves.
-    :param allow: tells which worker the advisor consents to, by step.
+    :param behave: returns how an attempt of a task behaves.
+    :param allow: returns whether the advisor consents to a step on a worker.
     """
 
     def __init__(
@@ -276,9 +277,9 @@
         self.workers: dict[str, StandinWorker] = {}
         self.epochs: list[int] = []
         self.specs: dict[str, JobSpec] = {}
-        # What workers could hold from when on, by their name.
+        # The sizes of each worker, with the time from which each holds.
         self.sizes: dict[str, list[tuple[timedelta, Size]]] = {}
-        # When a worker crashed, with each task and attempt that it then ran.
+        # The time of each crash of a worker, with a task and attempt that it ran.
         self.crashes: list[tuple[timedelta, TaskName, int]] = []
         self.tables: dict[int, QueueTable] = {}
         # When each version was acknowledged to the operators.
@@ -293,7 +294,7 @@
                 f"z{number % zones}",
             )
         self._heartbeats: asyncio.Task[None] | None = None
-        # Workers whose registrations somebody else writes.
+        # Workers whose registrations are not renewed by the cluster.
         self.externally_registered: set[str] = set()
         self.daemons: dict[str, ClusterDaemon] = {}
         for number in range(daemons):
@@ -301,13 +302,13 @@
 
     @property
     def table(self) -> QueueTable:
-        """The newest document."""
+        """The latest document."""
         return self.tables[max(self.tables)]
 
     def declare(
         self, queues: tuple[Queue, ...], accounts: tuple[ClientAccount, ...] = ()
     ) -> None:
-        """Put a document in the store, as the operators do."""
+        """Store a document, as the operators do."""
         version = len(self.tables) + 1
         self.tables[version] = QueueTable(
             version, queues, frozenset({"hub"}), 100_000, ClientAccounts(accounts)
@@ -320,7 +321,7 @@
         return StandinRegistry(store, self.workers)
 
     def register(self, worker: StandinWorker) -> None:
-        """Write a worker's registration."""
+        """Write the registration of a worker."""
         key = StandinRegistry.prefix + worker.info.identifier
         self.store.set(key, str(worker.info.size).encode())
 
@@ -331,7 +332,7 @@
         return bool(living) and all(d.store.faults.outage for d in living)
 
     async def _send_heartbeats(self) -> None:
-        """Let each worker register anew with each beat, if the store answers then."""
+        """Renew the registrations of the workers periodically, if the store is up."""
         due: dict[str, timedelta] = {}
         while True:
             now = self.clock.monotonic()
@@ -351,7 +352,7 @@
     def add_worker(
         self, name: str, address: str, rack: str = "r0", zone: str = "z0"
     ) -> StandinWorker:
-        """Register a worker."""
+        """Add a worker and register it."""
         labels = frozenset({"a", rack})
         info = PoolWorker(name, "hub", address, zone, SIZE, labels, rack)
         worker = StandinWorker(info, self.clock, self._behave, BOUNDS.max_worker_lease)
@@ -362,11 +363,11 @@
         return worker
 
     def resize(self, name: str, size: Size) -> None:
-        """Let a worker's room shrink or grow; it says so with its next beat."""
+        """Change the size of a worker, which reports it with its next heartbeat."""
         self.sizes[name].append((self.clock.monotonic(), size))
 
     def crash(self, worker: StandinWorker) -> None:
-        """End a worker's life; a new one begins at its address after a while."""
+        """Crash a worker; its next incarnation starts at its address after a while."""
         self.record_crash(worker)
         worker.kill()
         info = worker.info
@@ -378,14 +379,14 @@
         )
 
     def record_crash(self, worker: StandinWorker) -> None:
-        """Take note of what a worker runs that is about to crash."""
+        """Record the runs of a worker that is about to crash."""
         worker.settle()
         now = self.clock.monotonic()
         for task, run in worker.running.items():
             self.crashes.append((now, task, run.attempt))
 
     def retire(self, name: str, remaining: timedelta | None = None) -> None:
-        """Let a worker announce that it is leaving."""
+        """Let a worker announce that it leaves."""
         worker = self.workers[name]
         worker.info = worker.info._replace(is_leaving=True, remaining=remaining)
         self.store.set(StandinRegistry.prefix + name, b"2")
@@ -397,7 +398,7 @@
         started_at: float = 0.0,
         zone: str = "z",
     ) -> ClusterDaemon:
-        """Make a daemon; one of that name that was killed is replaced."""
+        """Create a daemon; it replaces a killed one of the same name."""
         daemon = ClusterDaemon(self, name, power, started_at, zone)
         self.daemons[name] = daemon
         return daemon
@@ -419,74 +420,74 @@
         )
 
     def find_owner(self) -> ClusterDaemon | None:
-        """Return the daemon that decides."""
+        """Return the daemon that is the owner, ``None`` if there is none."""
         for daemon in self.daemons.values():
             if daemon.owner is not None and daemon.owner.is_loaded:
                 return daemon
         return None
 
     def find_host(self, job: str) -> StandinWorker | None:
-        """Return a worker that runs a task of a job."""
+        """Return a worker that runs a task of a job, ``None`` if there is none."""
         for worker in self.workers.values():
             if any(task.job == job for task in worker.running):
                 return worker
         return None
 
     def is_open(self, job: str) -> bool:
-        """Whether an owner decides for whom a job isn't final."""
+        """Whether a job is not final for the owner, or there is no owner."""
         daemon = self.find_owner()
         return daemon is None or job in daemon.owner.job_index.open_jobs
 
     def find_recorded_owner(self) -> str:
-        """Return the name of the owner that the store shows, whoever it is."""
+        """Return the name of the owner that the store names."""
         return decode_record(OwnerRecord, self.store.entries[OWNER_KEY].value).instance
 
     def find_other_daemon(self) -> ClusterDaemon:
-        """Return a daemon that lives and doesn't decide."""
+        """Return a daemon that is running and is not the owner."""
         daemons = self.daemons.values()
         return next(d for d in daemons if d.owner is None and not d.is_killed)
 
     async def wait(self, is_reached: Callable[[], bool], seconds: float = 60) -> None:
-        """Wait until something is so.
+        """Wait for a condition.
 
-        :raises AssertionError: when it isn't in time.
+        :raises AssertionError: if it is not met in time.
         """
         ends = self.clock.monotonic() + timedelta(seconds=seconds)
         while not is_reached():
             for daemon in self.daemons.values():
                 daemon.check()
             if self.clock.monotonic() > ends:
-                raise AssertionError("it was not reached in time")
+                raise AssertionError("the condition was not met in time")
             await asyncio.sleep(0.01)
 
     async def submit(self, job: str, spec: JobSpec, daemon: str = "d0"):
-        """Hand a job in and expect it to be taken."""
+        """Submit a job and expect it to be accepted."""
         self.specs[job] = spec
         queue = self.table.queues[0]
         done = await self.daemons[daemon].frontend.submit(queue, job, spec)
         if done != JobAccepted():
-            raise AssertionError(f"not taken: {done}")
+            raise AssertionError(f"not accepted: {done}")
 
     async def run_first_job(self) -> None:
-        """Let a first job pass, so that all parts have met."""
+        """Run a first job, so that all components are connected."""
         await self.submit("j0", make_job())
         await self.wait_for_state("j0", QueueJobState.COMPLETED)
 
     async def wait_for_state(
         self, job: str, state: QueueJobState, daemon: str = "", seconds: float = 60
     ) -> None:
-        """Wait until a daemon tells that state of a job."""
+        """Wait until a daemon reports a state of a job."""
         ends = self.clock.monotonic() + timedelta(seconds=seconds)
         found: object = None
         while found != JobStateFound(state):
             name = daemon or next(iter(self.daemons))
             found = await self.daemons[name].frontend.read_state(job)
             if isinstance(found, JobNotFound) or self.clock.monotonic() > ends:
-                raise AssertionError(f"{job} is {found}, wanted {state}")
+                raise AssertionError(f"{job} is {found}, expected {state}")
             await asyncio.sleep(0.02)
 
     def list_starts(self, job: str = "") -> list[tuple[timedelta, TaskName, int, str]]:
-        """List all starts in their order, of one job or all."""
+        """List the starts of one job, or of all jobs, by time."""
         rows = [
             (at, task, attempt, name)
             for name, worker in self.workers.items()
@@ -496,7 +497,7 @@
         return sorted(rows)
 
     def find_violations(self) -> list[str]:
-        """Check what must hold of all that the workers saw."""
+        """Return the violations of the invariants that the workers saw."""
         violations = []
         spans: dict[TaskName, list[tuple[timedelta, timedelta, EndKind, str]]] = {}
         for name, worker in self.workers.items():
@@ -518,7 +519,7 @@
         return violations + self._find_excess_starts() + self._find_overfilled()
 
     def _find_overfilled(self) -> list[str]:
-        """List the starts that brought a worker over the room that counted."""
+        """List the starts that exceeded the capacity in force of a worker."""
         violations = []
         for name, worker in self.workers.items():
             spans = [(row[3], row[4], row[0]) for row in worker.history]
@@ -535,7 +536,7 @@
         return spec.steps[task.step].size if spec is not None else Size()
 
     def _list_sizes(self, name: str, at: timedelta) -> list[Size]:
-        """List the sizes of a worker by which it may have had orders."""
+        """List the sizes of a worker that an order at a time may have been based on."""
         sizes = self.sizes[name]
         ends = [*(since for since, _ in sizes[1:]), timedelta.max]
         return [
@@ -547,7 +548,7 @@
     def _find_excess_starts(self) -> list[str]:
         """List the tasks that were started too often after crashing workers.
 
-        Only those that crash each worker that starts them.
+        Only tasks that crash every worker that starts them count.
         """
         violations = []
         starts = self.list_starts()
@@ -563,9 +564,9 @@
         return violations
 
     def cut_zone(self, zone: str, inside: tuple[str, ...] = ()) -> None:
-        """Cut an availability zone off from the others and from the store.
+        """Cut an availability zone off from the other zones and from the store.
 
-        :param inside: the daemons that are in it.
+        :param inside: the daemons in that zone.
         """
         for daemon in self.daemons.values():
             is_inside = daemon.name in inside
@@ -578,12 +579,12 @@
                     self.switch.cut_both(daemon.name, other)
 
     def begin_outage(self) -> None:
-        """Let the store answer nobody, until :meth:`heal`."""
+        """Let the store answer no daemon until :meth:`heal`."""
         for daemon in self.daemons.values():
             daemon.store.faults.outage = True
 
     def heal(self) -> None:
-        """End all cuts."""
+        """End all cuts and outages."""
         self.switch.heal_all()
         for daemon in self.daemons.values():
             daemon.store.faults.outage = False
@@ -593,7 +594,7 @@
         return self.clock.monotonic().total_seconds()
 
     def close(self) -> None:
-        """End everything."""
+        """End all daemons."""
         if self._heartbeats is not None:
             self._heartbeats.cancel()
         for daemon in self.daemons.values():
@@ -606,7 +607,7 @@
 
 
 class PoolCase(unittest.TestCase):
-    """Closes the cluster and checks what must always hold."""
+    """Closes the cluster and checks the invariants."""
 
     kind = PoolCluster
 
@@ -617,7 +618,7 @@
         return self.cluster
 
     def end(self) -> None:
-        """Check and close."""
+        """Check the invariants and close the cluster."""
         violations = self.cluster.find_violations()
         self.cluster.close()
         self.assertEqual(violations, [])
--- a/tests/test_delays.py
+++ b/tests/test_delays.py
@@ -1,8 +1,8 @@
-"""A process that is late doesn't take that for the lateness of workers.
+"""A process whose loop is late does not take that for lateness of the workers.
 
-The pattern: an owner with a tenth of a core, whose loop runs 0.3 s late under load. It
-waits 0.3 s for the answer to an order, and takes a worker for late after 0.15 s: half
-of its orders were in doubt, and no worker got others.
+The load: an owner with a tenth of a core, whose loop runs 0.3 s late. It received the
+answers to orders 0.3 s late and took workers for late after 0.15 s. So half of its
+orders were unconfirmed, and no worker got further orders.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class TestDelay(unittest.TestCase):
-    """What is measured."""
+    """Measurement of the delay of the loop."""
 
     def test_a_delay_counts_for_about_a_second(self):
         delay = LoopDelay()
@@ -33,7 +33,7 @@
             delay.note(timedelta())
         self.assertLess(delay.seconds, LATE.total_seconds() / 5)
 
-    def test_what_is_allowed_for_has_a_bound(self):
+    def test_the_counted_delay_is_bounded(self):
         delay = LoopDelay()
         delay.note(60 * SECOND)
         self.assertEqual(delay.seconds, LONGEST.total_seconds())
@@ -43,7 +43,7 @@
     """Answers to orders."""
 
     async def measure(self, late: timedelta) -> timedelta:
-        """Return how long the answer to an order is waited for."""
+        """Return the timeout of an order."""
         client, delay, waits = PlatformClient(), LoopDelay(), []
 
         async def call(*args, **options):
@@ -56,7 +56,7 @@
         await PlatformWorkers(client, delay, 1024).start(WORKER, 1, order)
         return waits[0]
 
-    async def test_answers_are_waited_for_as_much_longer_as_the_loop_is_late(self):
+    async def test_the_timeout_of_an_order_grows_by_the_delay_of_the_loop(self):
         self.assertEqual(
             await self.measure(LATE) - await self.measure(timedelta()), LATE
         )
@@ -66,7 +66,7 @@
     """Which workers get orders."""
 
     @virtual
-    async def test_a_worker_isnt_late_while_the_process_is(self):
+    async def test_a_worker_does_not_count_as_late_while_the_loop_is_late(self):
         cluster = await self.begin(workers=1)
         owner = cluster.find_owner()
         await cluster.submit("j1", make_job())
--- a/tests/test_pending.py
+++ b/tests/test_pending.py
@@ -1,8 +1,8 @@
-"""A pass costs what has changed, not the number of workers.
+"""The cost of a pass depends on what has changed, not on the number of workers.
 
-The pattern: a full pool with fifty steps waiting, as an owner has at the peak of 270
-workers; each run that ends makes room for one start. Looking at all workers for each
-waiting step took 49 ms a pass there, during which beats, leases and ends waited.
+The load: a full pool with fifty waiting steps, as at the peak of 270 workers, in which
+each run that ends allows one start. Trying all workers for each waiting step took 49 ms
+per pass there, during which heartbeats, leases and ends waited.
 """
 
 import asyncio
@@ -23,20 +23,20 @@
 
 
 class TestPending(unittest.TestCase):
-    """Which steps are pending, and in which order."""
+    """Which steps are pending, and their order."""
 
     def setUp(self) -> None:
         self.pending = PendingSteps()
 
     def make(self, name: str, *steps: StepSpec) -> Job:
-        """Return a job and let it be known."""
+        """Return a job that is marked as changed."""
         record = JobRecord(name, make_queue(), make_job(*steps), 1, 0.0, ())
         job = Job(record, 0.0)
         self.pending.mark_changed(job)
         return job
 
     def list_names(self) -> list[str]:
-        """List the pending steps by urgency."""
+        """List the names of the pending steps by urgency."""
         return [ranked.name for ranked in self.pending.rank(0.0)]
 
     def test_a_step_is_pending_once_the_steps_before_it_have_completed(self):
@@ -48,7 +48,7 @@
         self.pending.mark_changed(job)
         self.assertEqual(self.list_names(), ["j.0.1"])
 
-    def test_what_nobody_touches_stays_as_it_was(self):
+    def test_a_job_that_is_not_marked_as_changed_keeps_its_steps(self):
         job = self.make("j")
         self.assertEqual(self.list_names(), ["j.0.0"])
         job.close(QueueJobState.CANCELLED, 0.0)
@@ -70,10 +70,10 @@
 
 
 class TestCost(PoolCase):
-    """How many workers are looked at when room becomes free."""
+    """Number of workers that are examined when capacity is freed."""
 
     async def count_candidates(self, workers: int) -> float:
-        """Return how many workers are tested for each start in a full pool."""
+        """Return the number of examined workers per start in a full pool."""
         cluster = await self.begin(
             workers=workers, behave=lambda t, a: Work(timedelta(seconds=40))
         )
@@ -110,7 +110,7 @@
         return examined / started
 
     @virtual
-    async def test_looks_for_a_start_do_not_grow_with_workers(self):
+    async def test_examined_workers_per_start_do_not_grow_with_the_pool(self):
         few = await self.count_candidates(8)
         many = await self.count_candidates(48)
         self.assertLess(many, 1.2 * few)
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,4 +1,4 @@
-"""Queues of jobs on pools: the whole path in one process, under failure."""
+"""Queues of jobs on pools, from submission to end in one process, with faults."""
 
 import asyncio
 from datetime import timedelta
@@ -32,10 +32,10 @@
 
 
 class TestJobs(PoolCase):
-    """Jobs from their callers to their end."""
+    """Jobs from their submission to their end."""
 
     @virtual
-    async def test_a_job_completes_and_every_daemon_tells_so(self):
+    async def test_a_job_completes_and_every_daemon_reports_it(self):
         cluster = await self.begin()
         await cluster.submit("j1", make_job())
         for name in cluster.daemons:
@@ -55,7 +55,7 @@
         self.end()
 
     @virtual
-    async def test_an_unknown_job_is_none(self):
+    async def test_an_unknown_job_is_not_found(self):
         cluster = await self.begin()
         self.assertEqual(
             await cluster.daemons["d1"].frontend.read_state("x"), JobNotFound()
@@ -66,7 +66,7 @@
         self.end()
 
     @virtual
-    async def test_a_lost_answer_of_the_store_is_not_told_as_not_taken(self):
+    async def test_a_lost_answer_of_the_store_is_not_reported_as_a_refusal(self):
         cluster = await self.begin()
         daemon = cluster.daemons["d1"]
         daemon.store.faults.plan("commit", FaultKind.LOSE_ANSWER)
@@ -77,7 +77,7 @@
         self.end()
 
     @virtual
-    async def test_a_late_write_of_the_store_stays_unsettled(self):
+    async def test_a_late_write_of_the_store_stays_unconfirmed(self):
         cluster = await self.begin()
         daemon = cluster.daemons["d1"]
         for each in cluster.daemons.values():
@@ -88,7 +88,7 @@
         self.end()
 
     @virtual
-    async def test_a_store_that_refuses_makes_a_refusal_with_a_time_to_come_back(self):
+    async def test_a_refusal_of_the_store_gives_the_caller_a_retry_time(self):
         cluster = await self.begin()
         daemon = cluster.daemons["d1"]
         for each in cluster.daemons.values():
@@ -105,7 +105,7 @@
         self.end()
 
     @virtual
-    async def test_a_daemon_that_the_store_turns_away_lets_others_store_jobs(self):
+    async def test_a_daemon_that_the_store_refuses_lets_others_store_jobs(self):
         cluster = await self.begin()
         other = cluster.find_other_daemon()
         other.store.faults.outage = True
@@ -118,7 +118,9 @@
         self.end()
 
     @virtual
-    async def test_a_silent_store_makes_refusals_at_once_that_are_true(self):
+    async def test_jobs_refused_at_once_while_the_store_is_silent_are_never_stored(
+        self,
+    ):
         cluster = await self.begin()
         for each in cluster.daemons.values():
             each.store.faults.pause()
@@ -135,7 +137,7 @@
         self.end()
 
     @virtual
-    async def test_a_job_that_its_owner_was_not_told_of_is_found(self):
+    async def test_a_job_that_was_not_announced_to_the_owner_is_found(self):
         cluster = await self.begin()
         owner, other = cluster.find_owner(), cluster.find_other_daemon()
         cluster.switch.cut(other.name, owner.name)
@@ -157,7 +159,7 @@
 
 
 class TestSteps(PoolCase):
-    """Steps, attempts, gangs, placement."""
+    """Steps, attempts, gangs and placement."""
 
     @virtual
     async def test_a_step_waits_for_the_steps_before_it(self):
@@ -177,7 +179,7 @@
         self.end()
 
     @virtual
-    async def test_a_failed_task_is_tried_as_often_as_its_queue_allows(self):
+    async def test_a_failed_task_has_the_attempts_that_its_queue_allows(self):
         cluster = await self.begin(behave=lambda t, a: Work(HALF, EndKind.FAILED))
         await cluster.submit("j1", make_job())
         await cluster.wait_for_state("j1", QueueJobState.FAILED)
@@ -200,7 +202,7 @@
         self.end()
 
     @virtual
-    async def test_a_gang_of_which_one_order_fails_is_stopped_and_tried_again(self):
+    async def test_a_gang_with_a_failed_order_is_stopped_and_started_again(self):
         cluster = await self.begin()
         owner = cluster.find_owner()
         owner.workers.faults.plan("start", FaultKind.REFUSE)
@@ -217,7 +219,7 @@
         self.end()
 
     @virtual
-    async def test_a_gang_of_which_one_answer_is_lost_runs_on(self):
+    async def test_a_gang_with_a_lost_answer_keeps_running(self):
         cluster = await self.begin()
         owner = cluster.find_owner()
         owner.workers.faults.plan("start", FaultKind.LOSE_ANSWER)
@@ -228,7 +230,7 @@
         self.end()
 
     @virtual
-    async def test_no_worker_is_given_more_than_it_holds(self):
+    async def test_no_worker_gets_more_than_its_capacity(self):
         cluster = await self.begin(workers=2)
         await cluster.submit("j1", make_job(StepSpec(30, Size(1500, 10, 0), SECOND)))
         most = 0
@@ -243,7 +245,7 @@
         self.end()
 
     @virtual
-    async def test_at_most_so_many_tasks_of_a_step_share_a_worker(self):
+    async def test_the_spread_limits_the_tasks_of_a_step_on_a_worker(self):
         cluster = await self.begin(workers=3)
         await cluster.submit("j1", make_job(StepSpec(3, SMALL, SECOND, spread=1)))
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
@@ -251,7 +253,7 @@
         self.end()
 
     @virtual
-    async def test_a_label_binds_a_step_to_the_workers_that_carry_it(self):
+    async def test_a_step_with_a_label_runs_on_workers_with_that_label(self):
         cluster = await self.begin()
         await cluster.submit("j1", make_job(StepSpec(6, SMALL, SECOND, label="r1")))
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
@@ -270,7 +272,7 @@
         self.end()
 
     @virtual
-    async def test_advice_that_is_lost_and_comes_again_is_told(self):
+    async def test_a_lost_advisor_and_its_return_are_logged(self):
         cluster = await self.begin(queues=(make_queue(advice=TERMS),))
         for daemon in cluster.daemons.values():
             daemon.advisor.faults.plan("ask", FaultKind.REFUSE)
@@ -331,10 +333,10 @@
 
 
 class TestCancelling(PoolCase):
-    """Cancels, at once and for good."""
+    """Cancellations take effect at once and are final."""
 
     @virtual
-    async def test_a_cancelled_job_is_stopped_and_never_starts_again(self):
+    async def test_a_cancelled_job_is_stopped_and_not_started_again(self):
         cluster = await self.begin(behave=lambda t, a: Work(timedelta(seconds=30)))
         await cluster.submit("j1", make_job(StepSpec(20, SMALL, SECOND)))
         await asyncio.sleep(0.5)
@@ -351,7 +353,7 @@
         self.end()
 
     @virtual
-    async def test_a_cancel_reaches_an_owner_that_could_not_be_asked(self):
+    async def test_a_cancel_reaches_an_unreachable_owner_through_the_store(self):
         cluster = await self.begin(behave=lambda t, a: Work(timedelta(seconds=30)))
         owner, other = cluster.find_owner(), cluster.find_other_daemon()
         await cluster.submit("j1", make_job(), other.name)
--- a/tests/test_pools_capacity.py
+++ b/tests/test_pools_capacity.py
@@ -1,4 +1,4 @@
-"""Workers whose room shrinks and grows while they run."""
+"""Workers whose capacity shrinks and grows while they run."""
 
 import asyncio
 from datetime import timedelta
@@ -22,7 +22,7 @@
 
 
 class TestShrinking(PoolCase):
-    """Nothing starts beyond a room that has shrunk."""
+    """No task starts beyond a capacity that has shrunk."""
 
     async def begin_work(self, workers: int, tasks: int, seconds: float) -> PoolCluster:
         """Start a cluster that is busy with one wide step."""
@@ -34,7 +34,7 @@
         return cluster
 
     @virtual
-    async def test_a_worker_that_has_shrunk_gets_what_it_can_hold(self):
+    async def test_a_worker_that_has_shrunk_gets_tasks_up_to_its_capacity(self):
         cluster = await self.begin(workers=1)
         await cluster.submit("j1", make_job(StepSpec(16, SMALL, SECOND)))
         await asyncio.sleep(0.5)
@@ -44,7 +44,7 @@
         self.end()
 
     @virtual
-    async def test_one_that_has_grown_again_is_filled(self):
+    async def test_a_worker_that_has_grown_again_is_filled(self):
         cluster = await self.begin(workers=1)
         cluster.resize("w0", QUARTER)
         await asyncio.sleep(3)
@@ -57,7 +57,7 @@
         self.end()
 
     @virtual
-    async def test_nothing_is_started_by_a_room_that_may_have_shrunk_long_ago(self):
+    async def test_no_task_starts_on_an_outdated_capacity(self):
         cluster = await self.begin_work(workers=2, tasks=60, seconds=0.9)
         cluster.begin_outage()
         for worker in ("w0", "w1"):
@@ -67,23 +67,24 @@
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         self.end()
 
-    # Rooms were dated by their reading: one read as the store came back was believed.
+    # The age of a capacity counted from its reading, so one read as the store returned
+    # counted as fresh.
     @virtual
-    async def test_an_outage_dates_no_room_anew(self):
+    async def test_a_capacity_read_after_an_outage_keeps_its_age(self):
         for longer in (0.2, 0.5, 0.8, 1.1):
             await self.shrink_in_an_outage(longer)
             self.end()
 
-    # A successor read the rooms as the store came back, and they seemed to be new.
+    # The capacities that a successor read as the store returned seemed to be fresh.
     @virtual
-    async def test_a_successor_dates_no_room_anew(self):
+    async def test_a_capacity_read_by_a_successor_keeps_its_age(self):
         await self.shrink_in_an_outage(0.0, is_owner_killed=True)
         self.end()
 
     async def shrink_in_an_outage(
         self, longer: float, is_owner_killed: bool = False
     ) -> None:
-        """Let the store be away until shrunken rooms count, and some seconds longer."""
+        """Keep the store down until shrunken sizes apply, and some seconds longer."""
         cluster = await self.begin_work(workers=4, tasks=400, seconds=0.4)
         for name in cluster.workers:
             cluster.resize(name, QUARTER)
@@ -94,9 +95,9 @@
         cluster.heal()
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=120)
 
-    # Nothing was started on any worker until the store had told of all.
+    # No task started on any worker until the store had reported all capacities.
     @virtual
-    async def test_in_an_outage_work_goes_on_by_rooms_that_still_count(self):
+    async def test_tasks_start_in_an_outage_while_capacities_are_fresh(self):
         cluster = await self.begin_work(workers=2, tasks=200, seconds=0.4)
         cluster.begin_outage()
         await asyncio.sleep(CONTACT_BOUND.total_seconds())
@@ -106,7 +107,7 @@
         self.end()
 
     @virtual
-    async def test_a_gang_starts_beside_a_worker_that_holds_more_than_it_may(self):
+    async def test_a_gang_starts_beside_an_overfilled_worker(self):
         cluster = await self.begin(
             workers=4, behave=lambda t, a: Work(timedelta(seconds=8))
         )
@@ -122,10 +123,10 @@
 
 
 class TestOwnerTerm(PoolCase):
-    """Who may no longer start tasks starts no copies either."""
+    """An owner that may no longer start tasks starts no copies either."""
 
     @virtual
-    async def test_an_owner_whose_mandate_is_too_old_starts_no_copies(self):
+    async def test_an_owner_with_an_expired_lease_starts_no_copies(self):
         cluster = await self.begin(
             workers=2, behave=lambda t, a: Work(timedelta(seconds=30))
         )
--- a/tests/test_pools_chaos.py
+++ b/tests/test_pools_chaos.py
@@ -1,4 +1,4 @@
-"""Random faults against the whole of the pools, in virtual time, by seed."""
+"""Random faults, by seed, against all components of the pools in virtual time."""
 
 import asyncio
 import os
@@ -18,13 +18,13 @@
 from standins.pools import Work
 from tests.poolcluster import SECOND, SIZE, TERMS, PoolCluster, make_queue
 
-# DAMASKDECK_CHAOS=FROM:TO plays other seeds.
+# DAMASKDECK_CHAOS=FROM:TO selects other seeds.
 FIRST, _, LAST = os.environ.get("DAMASKDECK_CHAOS", "0:16").partition(":")
 SEEDS = range(int(FIRST), int(LAST))
 FAULT_SECONDS = 25.0
-# After the last fault everything that can end has ended by then.
+# By this time after the last fault, every job that can end has ended.
 SETTLE_SECONDS = 90.0
-# The platform's bound from the answer to a cancel to the last start.
+# The platform's bound on the time from the answer to a cancellation to the last start.
 CANCEL_LIMIT = timedelta(seconds=3)
 
 Fault = Callable[["Chaos"], None]
@@ -38,9 +38,10 @@
 
 
 class Chaos:
-    """One run: jobs, faults, and what must hold of them.
+    """One run: jobs, faults and the invariants to check.
 
-    :cvar zones: of the workers; with several, jobs are confined to some of them.
+    :cvar zones: number of the workers' zones; with several, jobs are confined to some
+        of them.
     """
 
     zones = 1
@@ -67,9 +68,9 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def behave(self, task, attempt: int) -> Work:
-        """Let tasks last for a while and fail at times."""
+        """Let a task run for a while, and fail at times."""
         is_gang = self.specs[task.job].steps[task.step].is_gang
-        # Members of a gang end together, and alike.
+        # All members of a gang end at the same time and in the same way.
         random = Random(f"{task[:3] if is_gang else task}{attempt}")
         kind = EndKind.FAILED if random.random() < 0.08 else EndKind.COMPLETED
         return Work(timedelta(seconds=random.uniform(0.2, 3.0)), kind)
@@ -82,7 +83,7 @@
     # Actions -------------------------------------------------------------------
 
     def pick_daemon(self):
-        """Return a daemon, one that lives if any does, the owner by preference."""
+        """Return a running daemon if there is one, the owner in half of the cases."""
         daemons = list(self.cluster.daemons.values())
         living = [d for d in daemons if not d.is_killed] or daemons
         owner = self.cluster.find_owner()
@@ -96,7 +97,7 @@
         return self.random.choice([w for w in workers if w.is_up] or workers)
 
     def later(self, seconds: float, action: Callable[[], None]) -> None:
-        """Do something after a while."""
+        """Run an action after a delay."""
 
         async def wait() -> None:
             await asyncio.sleep(seconds)
@@ -105,7 +106,7 @@
         self._tasks.add(asyncio.ensure_future(wait()))
 
     async def submit(self, number: int) -> None:
-        """Hand a job in through some daemon, again until it is settled."""
+        """Submit a job through any daemon, repeatedly until it is accepted."""
         random = self.random
         steps = [
             StepSpec(
@@ -130,10 +131,10 @@
             if done == JobAccepted():
                 return
             await asyncio.sleep(random.uniform(0.1, 1.0))
-        self.problems.append(f"{name} was never taken: {done}")
+        self.problems.append(f"{name} was never accepted: {done}")
 
     async def cancel(self, number: int) -> None:
-        """Cancel a job that may have been taken."""
+        """Cancel a job that may have been accepted."""
         name = f"j{number:03}"
         daemon = self.pick_daemon()
         if daemon.is_killed:
@@ -145,7 +146,7 @@
     # Run -----------------------------------------------------------------------
 
     async def run(self) -> list[str]:
-        """Play the run; returns what did not hold."""
+        """Execute the run and return the violations."""
         await self.cluster.start()
         monitor = asyncio.ensure_future(self.watch_capacity())
         jobs = []
@@ -191,7 +192,7 @@
             daemon.store.late = daemon.workers.late = False
 
     async def watch_capacity(self) -> None:
-        """Look again and again whether a worker holds more than it can."""
+        """Check continuously that no worker exceeds its capacity."""
         while True:
             await asyncio.sleep(0.05)
             for name, worker in self.cluster.workers.items():
@@ -204,7 +205,7 @@
                     self.problems.append(f"{name} is overfilled: {used}")
 
     async def wait_for_ends(self) -> None:
-        """Wait until every job has ended and told so by each daemon."""
+        """Wait until every job has ended and any daemon reports that."""
         ends = self.cluster.clock.monotonic() + timedelta(seconds=SETTLE_SECONDS)
         open_jobs = set(self.specs)
         while open_jobs and self.cluster.clock.monotonic() < ends:
@@ -220,13 +221,13 @@
             self.problems.append(f"never ended: {sorted(open_jobs)}")
 
     def check_epochs(self) -> None:
-        """Check that no two mandates had one epoch."""
+        """Check that no two terms had the same epoch."""
         epochs = self.cluster.epochs
         if len(epochs) != len(set(epochs)):
             self.problems.append(f"an epoch was used twice: {epochs}")
 
     def check_cancels(self) -> None:
-        """Check that nothing of a cancelled job started once all was well."""
+        """Check that no task of a cancelled job started once all faults had ended."""
         for name, cancelled_at in self.cancelled.items():
             limit = max(cancelled_at, self.healed_at) + CANCEL_LIMIT
             if any(row[0] > limit for row in self.cluster.list_starts(name)):
@@ -246,12 +247,14 @@
             indexes = {task.index for task in completed if task.step == number}
             is_whole = bool(indexes) if spec.is_gang else len(indexes) == spec.tasks
             if not is_whole:
-                self.problems.append(f"{name} is told completed without step {number}")
+                self.problems.append(
+                    f"{name} is reported completed without step {number}"
+                )
 
 
 @fault
 def kill_daemon(chaos: Chaos) -> None:
-    """Kill a daemon; it starts again a second later."""
+    """Kill a daemon and start it again a second later."""
     daemon = chaos.pick_daemon()
     if daemon.is_killed:
         return
@@ -261,7 +264,7 @@
 
 @fault
 def kill_all(chaos: Chaos) -> None:
-    """Kill every daemon at once."""
+    """Kill all daemons at once."""
     if chaos.random.random() < 0.6:
         return
     for daemon in list(chaos.cluster.daemons.values()):
@@ -273,7 +276,7 @@
 
 @fault
 def freeze_daemon(chaos: Chaos) -> None:
-    """Let a daemon stand still for a while, cut from its peers."""
+    """Freeze a daemon for a while and cut it off from the store."""
     daemon = chaos.pick_daemon()
     daemon.freeze()
     daemon.store.faults.pause()
@@ -282,8 +285,8 @@
 
 
 @fault
-def turn_away(chaos: Chaos) -> None:
-    """Let the store turn a daemon away, with its keys gone."""
+def refuse_daemon(chaos: Chaos) -> None:
+    """Let the store refuse a daemon and remove its keys."""
     daemon = chaos.pick_daemon()
     daemon.store.faults.outage = True
     chaos.cluster.store.revoke(MEMBERS_PREFIX + daemon.name)
@@ -298,7 +301,7 @@
 
 @fault
 def stop_store(chaos: Chaos) -> None:
-    """Let the store be away for all."""
+    """Let the store hang for all daemons."""
     daemons = list(chaos.cluster.daemons.values())
     for daemon in daemons:
         daemon.store.faults.pause()
@@ -312,7 +315,7 @@
 
 @fault
 def slow_store(chaos: Chaos) -> None:
-    """Let the store answer slowly, and not everybody as slowly."""
+    """Let the store answer slowly, by a different delay for each daemon."""
     daemons = list(chaos.cluster.daemons.values())
     for daemon in daemons:
         daemon.store.faults.delay = SECOND * chaos.random.uniform(0.05, 0.4)
@@ -326,7 +329,7 @@
 
 @fault
 def lose_commits(chaos: Chaos) -> None:
-    """Let commits be done, or done late, without an answer."""
+    """Let commits take effect, possibly late, without an answer."""
     for daemon in chaos.cluster.daemons.values():
         daemon.store.late = chaos.random.random() < 0.5
         count = chaos.random.randint(1, 4)
@@ -335,7 +338,7 @@
 
 @fault
 def lose_starts(chaos: Chaos) -> None:
-    """Let orders be carried out, or carried out late, without an answer."""
+    """Let orders be carried out, possibly late, without an answer."""
     daemon = chaos.pick_daemon()
     daemon.workers.late = chaos.random.random() < 0.6
     count = chaos.random.randint(1, 5)
@@ -344,7 +347,7 @@
 
 @fault
 def cut_worker(chaos: Chaos) -> None:
-    """Cut a worker from a daemon, or from all of them."""
+    """Cut a worker off from one daemon or from all."""
     worker = chaos.pick_worker().info.identifier
     daemons = list(chaos.cluster.daemons.values())
     if chaos.random.random() < 0.5:
@@ -361,7 +364,7 @@
 
 @fault
 def crash_worker(chaos: Chaos) -> None:
-    """Let a worker crash; a new life begins at its address."""
+    """Let a worker crash; a new incarnation starts at its address."""
     worker = chaos.pick_worker()
     if not worker.is_up:
         return
@@ -379,7 +382,7 @@
 
 @fault
 def cut_peers(chaos: Chaos) -> None:
-    """Cut a daemon from its peers."""
+    """Cut a daemon off from its peers."""
     daemon = chaos.pick_daemon()
     for other in chaos.cluster.daemons.values():
         if other is not daemon:
@@ -394,7 +397,7 @@
 
 
 def cut_zone(chaos: Chaos) -> None:
-    """Cut a zone off, with the owner in it by preference."""
+    """Cut a zone off, preferably with the owner in it."""
     cluster = chaos.cluster
     zone = chaos.random.choice(sorted({w.info.zone for w in cluster.workers.values()}))
     cluster.cut_zone(zone, (chaos.pick_daemon().name,))
@@ -402,7 +405,7 @@
 
 
 class ZonedChaos(Chaos):
-    """A run in three availability zones that are cut off, too."""
+    """A run with three availability zones that are cut off as well."""
 
     zones = 3
 
@@ -414,11 +417,11 @@
 class CrashingChaos(ZonedChaos):
     """A run in which some jobs crash the workers that start them."""
 
-    # Of the jobs whose first task crashes each of its workers.
+    # Share of the jobs whose first task crashes every worker that starts it.
     share = 0.08
 
     def behave(self, task, attempt: int) -> Work:
-        """Let the first task of some jobs end its worker's life."""
+        """Let the first task of some jobs crash its worker."""
         work = super().behave(task, attempt)
         if not self.is_bad(task.job) or (task.step, task.index) != (0, 0):
             return work
@@ -427,11 +430,11 @@
         return work._replace(duration=work.duration + delay, crash_after=delay)
 
     def is_bad(self, job: str) -> bool:
-        """Whether a job's first task crashes workers."""
+        """Whether the first task of a job crashes workers."""
         return Random(f"bad {job}").random() < self.share
 
     def check_final(self, name: str, state: QueueJobState) -> None:
-        """Check that a job that is told failed has a cause that the workers saw."""
+        """Check that a failure that the workers saw explains a failed job."""
         super().check_final(name, state)
         if state is not QueueJobState.FAILED:
             return
@@ -447,11 +450,11 @@
         if max(failed.values(), default=0) >= attempts:
             return
         if max(crashed.values(), default=0) < 2:
-            self.problems.append(f"{name} is told failed without a cause")
+            self.problems.append(f"{name} is reported failed without a cause")
 
 
 def resize_worker(chaos: Chaos) -> None:
-    """Let a worker shrink, or grow again."""
+    """Let a worker shrink or grow."""
     worker = chaos.pick_worker()
     share = chaos.random.choice((0, 1, 2, 4)) / 4
     size = Size(*(int(amount * share) for amount in SIZE))
@@ -459,14 +462,14 @@
 
 
 class ShrinkingChaos(CrashingChaos):
-    """A run in which workers shrink and grow, too."""
+    """A run in which workers shrink and grow as well."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
         self.faults += [resize_worker] * 8
 
     def heal(self) -> None:
-        """End all faults, and let all workers have their room."""
+        """End all faults and restore the size of all workers."""
         super().heal()
         for name, worker in self.cluster.workers.items():
             if worker.is_up:
@@ -474,7 +477,7 @@
 
 
 def play(kind: type[Chaos], seed: int) -> tuple[list[str], list[str]]:
-    """Play a seed; return the broken promises and the faults that there were."""
+    """Run a seed; return the violations and the faults drawn."""
 
     async def run() -> tuple[list[str], list[str]]:
         chaos = kind(seed)
@@ -486,17 +489,18 @@
 class TestFoundSeeds(unittest.TestCase):
     """Seeds that have shown a fault."""
 
-    # A task was given up for a crash that came after it had ended, its end untold.
+    # A task was given up for a crash that came after the task had ended, before that
+    # end was reported.
     def test_an_end_that_goes_with_its_worker_is_no_crash(self):
         problems, faults = play(CrashingChaos, 631)
         self.assertEqual(problems, [], faults)
 
 
 class TestChaos(unittest.TestCase):
-    """Whatever happens, no task runs twice and every job ends."""
+    """Under all faults no task runs twice and every job ends."""
 
     def play(self, kind: type[Chaos]) -> None:
-        """Play all seeds."""
+        """Run all seeds."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 problems, faults = play(kind, seed)
--- a/tests/test_pools_kinds.py
+++ b/tests/test_pools_kinds.py
@@ -1,4 +1,4 @@
-"""Steps of the less usual kinds: lasting, timed, near their data, on one rack."""
+"""Special kinds of steps: long-running, timed, near their data, on one rack."""
 
 import asyncio
 from datetime import timedelta
@@ -17,29 +17,29 @@
 LONG = timedelta(seconds=8)
 
 
-def make_board_job(spec, arrived_at: float = 0.0) -> Job:
-    """Return a job as an owner holds it."""
+def make_pool_job(spec, arrived_at: float = 0.0) -> Job:
+    """Return a job as the owner holds it."""
     return Job(JobRecord("j1", make_queue(), spec, 1, 0.0), arrived_at)
 
 
-class TestLasting(PoolCase):
+class TestLongRunning(PoolCase):
     """Tasks that run until their job is cancelled."""
 
     @virtual
-    async def test_a_lasting_task_is_restarted_however_it_ends(self):
+    async def test_a_long_running_task_is_restarted_however_it_ends(self):
         kinds = [EndKind.FAILED, EndKind.COMPLETED, EndKind.FAILED, EndKind.FAILED]
         cluster = await self.begin(
             behave=lambda t, a: Work(SECOND, kinds[a % len(kinds)], SECOND / 2)
         )
-        lasting = StepSpec(2, SMALL, is_long_running=True)
-        await cluster.submit("j1", make_job(lasting))
+        long_running = StepSpec(2, SMALL, is_long_running=True)
+        await cluster.submit("j1", make_job(long_running))
         await asyncio.sleep(12)
         self.assertGreaterEqual(len(cluster.list_starts()), 16)
         await cluster.wait_for_state("j1", QueueJobState.RUNNING)
         self.cluster.close()
 
     @virtual
-    async def test_a_lasting_task_outlives_its_owner_and_ends_with_its_job(self):
+    async def test_a_long_running_task_outlives_its_owner_and_ends_with_its_job(self):
         cluster = await self.begin(
             behave=lambda t, a: Work(timedelta(hours=1), startup=SECOND / 2)
         )
@@ -56,8 +56,8 @@
         self.end()
 
     @virtual
-    async def test_a_lasting_task_is_in_time_whenever_it_is_down(self):
-        job = make_board_job(make_job(StepSpec(1, SMALL, SECOND, is_long_running=True)))
+    async def test_a_long_running_task_is_always_on_time(self):
+        job = make_pool_job(make_job(StepSpec(1, SMALL, SECOND, is_long_running=True)))
         urgency = measure_urgency(next(job.list_steps()), 10_000.0)
         self.assertEqual(urgency.deadline_status, DeadlineStatus.ON_TIME)
 
@@ -66,9 +66,9 @@
     """Jobs that run at set times."""
 
     @virtual
-    async def test_an_occurrence_is_judged_from_when_it_was_due(self):
+    async def test_the_urgency_of_an_occurrence_counts_from_its_due_time(self):
         spec = make_job(repeats=2, start_at=SECOND, interval=SECOND)
-        job = make_board_job(spec, arrived_at=0.0)
+        job = make_pool_job(spec, arrived_at=0.0)
         job.open_occurrence(1, due_at=500.0)
         (step,) = job.occurrences[1]
         self.assertEqual(
@@ -79,9 +79,9 @@
         )
 
     @virtual
-    async def test_one_occurrence_is_not_judged_by_the_work_of_others(self):
+    async def test_the_urgency_of_an_occurrence_ignores_the_work_of_others(self):
         spec = make_job(repeats=2, start_at=SECOND, interval=SECOND)
-        job = make_board_job(spec)
+        job = make_pool_job(spec)
         job.open_occurrence(0, due_at=100.0)
         job.open_occurrence(1, due_at=101.0)
         (first,), (second,) = job.occurrences[0], job.occurrences[1]
@@ -90,7 +90,7 @@
         self.assertEqual(measure_urgency(second, 101.0), before)
 
     @virtual
-    async def test_an_occurrence_between_others_that_lasted_is_not_passed_over(self):
+    async def test_an_occurrence_between_restored_ones_is_not_skipped(self):
         cluster = await self.begin(daemons=1, workers=2)
         owner = cluster.find_owner().owner
         wall = cluster.clock.now().timestamp()
@@ -110,7 +110,7 @@
 
 
 class TestRacks(PoolCase):
-    """Steps that run faster near their data, or on one rack."""
+    """Steps that run faster near their data or on one rack."""
 
     @virtual
     async def test_a_step_runs_near_its_data(self):
@@ -121,7 +121,7 @@
         self.end()
 
     @virtual
-    async def test_a_step_waits_a_little_for_room_near_its_data(self):
+    async def test_a_step_waits_a_little_for_capacity_near_its_data(self):
         cluster = await self.begin()
         full = StepSpec(2, WHOLE, SECOND, label="r1")
         await cluster.submit("j0", make_job(full))
@@ -133,7 +133,7 @@
         self.end()
 
     @virtual
-    async def test_a_step_goes_far_when_no_room_comes_near_its_data(self):
+    async def test_a_step_runs_on_other_racks_if_none_near_its_data_is_freed(self):
         cluster = await self.begin(behave=lambda t, a: Work(LONG))
         await cluster.submit("j0", make_job(StepSpec(2, WHOLE, LONG, label="r1")))
         await cluster.wait(lambda: len(cluster.list_starts("j0")) == 2)
@@ -144,7 +144,7 @@
         self.end()
 
     @virtual
-    async def test_a_step_whose_rack_is_away_goes_far_at_once(self):
+    async def test_a_step_whose_rack_does_not_exist_runs_elsewhere_at_once(self):
         cluster = await self.begin()
         began = cluster.clock.monotonic()
         await cluster.submit("j1", make_job(StepSpec(2, SMALL, LONG, near="r7")))
@@ -153,7 +153,7 @@
         self.end()
 
     @virtual
-    async def test_a_step_for_one_rack_stays_on_it(self):
+    async def test_a_step_that_needs_one_rack_runs_on_one(self):
         cluster = await self.begin()
         step = StepSpec(6, SMALL, SECOND, needs_one_rack=True)
         await cluster.submit("j1", make_job(step))
@@ -171,7 +171,7 @@
         self.end()
 
     @virtual
-    async def test_a_gang_goes_to_several_racks_when_none_comes_free(self):
+    async def test_a_gang_runs_on_several_racks_if_none_is_freed(self):
         long = timedelta(seconds=30)
         cluster = await self.begin(
             behave=lambda t, a: Work(long if t.job == "j0" else SECOND)
@@ -187,10 +187,10 @@
 
 
 class TestGuards(PoolCase):
-    """Workers that reject what doesn't fit."""
+    """Workers that refuse orders that do not fit."""
 
     @virtual
-    async def test_a_worker_without_room_is_not_asked_over_and_over(self):
+    async def test_a_worker_without_capacity_is_not_ordered_repeatedly(self):
         cluster = await self.begin(workers=1)
         worker = cluster.workers["w0"]
         asked = []
--- a/tests/test_pools_overload.py
+++ b/tests/test_pools_overload.py
@@ -1,10 +1,10 @@
-"""A control plane that is behind: it may be slow, but it must not depose itself.
+"""An overloaded control plane may be slow, but must not depose its owner repeatedly.
 
-The pattern: each process needs time for each message, as entry instances with a tenth
-of a core do, and messages come faster than the owner serves them. It then answers beats
-late, by a second and more. What took over from it loaded the same jobs and workers, was
-asked by all daemons whether it lives, and was behind as well: a takeover a second for
-good, with nothing started.
+The load: each process needs time for each message, as entry instances with a tenth of a
+core do, and messages arrive faster than the owner handles them. It then replies to
+heartbeat requests late by a second or more. Each successor loaded the same jobs and
+workers, was checked for liveness by all daemons and was overloaded as well: one
+takeover a second without end, and no task started.
 """
 
 import asyncio
@@ -24,16 +24,16 @@
 from tests.poolcluster import SECOND, PoolCase, PoolCluster, make_job
 from tests.virtual import virtual
 
-# What a message takes to serve on the smallest instances: 1.5 ms of a whole core.
+# Time to handle a message on a tenth of a core: 1.5 ms of a whole core.
 WORK = timedelta(milliseconds=15)
 DAEMONS = 24
 
 
 class TestOverload(PoolCase):
-    """Takeovers while the owner is behind."""
+    """Takeovers while the owner is overloaded."""
 
     async def load_owner(self, rate: float, seconds: float) -> None:
-        """Let daemons ask the owner for numbers, so many a second."""
+        """Let daemons send requests to the owner at a rate per second."""
         rng = random.Random(1)
         names = list(self.cluster.daemons)
         calls = []
@@ -60,7 +60,7 @@
         return cluster
 
     @virtual
-    async def test_an_owner_that_is_behind_is_not_deposed_again_and_again(self):
+    async def test_an_overloaded_owner_is_not_deposed_repeatedly(self):
         cluster = await self.begin_slow_cluster()
         await self.load_owner(rate=1.3 / WORK.total_seconds(), seconds=8)
         self.assertLessEqual(len(cluster.epochs), 1)
@@ -84,7 +84,9 @@
         self.end()
 
     @virtual
-    async def test_a_successor_is_heard_while_beats_to_the_lost_owner_hang(self):
+    async def test_a_successor_is_seen_alive_despite_hanging_requests(
+        self,
+    ):
         cluster = await self.begin(daemons=7)
         await cluster.run_first_job()
         owner = cluster.find_owner()
@@ -102,7 +104,7 @@
         self.end()
 
     @virtual
-    async def test_doubting_an_owner_asks_as_few_in_a_large_system(self):
+    async def test_consulting_witnesses_costs_no_more_in_a_large_deployment(self):
         cluster = await self.begin(daemons=48, workers=2)
         await cluster.run_first_job()
         owner = cluster.find_owner()
@@ -115,10 +117,10 @@
 
 
 class TestZones(PoolCase):
-    """The owner's availability zone is cut off, and with it many who would watch."""
+    """The owner's availability zone is cut off, together with many daemons."""
 
     @virtual
-    async def test_some_watch_from_another_zone_than_the_owners(self):
+    async def test_an_owner_is_monitored_from_other_zones(self):
         self.cluster = cluster = PoolCluster(daemons=0, workers=6, zones=2)
         inside = [f"a{number}" for number in range(4)]
         for name in inside:
@@ -142,7 +144,7 @@
 
 
 class TestOwnerLiveness(unittest.TestCase):
-    """How long a daemon waits for signs of the owner."""
+    """The timeout after which a daemon suspects the owner."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -150,35 +152,35 @@
         self.liveness.follow(1)
 
     def reply(self, took: timedelta, count: int = 30) -> None:
-        """Let the owner answer beats."""
+        """Let the owner reply to heartbeat requests."""
         for _ in range(count):
             sent = self.clock.monotonic().total_seconds()
             self.clock.move(took)
             self.liveness.record_reply(1, sent)
 
-    def test_a_prompt_owner_is_missed_soon(self):
+    def test_a_prompt_owner_has_the_shortest_timeout(self):
         self.reply(timedelta(milliseconds=4))
         self.assertEqual(self.liveness.find_timeout(0), MIN_SILENCE.total_seconds())
 
-    def test_a_successor_is_left_alone_until_it_has_answered(self):
+    def test_a_successor_has_a_longer_timeout_until_its_first_reply(self):
         self.reply(timedelta(milliseconds=4))
         self.liveness.follow(2)
         self.assertEqual(self.liveness.find_timeout(0), LOADING_SILENCE.total_seconds())
         self.clock.move(LOADING_SILENCE)
         self.assertEqual(self.liveness.find_timeout(0), MIN_SILENCE.total_seconds())
 
-    def test_a_slow_owner_is_waited_for_as_long_as_it_usually_takes(self):
+    def test_a_slow_owner_has_a_timeout_above_its_usual_response_time(self):
         self.reply(timedelta(milliseconds=800))
         self.assertGreater(self.liveness.find_timeout(0), 0.8)
 
-    def test_each_owner_that_was_deposed_alive_doubles_the_patience(self):
+    def test_each_owner_that_was_deposed_alive_doubles_the_timeout(self):
         self.reply(timedelta(milliseconds=4))
         least = MIN_SILENCE.total_seconds()
         self.assertEqual(self.liveness.find_timeout(2), 4 * least)
         longest = MAX_SILENCE.total_seconds()
         self.assertEqual(self.liveness.find_timeout(9), longest)
 
-    def test_what_the_owner_stores_is_a_sign_for_a_while(self):
+    def test_stored_changes_count_as_evidence_for_a_limited_time(self):
         self.clock.move(SECOND)
         self.liveness.record_progress()
         self.assertEqual(self.liveness.measure_silence(), 0)
--- a/tests/test_pools_takeover.py
+++ b/tests/test_pools_takeover.py
@@ -1,4 +1,4 @@
-"""Takeovers and handovers of pools: deaths, cuts, late and lost answers."""
+"""Takeovers and handovers of pools with crashes, cuts, late and lost answers."""
 
 import asyncio
 from datetime import timedelta
@@ -20,7 +20,7 @@
 
 
 class TestTakeover(PoolCase):
-    """Another owner takes over what the one before did."""
+    """A successor takes over the jobs and runs of its predecessor."""
 
     @virtual
     async def test_running_tasks_are_adopted_and_their_ends_are_kept(self):
@@ -72,7 +72,7 @@
         self.end()
 
     @virtual
-    async def test_daemons_that_hear_no_owner_do_not_wait_for_its_lease(self):
+    async def test_daemons_that_reach_no_owner_do_not_wait_for_its_lease(self):
         cluster = await self.begin(daemons=5)
         other = cluster.find_other_daemon().name
         cluster.find_owner().kill()
@@ -84,7 +84,7 @@
         self.end()
 
     @virtual
-    async def test_an_owner_whose_process_is_gone_is_succeeded_at_once(self):
+    async def test_an_owner_whose_process_has_ended_is_succeeded_at_once(self):
         cluster = await self.begin(daemons=5)
         await cluster.run_first_job()
         cluster.find_owner().kill()
@@ -131,7 +131,7 @@
         cluster = await self.begin(daemons=7, zones=3, workers=6)
         await cluster.run_first_job()
         owner = cluster.find_owner()
-        # Those whose turn would come first.
+        # The daemons whose turn would come first.
         successors = owner.leadership.list_successors()
         inside = [name for name in successors if name != owner.name][:2]
         cluster.cut_zone("z0", (owner.name, *inside))
@@ -149,7 +149,7 @@
         self.end()
 
     @virtual
-    async def test_a_minority_that_is_cut_off_takes_nothing_over(self):
+    async def test_a_minority_that_is_cut_off_takes_over_nothing(self):
         cluster = await self.begin(daemons=5)
         owner = cluster.find_owner()
         minority = [d for d in cluster.daemons.values() if d is not owner][:2]
@@ -177,7 +177,7 @@
         self.end()
 
     @virtual
-    async def test_a_worker_that_left_empty_holds_up_no_successor(self):
+    async def test_a_worker_that_left_empty_does_not_delay_a_successor(self):
         cluster = await self.begin(
             workers=2, behave=lambda t, a: Work(timedelta(seconds=3))
         )
@@ -196,7 +196,7 @@
         self.end()
 
     @virtual
-    async def test_a_slow_store_is_asked_all_at_once_by_an_heir(self):
+    async def test_a_successor_reads_a_slow_store_concurrently(self):
         cluster = await self.begin()
         await cluster.run_first_job()
         owner, other = cluster.find_owner(), cluster.find_other_daemon()
@@ -207,7 +207,7 @@
         await owner.stop()
         del cluster.daemons[owner.name]
         await cluster.wait(lambda: cluster.find_owner() is not None)
-        # Released, taken over, loaded: three calls one after the other.
+        # Release, takeover and load take three consecutive calls.
         took = cluster.clock.monotonic() - left
         self.assertLess(took, timedelta(milliseconds=900))
         await cluster.submit("j1", make_job(), other.name)
@@ -215,7 +215,7 @@
         self.end()
 
     @virtual
-    async def test_a_takeover_that_knows_an_old_fence_learns_the_new_one(self):
+    async def test_a_takeover_with_an_outdated_fence_retries_with_the_current_one(self):
         cluster = await self.begin()
         owner = cluster.find_owner()
         await owner.owner.drain()
@@ -247,7 +247,7 @@
         self.end()
 
     @virtual
-    async def test_a_deposed_owner_that_sees_nothing_stops_by_its_clock(self):
+    async def test_a_deposed_owner_without_the_store_stops_by_its_clock(self):
         cluster = await self.begin(behave=lambda t, a: Work(timedelta(seconds=60)))
         await cluster.submit("j1", make_job())
         await asyncio.sleep(0.5)
@@ -258,7 +258,7 @@
         self.end()
 
     @virtual
-    async def test_an_answer_to_a_takeover_that_was_overtaken_is_not_believed(self):
+    async def test_a_late_answer_to_an_overtaken_takeover_is_ignored(self):
         cluster = await self.begin(daemons=4)
         owner = cluster.find_owner()
         preferred_successor = cluster.daemons[
@@ -283,7 +283,7 @@
         self.end()
 
     @virtual
-    async def test_a_takeover_that_was_carried_out_late_leaves_no_empty_seat(self):
+    async def test_a_takeover_that_was_carried_out_late_leaves_no_vacancy(self):
         self.cluster = cluster = PoolCluster(daemons=1)
         daemon = cluster.daemons["d0"]
         commit = daemon.store.commit
@@ -308,7 +308,7 @@
         self.end()
 
     @virtual
-    async def test_a_revoked_hint_deposes_nobody_for_good(self):
+    async def test_a_revoked_lead_key_stops_no_work(self):
         cluster = await self.begin()
         for number in range(3):
             cluster.store.revoke(LEAD_KEY)
@@ -318,7 +318,9 @@
         self.end()
 
     @virtual
-    async def test_all_daemons_killed_at_once_go_on_within_four_seconds(self):
+    async def test_starts_resume_within_four_seconds_after_all_daemons_were_killed(
+        self,
+    ):
         cluster = await self.begin(behave=lambda t, a: Work(timedelta(seconds=3)))
         await cluster.submit("j1", make_job(StepSpec(40, SMALL, SECOND)))
         await asyncio.sleep(1)
--- a/tests/test_pools_workers.py
+++ b/tests/test_pools_workers.py
@@ -1,4 +1,4 @@
-"""Workers of pools under failure: silent, lost, replaced, doubted."""
+"""Pool workers under faults: silent, lost, replaced and suspect ones."""
 
 import asyncio
 from datetime import timedelta
@@ -24,7 +24,7 @@
     """Workers that crash, fall silent or carry orders out late."""
 
     @virtual
-    async def test_an_order_without_an_answer_is_settled_by_the_inventory(self):
+    async def test_an_order_without_an_answer_is_confirmed_by_the_inventory(self):
         cluster = await self.begin()
         cluster.find_owner().workers.faults.plan("start", FaultKind.LOSE_ANSWER)
         await cluster.submit("j1", make_job())
@@ -45,7 +45,7 @@
         self.end()
 
     @virtual
-    async def test_tasks_of_a_worker_that_came_back_anew_start_again_at_once(self):
+    async def test_tasks_of_a_replaced_worker_start_again_at_once(self):
         cluster = await self.begin(
             workers=1, behave=lambda t, a: Work(timedelta(seconds=5))
         )
@@ -72,7 +72,7 @@
         self.end()
 
     @virtual
-    async def test_leases_go_on_while_the_store_is_away(self):
+    async def test_worker_leases_are_renewed_during_a_store_outage(self):
         cluster = await self.begin(behave=lambda t, a: Work(timedelta(seconds=9)))
         await cluster.submit("j1", make_job(StepSpec(4, SMALL, SECOND)))
         await asyncio.sleep(0.5)
@@ -86,7 +86,7 @@
         self.end()
 
     @virtual
-    async def test_history_that_is_gone_is_read_anew(self):
+    async def test_a_truncated_history_is_replaced_by_a_full_read(self):
         cluster = await self.begin()
         cluster.store.forget_history()
         await cluster.submit("j1", make_job(), cluster.find_other_daemon().name)
@@ -100,10 +100,10 @@
 
 
 class TestLeaving(PoolCase):
-    """Workers that say how long they stay."""
+    """Workers that announce how long they stay."""
 
     async def run_and_retire(self, step: StepSpec, seconds: float) -> None:
-        """Run a step on a worker and let that announce its leaving after 2 s."""
+        """Run a step on one worker, and let it announce its departure after 2 s."""
         cluster = await self.begin(
             workers=1, behave=lambda t, a: Work(timedelta(seconds=6))
         )
@@ -114,7 +114,7 @@
         self.retired_at = cluster.clock.monotonic()
 
     def list_stops(self) -> list[float]:
-        """List when runs on the leaving worker were stopped, since the notice."""
+        """List the times from the announcement to the stops on the departing worker."""
         history = self.cluster.workers["w0"].history
         return [
             (ended - self.retired_at).total_seconds()
@@ -123,7 +123,7 @@
         ]
 
     @virtual
-    async def test_what_would_be_cut_off_starts_elsewhere_at_once(self):
+    async def test_a_run_that_would_be_cut_off_starts_elsewhere_at_once(self):
         await self.run_and_retire(StepSpec(2, SMALL, timedelta(seconds=6)), 2)
         await self.cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=8)
         stops = self.list_stops()
@@ -132,7 +132,7 @@
         self.end()
 
     @virtual
-    async def test_what_keeps_checkpoints_works_on_as_long_as_it_may(self):
+    async def test_a_run_with_checkpoints_continues_until_its_worker_leaves(self):
         step = StepSpec(2, SMALL, timedelta(seconds=6), is_checkpointing=True)
         await self.run_and_retire(step, 2)
         await self.cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=10)
@@ -143,7 +143,7 @@
         self.end()
 
     @virtual
-    async def test_what_ends_in_time_is_left_alone(self):
+    async def test_a_run_that_ends_in_time_is_not_stopped(self):
         await self.run_and_retire(StepSpec(2, SMALL, timedelta(seconds=6)), 6)
         await self.cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=8)
         self.assertEqual(self.list_stops(), [])
@@ -151,7 +151,7 @@
         self.end()
 
     @virtual
-    async def test_a_gang_leaves_as_a_whole(self):
+    async def test_a_gang_is_stopped_as_a_whole(self):
         gang = StepSpec(4, SMALL, timedelta(seconds=6), is_gang=True)
         await self.run_and_retire(gang, 2)
         await self.cluster.wait_for_state("j1", QueueJobState.COMPLETED, seconds=8)
@@ -160,10 +160,10 @@
 
 
 class TestTrust(PoolCase):
-    """Workers that fail everything, or on which everything stands still."""
+    """Workers that fail every task, or on which all runs stall."""
 
     @virtual
-    async def test_a_worker_that_fails_everything_is_told_from_failing_jobs(self):
+    async def test_a_worker_that_fails_every_task_is_quarantined(self):
         cluster = await self.begin(queues=(make_queue(attempts=6),))
         await cluster.submit("first", make_job(StepSpec(16, SMALL, SECOND)))
         await cluster.wait_for_state("first", QueueJobState.COMPLETED)
@@ -182,7 +182,7 @@
         self.end()
 
     @virtual
-    async def test_tasks_on_a_worker_that_stands_still_start_elsewhere(self):
+    async def test_tasks_on_a_stalled_worker_start_elsewhere(self):
         cluster = await self.begin()
         for worker in cluster.workers.values():
             worker.hangs = worker.info.identifier == "w0"
@@ -194,7 +194,7 @@
         self.end()
 
     @virtual
-    async def test_a_run_that_has_done_its_work_does_not_stand_still(self):
+    async def test_a_run_that_has_done_its_work_does_not_count_as_stalled(self):
         cluster = await self.begin(
             workers=1, behave=lambda t, a: Work(timedelta(seconds=4))
         )
@@ -206,7 +206,7 @@
         self.end()
 
     @virtual
-    async def test_what_a_task_has_gained_is_not_given_up_at_once(self):
+    async def test_a_stalled_run_with_much_progress_is_not_stopped_at_once(self):
         cluster = await self.begin(
             workers=1, behave=lambda t, a: Work(timedelta(seconds=8))
         )
@@ -222,10 +222,10 @@
 
 
 class TestSlowness(PoolCase):
-    """Workers on which everything takes several times as long."""
+    """Workers on which every task takes several times as long."""
 
-    async def begin_slowly(self, step: StepSpec, jobs: int, **terms) -> None:
-        """Let all tasks of some jobs run on four workers of which one is slow."""
+    async def run_with_slow_worker(self, step: StepSpec, jobs: int, **terms) -> None:
+        """Run all tasks of some jobs on four workers of which one is slow."""
         cluster = await self.begin(
             behave=lambda t, a: Work(timedelta(seconds=2)),
             queues=(make_queue(slack=1.5, **terms),),
@@ -239,9 +239,9 @@
             await cluster.wait_for_state(f"j{number}", QueueJobState.COMPLETED)
 
     @virtual
-    async def test_what_would_be_late_on_a_slow_worker_starts_elsewhere(self):
+    async def test_a_run_that_would_be_late_on_a_slow_worker_starts_elsewhere(self):
         step = StepSpec(3, SMALL, timedelta(seconds=2))
-        await self.begin_slowly(step, 4)
+        await self.run_with_slow_worker(step, 4)
         took = self.cluster.clock.monotonic()
         self.assertLess(took, timedelta(seconds=12))
         kinds = {row[2] for row in self.cluster.workers["w0"].history}
@@ -263,7 +263,7 @@
         self.end()
 
     @virtual
-    async def test_estimates_that_are_wrong_make_no_worker_slow(self):
+    async def test_wrong_estimates_mark_no_worker_as_slow(self):
         cluster = await self.begin(behave=lambda t, a: Work(timedelta(seconds=9)))
         step = StepSpec(3, SMALL, SECOND)
         for number in range(4):
@@ -276,7 +276,7 @@
     @virtual
     async def test_a_gang_is_moved_as_a_whole(self):
         gang = StepSpec(6, SMALL, timedelta(seconds=2), is_gang=True)
-        await self.begin_slowly(gang, 1)
+        await self.run_with_slow_worker(gang, 1)
         attempts = {}
         for _, task, attempt, _ in self.cluster.list_starts():
             attempts.setdefault(task.job, {}).setdefault(attempt, set()).add(task)
@@ -289,7 +289,7 @@
     @virtual
     async def test_a_speculative_step_gets_a_copy_beside_the_slow_run(self):
         step = StepSpec(3, SMALL, timedelta(seconds=2), is_speculative=True)
-        await self.begin_slowly(step, 1)
+        await self.run_with_slow_worker(step, 1)
         cluster = self.cluster
         self.assertLess(cluster.clock.monotonic(), timedelta(seconds=9))
         slow = cluster.workers["w0"].history[-1]
@@ -303,7 +303,7 @@
     async def test_a_copy_gets_a_fresh_ticket(self):
         step = StepSpec(3, SMALL, timedelta(seconds=2), is_speculative=True)
         brief = TERMS._replace(ticket_validity=timedelta(milliseconds=400))
-        await self.begin_slowly(step, 1, advice=brief)
+        await self.run_with_slow_worker(step, 1, advice=brief)
         self.assertLess(self.cluster.clock.monotonic(), timedelta(seconds=9))
         copies = [row for row in self.cluster.list_starts("j0") if row[2] > 1]
         self.assertEqual(len(copies), 3)
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -1,7 +1,7 @@
-"""An owner that the store turns away: others make its commits.
+"""Commits that other daemons make for an owner that the store refuses to serve.
 
-The load is that of an outage that meets the owner and a third of the daemons: quick
-checks that end in the 1.6 s before another owner is found must not be told late.
+The load is that of an outage that affects the owner and a third of the daemons: quick
+checks that end in the 1.6 s until there is another owner must not be reported late.
 """
 
 import asyncio
@@ -22,8 +22,8 @@
 class TestRelaying(PoolCase):
     """Commits through other daemons."""
 
-    async def turn_owner_away(self, *others: str):
-        """Let the store turn the owner away until it has noticed."""
+    async def refuse_owner(self, *others: str):
+        """Let the store refuse the owner until the owner has noticed it."""
         cluster = await self.begin(behave=lambda task, attempt: Work(QUICK))
         owner = cluster.find_owner()
         for name in (owner.name, *others):
@@ -33,7 +33,7 @@
         return cluster, owner
 
     @virtual
-    async def test_what_ends_meanwhile_is_told(self):
+    async def test_jobs_that_end_during_the_outage_are_reported(self):
         cluster = await self.begin(behave=lambda task, attempt: Work(QUICK))
         owner = cluster.find_owner()
         other = cluster.find_other_daemon()
@@ -49,7 +49,7 @@
 
     @virtual
     async def test_a_commit_takes_effect_once(self):
-        cluster, owner = await self.turn_owner_away()
+        cluster, owner = await self.refuse_owner()
         change = Transaction((("k", 0),), (Write("k", b"v"),))
         self.assertIsInstance(await owner.commits.commit(change), Written)
         again = await owner.commits.commit(change)
@@ -58,8 +58,8 @@
         self.end()
 
     @virtual
-    async def test_an_answer_that_is_lost_on_the_way_is_no_refusal(self):
-        cluster, owner = await self.turn_owner_away()
+    async def test_a_lost_answer_of_a_delegate_is_no_refusal(self):
+        cluster, owner = await self.refuse_owner()
         for daemon in cluster.daemons.values():
             daemon.store.faults.plan("commit", FaultKind.LOSE_ANSWER)
         change = Transaction((("k", 0),), (Write("k", b"v"),))
@@ -68,21 +68,21 @@
         self.end()
 
     @virtual
-    async def test_who_cannot_help_is_left_alone_for_a_while(self):
-        cluster, owner = await self.turn_owner_away("d0", "d1", "d2")
+    async def test_a_delegate_that_fails_is_suspended(self):
+        cluster, owner = await self.refuse_owner("d0", "d1", "d2")
         change = Transaction((("k", 0),), (Write("k", b"v"),))
         owner.commits._delegates._suspended_until.clear()
         others = len(cluster.daemons) - 1
         asked = [await owner.commits.commit(change) for _ in range(others)]
         self.assertEqual({done.code for done in asked}, {"store_failing"})
-        # Nobody is left to ask: its own way is tried again.
+        # With all delegates suspended, the owner calls the store itself again.
         last = await owner.commits.commit(change)
         self.assertEqual(last, Rejected("unreachable"))
         self.end()
 
     @virtual
-    async def test_it_hands_over_to_who_has_the_store(self):
-        cluster, owner = await self.turn_owner_away()
+    async def test_the_owner_hands_over_to_a_daemon_that_the_store_serves(self):
+        cluster, owner = await self.refuse_owner()
         successor = owner.leadership._list_other_successors()[0]
         cluster.daemons[successor].store.faults.outage = True
         for _ in cluster.daemons:
@@ -100,8 +100,8 @@
         self.end()
 
     @virtual
-    async def test_a_deposed_owner_changes_nothing_through_others(self):
-        cluster, owner = await self.turn_owner_away()
+    async def test_a_deposed_owner_changes_nothing_through_delegates(self):
+        cluster, owner = await self.refuse_owner()
         fence = owner.owner._journal
         stale = fence._build([Write("k", b"v")])
         await cluster.wait(lambda: cluster.find_owner() not in (None, owner), 10)
--- a/tests/test_reserving.py
+++ b/tests/test_reserving.py
@@ -1,9 +1,9 @@
-"""Room kept for gangs in a full pool.
+"""Capacity reserved for gangs in a full pool.
 
-The pattern: gangs of some 20 tasks at once, 4 s each, beside batches whose tasks take
-any room that comes free, at nine tenths of the pool and more. On 270 workers a third
-of such gangs never started, and half of the others waited 3.8 s of the 5.8 s that they
-had.
+The load: gangs of about 20 concurrent tasks of 4 s each, beside batches whose tasks
+take any capacity that is freed, at nine tenths of the pool or more. On 270 workers a
+third of such gangs never started, and half of the others waited 3.8 s of the 5.8 s that
+they had.
 """
 
 import asyncio
@@ -21,22 +21,22 @@
 BATCHES = make_queue("batches", rank=2, slack=9.0)
 QUICK = make_queue("quick", rank=0, slack=1.5, allowance=SECOND / 4)
 WORKERS = 12
-# All workers hold so many small tasks.
+# The number of small tasks that all workers hold together.
 CAPACITY_TASKS = 4 * WORKERS
 
 
 def behave(task, attempt) -> Work:
-    """Let tasks of batches take 0.5 to 1.5 s, others as long as they say."""
+    """Let tasks of batches take 0.5 to 1.5 s, and other tasks as long as estimated."""
     if task.job.startswith("b"):
         return Work(timedelta(seconds=random.Random(str(task)).uniform(0.5, 1.5)))
     return Work(SECOND / 2 if task.job.startswith("q") else 2 * SECOND)
 
 
 class TestGangs(PoolCase):
-    """When a gang starts beside batches that fill the pool."""
+    """Start times of gangs beside batches that fill the pool."""
 
     async def submit_batches(self, seconds: float) -> None:
-        """Hand batches in that want somewhat more than the pool has."""
+        """Submit batches that need somewhat more than the capacity of the pool."""
         for number in itertools.count():
             if self.cluster.clock.monotonic().total_seconds() > seconds:
                 return
@@ -46,7 +46,7 @@
             await asyncio.sleep(6 / CAPACITY_TASKS / 1.1)
 
     async def submit(self, queue, name: str, spec) -> None:
-        """Hand a job in on a queue."""
+        """Submit a job to a queue."""
         done = await self.cluster.daemons["d0"].frontend.submit(queue, name, spec)
         self.assertEqual(done, JobAccepted())
 
@@ -71,7 +71,7 @@
         self.end()
 
     @virtual
-    async def test_quick_jobs_go_on_beside_the_room_that_is_kept(self):
+    async def test_quick_jobs_start_beside_reserved_capacity(self):
         await self.begin_loaded(14)
         gang = StepSpec(20, SMALL, 2 * SECOND, is_gang=True)
         for number in range(6):
@@ -89,7 +89,7 @@
         self.end()
 
     @virtual
-    async def test_batches_go_on_beside_the_room_that_is_kept(self):
+    async def test_batches_start_beside_reserved_capacity(self):
         await self.begin_loaded(16)
         gang = StepSpec(20, SMALL, 2 * SECOND, is_gang=True)
         for number in range(4):
@@ -97,7 +97,8 @@
         before = len(self.cluster.list_starts())
         await asyncio.sleep(8)
         started = len(self.cluster.list_starts()) - before
-        # Seconds of tasks that began, of those that the pool has: gangs take 2 s each.
+        # Seconds of the tasks that started, compared with the capacity of the pool;
+        # members of gangs take 2 s each.
         gangs = len([r for r in self.cluster.list_starts() if r[1].job[:4] == "gang"])
         self.assertGreater(started - gangs + 2 * gangs, 0.75 * CAPACITY_TASKS * 8)
         await self.submitting
--- a/tests/test_speedranks.py
+++ b/tests/test_speedranks.py
@@ -1,6 +1,6 @@
-"""Which of the sound workers are faster, learnt from steps that completed.
+"""Ranking of healthy workers by speed, learned from completed steps.
 
-The pattern: sound workers at 0.8, 1 and 1.25 of the usual speed, tasks of a step that
+The load: healthy workers at 0.8, 1 and 1.25 of the usual speed, tasks of a step that
 differ by a third, and estimates that are off by half for all tasks of a step alike.
 """
 
@@ -26,14 +26,14 @@
 
 
 class TestSpeedRanks(unittest.TestCase):
-    """Speeds of workers against each other."""
+    """Relative speeds of workers."""
 
     def setUp(self) -> None:
         self.random = Random(7)
         self.ranks = SpeedRanks()
 
     def complete_steps(self, steps: int, first: int = 0, **fields) -> None:
-        """Let steps complete on workers of all speeds."""
+        """Complete steps on workers of all speeds."""
         for number in range(steps):
             step = make_step(first + number, **fields)
             work = math.exp(self.random.gauss(0, 0.5))
@@ -43,20 +43,20 @@
                 uneven = math.exp(self.random.gauss(0, 0.3))
                 self.ranks.record_completion(run, work * uneven / SPEEDS[worker])
 
-    def test_kinds_are_told_apart_after_some_tens_of_steps(self):
+    def test_worker_kinds_are_ranked_after_some_tens_of_steps(self):
         self.complete_steps(60)
         self.assertEqual([self.ranks.rank(name) for name in SPEEDS], [1, 0, -1])
 
-    def test_a_few_runs_say_nothing(self):
+    def test_a_few_runs_rank_no_worker(self):
         self.complete_steps(2)
         self.assertLess(12 / len(SPEEDS), MIN_RUNS)
         self.assertEqual({self.ranks.rank(name) for name in SPEEDS}, {0})
 
-    def test_gangs_end_together_and_say_nothing(self):
+    def test_gangs_end_together_and_rank_no_worker(self):
         self.complete_steps(60, is_gang=True)
         self.assertEqual({self.ranks.rank(name) for name in SPEEDS}, {0})
 
-    def test_a_worker_that_is_gone_is_forgotten(self):
+    def test_a_worker_that_is_gone_is_discarded(self):
         self.complete_steps(60)
         self.ranks.retain_workers(frozenset({"fast"}))
         self.assertEqual(self.ranks.rank("fast"), -1)
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,4 +1,4 @@
-"""Asynchronous tests in virtual time."""
+"""Decorator for asynchronous tests in virtual time."""
 
 import functools
 
