--- a/src/damaskdeck/coordination/pools/leadership.py
+++ b/src/damaskdeck/coordination/pools/leadership.py
@@ -234,7 +234,7 @@
             self._member_lease.run(), self._follow_control_keys(), self._run_elections()
         )
 
-    # Control keys -------------------------------------------------------------
+    # Control keys ------------------------------------------------------------
 
     async def _follow_control_keys(self) -> None:
         revision = 0
@@ -375,7 +375,7 @@
         return self.list_successors()[0]
 
     def find_stronger_member(self) -> str:
-        """Return a member that should own the pools in place of this one, or ""."""
+        """Return a member that should replace this owner, an empty string if none."""
         return find_stronger_member(self._members.values(), self._member.power)
 
     async def read_fence_revision(self) -> int:
@@ -474,7 +474,7 @@
         elif isinstance(result, Lapsed):
             self._member_lease.discard_lease()
 
-    # Handover and departure ---------------------------------------------------
+    # Handover and departure --------------------------------------------------
 
     async def release(self, fence: int = 0, is_leaving: bool = True) -> None:
         """Hand over, so that no daemon waits for the lease; order no task after this.
--- a/src/damaskdeck/coordination/pools/owner.py
+++ b/src/damaskdeck/coordination/pools/owner.py
@@ -162,7 +162,7 @@
         """Whether the owner lease allows decisions at this moment."""
         return self._shared.leadership.may_decide()
 
-    # Lifecycle ----------------------------------------------------------------
+    # Lifecycle ---------------------------------------------------------------
 
     async def run(self) -> None:
         """Load the state, then decide until cancelled."""
@@ -285,7 +285,7 @@
             return False
         return True
 
-    # Unconfirmed runs of predecessors -----------------------------------------
+    # Unconfirmed runs of predecessors ----------------------------------------
 
     def _mark_unconfirmed_jobs(self) -> None:
         for job in self.job_index.open_jobs.values():
@@ -338,7 +338,7 @@
             for run in runs:
                 self.stop(run)
 
-    # Callbacks of the contacts ------------------------------------------------
+    # Callbacks of the contacts -----------------------------------------------
 
     def adopt(self, contact: WorkerContact, row: RunningTask) -> Run | None:
         """Return a run for a task that a predecessor started."""
--- a/src/damaskdeck/coordination/pools/urgency.py
+++ b/src/damaskdeck/coordination/pools/urgency.py
@@ -18,7 +18,7 @@
 
 
 class DeadlineStatus(IntEnum):
-    """Whether a job can still be on time; lower values come first."""
+    """Whether a job can be on time, earns less, or earns nothing; lower comes first."""
 
     ON_TIME = 0
     LATE = 1
@@ -50,7 +50,7 @@
 
 
 def measure_remaining_path(steps: Iterable[Step]) -> float:
-    """Return the longest chain of remaining work in seconds, by estimates.
+    """Return the length of the longest remaining path in seconds, by estimates.
 
     :param steps: all steps of one occurrence.
     """
@@ -60,7 +60,7 @@
 
 
 def measure_critical_path(spec: JobSpec) -> float:
-    """Return the longest chain of work of the whole job in seconds, by estimates."""
+    """Return the length of a job's critical path in seconds, by estimates."""
     return _measure_longest_path((step, _get_estimate(step)) for step in spec.steps)
 
 
@@ -97,7 +97,7 @@
 
 
 def compute_urgency(step: Step, deadlines: Deadlines, now: float) -> Urgency:
-    """Return the urgency of a step.
+    """Return the urgency of a step from its deadlines.
 
     A long-running task is missed for as long as it is down, so it always counts as on
     time.
--- a/tests/poolcluster.py
+++ b/tests/poolcluster.py
@@ -294,7 +294,7 @@
                 f"z{number % zones}",
             )
         self._heartbeats: asyncio.Task[None] | None = None
-        # Workers whose registrations are not renewed by the cluster.
+        # Workers whose registrations are written by a test, not by the cluster.
         self.externally_registered: set[str] = set()
         self.daemons: dict[str, ClusterDaemon] = {}
         for number in range(daemons):
