--- a/src/damaskdeck/coordination/pools/ownermonitor.py
+++ b/src/damaskdeck/coordination/pools/ownermonitor.py
@@ -46,7 +46,7 @@
 MONITOR_COUNT = 4
 # Witnesses are the best successors, as one of them has to stand for election, and
 # others from all availability zones alternately, as a zone may be cut off.
-MAX_SUCCESSORS_ASKED = 4
+MAX_SUCCESSOR_WITNESSES = 4
 MAX_WITNESSES = 12
 # Owners that were deposed longer ago do not affect the timeout.
 DEPOSED_WINDOW = timedelta(seconds=10)
@@ -183,9 +183,9 @@
     def _choose_witnesses(self, owner: str) -> list[str]:
         others = [owner, self._instance]
         successors = [n for n in self._leadership.list_successors() if n not in others]
-        witnesses = successors[:MAX_SUCCESSORS_ASKED]
-        spread = self._leadership.list_interleaved()
-        witnesses += [name for name in spread if name not in others + witnesses]
+        witnesses = successors[:MAX_SUCCESSOR_WITNESSES]
+        interleaved = self._leadership.list_interleaved()
+        witnesses += [name for name in interleaved if name not in others + witnesses]
         return witnesses[:MAX_WITNESSES]
 
     async def _consult_witnesses(self, owner: str, epoch: int) -> None:
--- a/src/damaskdeck/coordination/pools/pending.py
+++ b/src/damaskdeck/coordination/pools/pending.py
@@ -47,11 +47,11 @@
 
     def __init__(self) -> None:
         self._steps: dict[str, dict[str, PendingStep]] = {}
-        self._touched: dict[str, Job] = {}
+        self._changed_jobs: dict[str, Job] = {}
 
     def mark_changed(self, job: Job) -> None:
         """Record that the steps of a job may have changed."""
-        self._touched[job.identifier] = job
+        self._changed_jobs[job.identifier] = job
 
     def retry(self, step: Step) -> None:
         """Let the next pass try all workers again for a step."""
@@ -67,8 +67,8 @@
 
     def rank(self, now: float) -> list[RankedStep]:
         """List the pending steps, most urgent first."""
-        touched, self._touched = self._touched, {}
-        for job in touched.values():
+        changed_jobs, self._changed_jobs = self._changed_jobs, {}
+        for job in changed_jobs.values():
             self._renew(job)
         ranked = [
             RankedStep(
--- a/src/damaskdeck/coordination/pools/starter.py
+++ b/src/damaskdeck/coordination/pools/starter.py
@@ -57,7 +57,7 @@
         self._owner = owner
         self._clock = clock
         self._advice_scheduler = advice_scheduler
-        self._touch = mark_changed
+        self._mark_changed = mark_changed
         self._starts: set[asyncio.Task[None]] = set()
 
     def close(self) -> None:
@@ -119,7 +119,7 @@
             step.not_before = self._owner.now() + GANG_RETRY_SECONDS
             for run in list(step.list_runs()):
                 self._owner.stop(run)
-        self._touch(step.job)
+        self._mark_changed(step.job)
 
     async def _confirm_gang(self, runs: list[Run]) -> bool:
         """Wait for unconfirmed members, and return whether all members run.
--- a/src/damaskdeck/coordination/pools/workerfleet.py
+++ b/src/damaskdeck/coordination/pools/workerfleet.py
@@ -254,12 +254,12 @@
             tuple(c.info._replace(size=peak_size) for c, peak_size in listed)
         )
 
-        def note_durable() -> bool:
+        def mark_durable() -> bool:
             for contact, peak_size in listed:
                 contact.is_rostered = contact.peak_size == peak_size
             return bool(listed)
 
-        return Write(ROSTER_KEY, encode_record(roster)), note_durable
+        return Write(ROSTER_KEY, encode_record(roster)), mark_durable
 
     def _bound_inherited_leases(self, is_silent: bool = False) -> float:
         """Return the latest time at which leases granted by a predecessor expire.
@@ -273,12 +273,12 @@
             return now
         is_gone = dependencies.leadership.is_gone(old.instance, old.incarnation)
         is_over = old.is_released or is_gone or is_silent
-        lasts = (
+        duration = (
             dependencies.times.lease_expiry
             if is_over
             else dependencies.times.takeover_wait
         )
-        return now + lasts.total_seconds()
+        return now + duration.total_seconds()
 
     def _add_contact(
         self, worker: PoolWorker, is_silent: bool = False
