--- a/benchmarks/passes.py
+++ b/benchmarks/passes.py
@@ -42,9 +42,19 @@
 BOUNDS = PoolBounds(
     timedelta(seconds=6), timedelta(seconds=1), timedelta(seconds=6), timedelta(120)
 )
-TERMS = AdvisorTiming(timedelta(milliseconds=20), timedelta(), timedelta(seconds=3600))
+ADVISOR_TIMING = AdvisorTiming(
+    timedelta(milliseconds=20), timedelta(), timedelta(seconds=3600)
+)
 QUEUE = Queue(
-    "quick", "a.example", "/quick/", "hub", 0, 3, 3.0, timedelta(seconds=9), TERMS
+    "quick",
+    "a.example",
+    "/quick/",
+    "hub",
+    0,
+    3,
+    3.0,
+    timedelta(seconds=9),
+    ADVISOR_TIMING,
 )
 
 
--- a/src/damaskdeck/coordination/configuration/rules.py
+++ b/src/damaskdeck/coordination/configuration/rules.py
@@ -77,8 +77,8 @@
 def check_length(resource: Resource, _: ConfigurationReader) -> Iterator[Fault]:
     """Limit the size, as every daemon keeps the resource in memory."""
     size = len(msgspec.json.encode(resource))
-    if size > defaults.RESOURCE_LIMIT:
-        detail = f"{size} bytes, at most {defaults.RESOURCE_LIMIT}"
+    if size > defaults.MAX_RESOURCE_BYTES:
+        detail = f"{size} bytes, at most {defaults.MAX_RESOURCE_BYTES}"
         yield Fault("$", "too_large", detail)
 
 
--- a/src/damaskdeck/coordination/configuration/writes.py
+++ b/src/damaskdeck/coordination/configuration/writes.py
@@ -88,7 +88,7 @@
         store: Store,
         clock: Clock,
         announce: Callable[[ResourceVersion], None],
-        resolve_limit: timedelta = defaults.RESOLVE_LIMIT,
+        resolve_limit: timedelta = defaults.RESOLVE_TIMEOUT,
     ) -> None:
         self._configuration = configuration
         self._store = store
--- a/src/damaskdeck/coordination/jobs/submissions.py
+++ b/src/damaskdeck/coordination/jobs/submissions.py
@@ -117,8 +117,8 @@
         return self._make_view(job)
 
     def _validate(self, submission: Submission) -> WorkloadSpec | Refused:
-        if len(submission.payload) > defaults.PAYLOAD_LIMIT:
-            limit = defaults.PAYLOAD_LIMIT
+        if len(submission.payload) > defaults.MAX_PAYLOAD_BYTES:
+            limit = defaults.MAX_PAYLOAD_BYTES
             return Refused("payload_too_large", f"at most {limit} bytes")
         resource = self._configuration.get(Kind.WORKLOAD, submission.workload)
         if resource is None:
--- a/src/damaskdeck/coordination/jobs/updates.py
+++ b/src/damaskdeck/coordination/jobs/updates.py
@@ -128,7 +128,10 @@
     others = dict(decision.sizes.get(job.name, {}))
     others.pop(task.name, None)
     total = job.result_size + sum(others.values()) + len(result)
-    if len(result) > defaults.RESULT_LIMIT or total > defaults.RESULTS_LIMIT:
+    if (
+        len(result) > defaults.MAX_RESULT_BYTES
+        or total > defaults.MAX_TOTAL_RESULT_BYTES
+    ):
         _end(decision, task, TaskState.FAILED, "result_too_large")
         return
     if result:
--- a/src/damaskdeck/coordination/pools/candidates.py
+++ b/src/damaskdeck/coordination/pools/candidates.py
@@ -16,21 +16,21 @@
     """A worker that may get orders.
 
     :ivar is_slow: Whether the worker is slow at present.
-    :ivar pace: -1 for a fast worker, 1 for a slower one, among those that are not
+    :ivar speed_rank: -1 for a fast worker, 1 for a slower one, among those that are not
         slow at present.
     """
 
-    __slots__ = ("contact", "is_slow", "key", "pace", "rack", "zone")
+    __slots__ = ("contact", "is_slow", "key", "rack", "speed_rank", "zone")
 
     def __init__(
-        self, contact: WorkerContact, is_slow: bool = False, pace: int = 0
+        self, contact: WorkerContact, is_slow: bool = False, speed_rank: int = 0
     ) -> None:
         self.contact = contact
         self.key = contact.info.identifier
         self.rack = contact.info.rack
         self.zone = contact.info.zone
         self.is_slow = is_slow
-        self.pace = pace
+        self.speed_rank = speed_rank
 
     @property
     def free(self) -> Size:
--- a/src/damaskdeck/coordination/pools/changeset.py
+++ b/src/damaskdeck/coordination/pools/changeset.py
@@ -91,7 +91,7 @@
     def gather(self) -> Batch | None:
         """Return the changes since the last call, ``None`` if there are none."""
         jobs = list(self._jobs.values())
-        contacts = [(contact, contact.processed) for contact in self._contacts]
+        contacts = [(contact, contact.last_received_end) for contact in self._contacts]
         removals = tuple(self._removed)
         kinds = sorted(self._kinds, key=lambda kind: kind.value)
         if not (jobs or contacts or removals or kinds):
@@ -117,7 +117,7 @@
             for job, zones in widened:
                 job.zones, job.wider_zones = zones, None
             for contact, number in contacts:
-                contact.observed = max(contact.observed, number)
+                contact.last_durable_end = max(contact.last_durable_end, number)
             if any([mark_durable() for _, mark_durable in records]) or widened:
                 self._request_full_pass()
 
--- a/src/damaskdeck/coordination/pools/contacts.py
+++ b/src/damaskdeck/coordination/pools/contacts.py
@@ -81,8 +81,8 @@
     :ivar used: The capacity that these runs use.
     :ivar free: The capacity that no run uses.
     :ivar unknown_runs: What the worker runs of tasks that are not known here.
-    :ivar processed: The number of the last end that was received from the worker.
-    :ivar observed: The number of the last end that is durable.
+    :ivar last_received_end: number of the last end that the worker reported.
+    :ivar last_durable_end: number of the last end that is durable.
     :ivar paused_until: The worker gets no orders before this time.
     :ivar polled_at: When the worker last answered a poll with its tasks.
     :ivar last_order: The last order to start tasks.
@@ -118,8 +118,8 @@
         self.is_cordoned = False
         self._may_extend_lease = True
         self.is_rostered = False
-        self.processed = 0
-        self.observed = 0
+        self.last_received_end = 0
+        self.last_durable_end = 0
         self.runs: dict[RunKey, Run] = {}
         self.used = ZERO_SIZE
         self.free = info.size
@@ -255,7 +255,7 @@
         is_run_set_known = (
             self._is_reconciled and not self.unknown_runs and not self.is_gone
         )
-        return is_run_set_known and self.observed == self.processed
+        return is_run_set_known and self.last_durable_end == self.last_received_end
 
     def cordon(self, is_silent: bool) -> None:
         """Stop sending orders and, to a silent worker, stop extending its lease."""
@@ -420,7 +420,11 @@
         whatever its lease. A worker that left empty must not delay a successor, which
         can't poll it any more.
         """
-        if self.runs or self.unknown_runs or self.observed < self.processed:
+        if (
+            self.runs
+            or self.unknown_runs
+            or self.last_durable_end < self.last_received_end
+        ):
             return True
         return not self._is_reconciled and not self._has_expired
 
@@ -462,7 +466,9 @@
     ) -> PollResult:
         """Poll the worker; return ``None`` if it should be polled again at once."""
         call = asyncio.ensure_future(
-            self._port.poll(self.info, self._epoch, self.observed, deadline, wait)
+            self._port.poll(
+                self.info, self._epoch, self.last_durable_end, deadline, wait
+            )
         )
         if not wait:
             return await call
@@ -482,13 +488,16 @@
         self._lease.record_clock(answer.clock, now)
         if not self.is_synchronized:
             _log.info("A worker answers.", worker=self.info.identifier)
-        before = self.processed
+        before = self.last_received_end
         self.polled_at = now
         self._failed_polls = 0
         apply_inventory(self, self._owner, answer, sent, now)
         self.is_synchronized = self._is_reconciled = True
         self._owner.handle_contact_change(self)
-        if self.processed == before and self.observed == self.processed:
+        if (
+            self.last_received_end == before
+            and self.last_durable_end == self.last_received_end
+        ):
             return
         if await self._owner.wait_until_durable(self):
             observe_latency("contacts", "end_noted", self._now() - now)
--- a/src/damaskdeck/coordination/pools/inventories.py
+++ b/src/damaskdeck/coordination/pools/inventories.py
@@ -70,8 +70,8 @@
     for row in answer.running:
         _apply_running_task(contact, owner, row, now)
     for end in answer.ended:
-        if end.number > contact.processed:
-            contact.processed = end.number
+        if end.number > contact.last_received_end:
+            contact.last_received_end = end.number
             _apply_end(contact, owner, end)
     contact.unknown_runs &= listed
     for key, run in list(contact.runs.items()):
--- a/src/damaskdeck/coordination/pools/jobfrontend.py
+++ b/src/damaskdeck/coordination/pools/jobfrontend.py
@@ -365,7 +365,7 @@
     async def _handle_get_advice(self, peer: str, message: GetAdvice) -> GetAdviceReply:
         timeout = timedelta(milliseconds=message["timeout"])
         workers = tuple(message["workers"])
-        answer = await self._advisor.ask(message["step"], workers, timeout)
+        answer = await self._advisor.request_advice(message["step"], workers, timeout)
         if isinstance(answer, Advice):
             return {"code": "", "consents": [tuple(c) for c in answer.consents]}
         return {"code": answer.code, "consents": []}
--- a/src/damaskdeck/coordination/pools/owner.py
+++ b/src/damaskdeck/coordination/pools/owner.py
@@ -279,7 +279,7 @@
         self._journal.wake()
         try:
             async with asyncio.timeout(DURABLE_WAIT_LIMIT.total_seconds()):
-                while contact.observed < contact.processed:
+                while contact.last_durable_end < contact.last_received_end:
                     await self._journal.flush_batched()
         except TimeoutError:
             return False
--- a/src/damaskdeck/coordination/pools/ownermonitor.py
+++ b/src/damaskdeck/coordination/pools/ownermonitor.py
@@ -120,15 +120,15 @@
         if owner is None or owner.epoch != self._liveness.epoch:
             return False
         window = max(self._find_timeout(), ALIVE_WINDOW.total_seconds())
-        is_refused = self._peers.is_refused(owner.instance)
-        return not is_refused and self._liveness.measure_silence() < window
+        is_connection_refused = self._peers.is_connection_refused(owner.instance)
+        return not is_connection_refused and self._liveness.measure_silence() < window
 
     def _find_timeout(self) -> float:
         alive = self._leadership.count_deposed(DEPOSED_WINDOW)
         return self._liveness.find_timeout(alive)
 
     def _is_silent(self, owner: str) -> bool:
-        if self._peers.is_refused(owner):
+        if self._peers.is_connection_refused(owner):
             # Its process has ended, so there is no need to wait for a timeout.
             return True
         return self._liveness.measure_silence() >= self._find_timeout()
@@ -279,7 +279,7 @@
         began = self._clock.monotonic()
         timeout = timedelta(seconds=WITNESS_TIMEOUT_SHARE * self._find_timeout())
         heartbeats = set(self._heartbeats)
-        while heartbeats and not self._peers.is_refused(owner.instance):
+        while heartbeats and not self._peers.is_connection_refused(owner.instance):
             spent = self._clock.monotonic() - began
             if self._liveness.measure_silence() < spent.total_seconds():
                 return True
--- a/src/damaskdeck/coordination/pools/planning.py
+++ b/src/damaskdeck/coordination/pools/planning.py
@@ -200,8 +200,10 @@
             has_failed = candidate.key in task.failed_on
             if has_failed and not allow_failed:
                 continue
-            pace = -candidate.pace if spec.is_long_running else candidate.pace
-            score = (has_failed, candidate.is_slow, is_far, pace, free.millicores)
+            speed_rank = (
+                -candidate.speed_rank if spec.is_long_running else candidate.speed_rank
+            )
+            score = (has_failed, candidate.is_slow, is_far, speed_rank, free.millicores)
             if best is None or score < best_score:
                 best, best_score = candidate, score
         return best
--- a/src/damaskdeck/coordination/pools/relocation.py
+++ b/src/damaskdeck/coordination/pools/relocation.py
@@ -37,11 +37,11 @@
 
 
 def _is_worth_moving(run: Run, slow_workers: SlowWorkerDetector, now: float) -> bool:
-    pace = run.pace
+    progress_rate = run.progress_rate
     expected_rate, _ = slow_workers.estimate_rate(run)
-    if pace is None or not expected_rate:
+    if progress_rate is None or not expected_rate:
         return False
-    remaining_here = (100 - run.percent) / pace.rate
+    remaining_here = (100 - run.percent) / progress_rate.rate
     # Slack is counted until the start, so a run may end later than that by its
     # estimate.
     deadline_status, _, slack = measure_urgency(run.task.step, now)
--- a/src/damaskdeck/coordination/pools/slowness.py
+++ b/src/damaskdeck/coordination/pools/slowness.py
@@ -119,14 +119,14 @@
         """Return the logarithm of a worker's speed and its standard error."""
         total, weights = 0.0, 0.0
         for run in contact.runs.values():
-            if run.pace is None or not should_progress(run):
+            if run.progress_rate is None or not should_progress(run):
                 continue
             expected, variance = self.estimate_rate(run)
             if not expected:
                 continue
             # Progress is reported in whole percent.
-            variance += 1 / run.pace.least**2
-            total += math.log(run.pace.rate / expected) / variance
+            variance += 1 / run.progress_rate.min_gain**2
+            total += math.log(run.progress_rate.rate / expected) / variance
             weights += 1 / variance
         return (total / weights, weights**-0.5) if weights else None
 
@@ -137,8 +137,8 @@
         other runs of its step on other workers, then its estimate. The rate is in
         percent per second, and 0 if there is no evidence.
         """
-        if run.best_pace:
-            return run.best_pace, OWN_VARIANCE
+        if run.best_rate:
+            return run.best_rate, OWN_VARIANCE
         samples = self._rates.get(run.task.step, ())
         others = [rate for name, rate in samples if name != run.worker]
         if len(others) >= MIN_SIBLINGS:
@@ -155,7 +155,9 @@
     rates: dict[Step, list[_RateSample]] = {}
     for contact in contacts:
         for run in contact.runs.values():
-            if run.pace is not None:
+            if run.progress_rate is not None:
                 samples = rates.setdefault(run.task.step, [])
-                samples.append((run.worker, run.pace.gained / run.pace.seconds))
+                samples.append(
+                    (run.worker, run.progress_rate.gained / run.progress_rate.seconds)
+                )
     return rates
--- a/src/damaskdeck/coordination/queues/passes.py
+++ b/src/damaskdeck/coordination/queues/passes.py
@@ -55,7 +55,7 @@
         self._overdue_failures = 0
         self._is_overdue = False
         self._offered_team = ""
-        self._start_round(lends_claims=False)
+        self._start_round(lend_claims=False)
         queue.expire_blocks()
 
     def next(self) -> WaitingJob | None:
@@ -88,13 +88,13 @@
         self._record_failure()
         self._queue.skip(job.name, reason)
 
-    def _start_round(self, lends_claims: bool) -> None:
+    def _start_round(self, lend_claims: bool) -> None:
         """Start at the most urgent class.
 
         ``_refused_needs`` has, by team and class, the least amount of each dimension
         that the quota refused in this round.
         """
-        self._lends_claims = lends_claims
+        self._lend_claims = lend_claims
         self._rank = -1
         self._teams: list[tuple[float, str]] = []
         self._groups: dict[str, list[Group]] = {}
@@ -146,11 +146,11 @@
 
         :returns: ``None`` if it is already running or would not allow any other job.
         """
-        if self._lends_claims or not any(self._queue.quotas.claims):
+        if self._lend_claims or not any(self._queue.quotas.claims):
             return None
         if not self._refused_needs and not any(self._at_quota.values()):
             return None
-        self._start_round(lends_claims=True)
+        self._start_round(lend_claims=True)
         return self._choose()
 
     def _push_team(self) -> None:
@@ -234,7 +234,7 @@
     def _is_at_quota(self, team: str, rank: int) -> bool:
         is_at_quota = self._at_quota.get((team, rank))
         if is_at_quota is None:
-            is_at_quota = self._queue.is_at_quota(team, rank, self._lends_claims)
+            is_at_quota = self._queue.is_at_quota(team, rank, self._lend_claims)
             self._at_quota[team, rank] = is_at_quota
         return is_at_quota
 
@@ -271,7 +271,7 @@
         dimension = (
             None
             if within_quota
-            else quotas.find_shortfall(team, need, rank, self._lends_claims)
+            else quotas.find_shortfall(team, need, rank, self._lend_claims)
         )
         if dimension is None:
             return not self._queue.is_closed(group.bucket, within_quota)
--- a/src/damaskdeck/coordination/queues/queueing.py
+++ b/src/damaskdeck/coordination/queues/queueing.py
@@ -209,13 +209,13 @@
         """End the turn of overdue jobs, because those tried couldn't be placed."""
         self._since_overdue = 0
 
-    def is_at_quota(self, team: str, rank: int, lends_claims: bool = False) -> bool:
+    def is_at_quota(self, team: str, rank: int, lend_claims: bool = False) -> bool:
         """Return whether a team's quota allows none of its jobs of a class.
 
-        :param lends_claims: see :meth:`Quotas.find_shortfall`.
+        :param lend_claims: see :meth:`Quotas.find_shortfall`.
         """
         least = self._needs[team, rank].least
-        shortfall = self.quotas.find_shortfall(team, least, rank, lends_claims)
+        shortfall = self.quotas.find_shortfall(team, least, rank, lend_claims)
         return shortfall is not None
 
     def list_open_buckets(self, rank: int) -> list[Bucket]:
--- a/src/damaskdeck/coordination/queues/starvinggangs.py
+++ b/src/damaskdeck/coordination/queues/starvinggangs.py
@@ -66,7 +66,7 @@
         for name in quotas.list_teams():
             if name != team:
                 state = quotas.read(name)
-                total = add_sizes(state.use, state.want)
+                total = add_sizes(state.use, state.demand)
                 unclaimed = subtract_sizes(
                     unclaimed, Size(*map(min, total, state.quota))
                 )
--- a/src/damaskdeck/defaults.py
+++ b/src/damaskdeck/defaults.py
@@ -15,21 +15,21 @@
 # Ledgers.
 LEDGER_COUNT = 4
 APPEND_INTERVAL = timedelta(milliseconds=40)
-VALUE_LIMIT = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 RESULT_RETENTION = timedelta(days=7)
 
 # Tasks.
 TASK_LEASE = timedelta(seconds=12)
 TASK_RENEWAL = timedelta(seconds=4)
 LEASE_MARGIN = timedelta(seconds=2)
-PAYLOAD_LIMIT = 256_000
-RESULT_LIMIT = 256_000
-RESULTS_LIMIT = 1_000_000
+MAX_PAYLOAD_BYTES = 256_000
+MAX_RESULT_BYTES = 256_000
+MAX_TOTAL_RESULT_BYTES = 1_000_000
 
 # Requests.
 REQUEST_TIMEOUT = timedelta(seconds=10)
 QUEUE_LIMIT = 1000
-BODY_LIMIT = 1_000_000
+MAX_BODY_BYTES = 1_000_000
 # How long the HTTP server keeps an idle connection.
 KEEP_ALIVE = timedelta(seconds=5)
 
@@ -40,8 +40,8 @@
 READER_LAG_LIMIT = 1000
 WATCH_LIMIT = 500
 RELAY_INTERVAL = timedelta(milliseconds=500)
-RESOLVE_LIMIT = timedelta(seconds=10)
-RESOURCE_LIMIT = 65_536
+RESOLVE_TIMEOUT = timedelta(seconds=10)
+MAX_RESOURCE_BYTES = 65_536
 DELETION_RETENTION = timedelta(days=1)
 
 # Placement weights that apply if no policy is declared.
--- a/src/damaskdeck/platform/advisor.py
+++ b/src/damaskdeck/platform/advisor.py
@@ -31,7 +31,7 @@
         """Use ``address`` from the next call on."""
         self._address = address
 
-    async def ask(
+    async def request_advice(
         self, step: str, workers: tuple[str, ...], timeout: timedelta
     ) -> Advice | Rejected | Lost:
         """Return which of ``workers`` may run a step, according to the advisor."""
--- a/src/damaskdeck/protocol/messages.py
+++ b/src/damaskdeck/protocol/messages.py
@@ -82,7 +82,7 @@
     ) -> Answered | Unsent | Unanswered:
         """Send a message and wait for its reply."""
 
-    def is_refused(self, instance: str) -> bool:
+    def is_connection_refused(self, instance: str) -> bool:
         """Whether the last connection to a daemon's address was refused.
 
         Its process has ended then, or something on the way refuses for it.
--- a/src/damaskdeck/protocol/pools.py
+++ b/src/damaskdeck/protocol/pools.py
@@ -191,7 +191,7 @@
 class Advisor(Protocol):
     """Says which workers may run a step; handles one of our calls at a time."""
 
-    async def ask(
+    async def request_advice(
         self, step: str, workers: tuple[str, ...], timeout: timedelta
     ) -> Advice | Rejected | Lost:
         """Ask about up to 100 workers; the answer for a worker doesn't change."""
@@ -263,10 +263,12 @@
 
     key: str
 
-    async def read_queues(self, known: int = 0) -> DeclaredQueues | Rejected | Lost:
+    async def read_queues(
+        self, known_revision: int = 0
+    ) -> DeclaredQueues | Rejected | Lost:
         """Read the newest document; the read is linearizable.
 
-        :param known: revision of a document whose table need not be returned again.
+        :param known_revision: revision of a document that need not be returned again.
         """
 
     async def follow_queues(
--- a/src/damaskdeck/protocol/transactions.py
+++ b/src/damaskdeck/protocol/transactions.py
@@ -104,12 +104,12 @@
         """Read one key; the read is linearizable."""
 
     async def read_changed(
-        self, key: str, revision: int, within: timedelta | None = None
+        self, key: str, revision: int, first_byte_timeout: timedelta | None = None
     ) -> Found | Missing | Unchanged | Rejected | Lost:
         """Read one key unless ``revision`` is still its last; linearizable.
 
         :param revision: the known revision of the key, 0 when it didn't exist.
-        :param within: abandon the read when no reply has begun within this time.
+        :param first_byte_timeout: abandon the read when no reply has begun by then.
         """
 
     async def read_page(self, prefix: str, after: str) -> Page | Rejected | Lost:
--- a/src/damaskdeck/settings.py
+++ b/src/damaskdeck/settings.py
@@ -105,7 +105,7 @@
     log_level: str = "info"
     ledger_count: int = defaults.LEDGER_COUNT
     queue_limit: int = defaults.QUEUE_LIMIT
-    body_limit: int = defaults.BODY_LIMIT
+    body_limit: int = defaults.MAX_BODY_BYTES
     request_timeout: timedelta = defaults.REQUEST_TIMEOUT
     member_lease: timedelta = defaults.MEMBER_LEASE
     heartbeat_interval: timedelta = defaults.HEARTBEAT_INTERVAL
--- a/src/damaskdeck/state/ledger.py
+++ b/src/damaskdeck/state/ledger.py
@@ -79,7 +79,7 @@
         *,
         append_interval: timedelta = defaults.APPEND_INTERVAL,
         commit_timeout: timedelta = COMMIT_TIMEOUT,
-        value_limit: int = defaults.VALUE_LIMIT,
+        value_limit: int = defaults.MAX_VALUE_BYTES,
         slots: int = DEFAULT_SLOTS,
         queue_limit: int = MAX_QUEUED_COMMITS,
         generate_id: Callable[[], str] = lambda: uuid.uuid4().hex,
--- a/src/damaskdeck/state/pooljobs.py
+++ b/src/damaskdeck/state/pooljobs.py
@@ -50,7 +50,7 @@
     seconds: float
 
     @property
-    def least(self) -> float:
+    def min_gain(self) -> float:
         """The gain for estimates, above 0.
 
         A gain below one percent may not show in the reports.
@@ -60,7 +60,7 @@
     @property
     def rate(self) -> float:
         """Percent per second, above 0."""
-        return self.least / self.seconds
+        return self.min_gain / self.seconds
 
 
 class Run:
@@ -75,14 +75,14 @@
     :ivar progressed_at: when ``percent`` last changed.
     :ivar first_percent: percent in the first report, at ``first_at``.
     :ivar baseline: percent and time from which the next rate is measured.
-    :ivar pace: its recent progress rate, ``None`` while that is not known.
-    :ivar best_pace: the highest earlier rate in percent per second.
+    :ivar progress_rate: its recent progress rate, ``None`` while that is not known.
+    :ivar best_rate: the highest earlier rate in percent per second.
     :ivar is_adopted: whether an owner found it running, at ``ordered_at``.
     """
 
     __slots__ = (
         "attempt",
-        "best_pace",
+        "best_rate",
         "checkpoint",
         "first_at",
         "first_percent",
@@ -90,7 +90,7 @@
         "baseline",
         "progressed_at",
         "ordered_at",
-        "pace",
+        "progress_rate",
         "percent",
         "phase",
         "settled_at",
@@ -114,8 +114,8 @@
         self.first_percent: int | None = None
         self.first_at = now
         self.baseline = (0, now)
-        self.pace: ProgressRate | None = None
-        self.best_pace = 0.0
+        self.progress_rate: ProgressRate | None = None
+        self.best_rate = 0.0
         self.checkpoint = ""
         self.is_adopted = False
 
@@ -126,9 +126,12 @@
             self.baseline = percent, now
         since, seconds = self.baseline[0], now - self.baseline[1]
         if seconds >= MIN_RATE_SECONDS:
-            if self.pace is not None and self.pace.gained >= MIN_SIGNIFICANT_GAIN:
-                self.best_pace = max(self.best_pace, self.pace.rate)
-            self.pace = ProgressRate(percent - since, seconds)
+            if (
+                self.progress_rate is not None
+                and self.progress_rate.gained >= MIN_SIGNIFICANT_GAIN
+            ):
+                self.best_rate = max(self.best_rate, self.progress_rate.rate)
+            self.progress_rate = ProgressRate(percent - since, seconds)
             self.baseline = percent, now
         if percent != self.percent:
             self.percent = percent
--- a/src/damaskdeck/state/quotas.py
+++ b/src/damaskdeck/state/quotas.py
@@ -32,13 +32,13 @@
     """The quota and usage of a team.
 
     :param use: what the team uses.
-    :param want: the demand of its waiting work.
+    :param demand: the demand of its waiting work.
     """
 
     quota: Size
     weight: float
     use: Size
-    want: Size
+    demand: Size
 
 
 class _TeamRecord:
@@ -188,12 +188,12 @@
         team: str,
         need: Size,
         rank: int = PREEMPTING_RANKS,
-        lends_claims: bool = False,
+        lend_claims: bool = False,
     ) -> str | None:
         """Return the first dimension in which ``team`` may not use ``need``, if any.
 
         :param rank: rank of the class that needs it; 0 is the most urgent.
-        :param lends_claims: whether to lend what other teams claim, too, as no free
+        :param lend_claims: whether to lend what other teams claim, too, as no free
             capacity was found for the work that claims it.
         """
         record = self._get(team)
@@ -201,7 +201,7 @@
         for index in DIMENSIONS:
             needed = need[index]
             is_above = needed and usage[index] + needed > quota[index]
-            if is_above and needed > self._compute_idle(record, index, lends_claims):
+            if is_above and needed > self._compute_idle(record, index, lend_claims):
                 return Size._fields[index]
         return None
 
@@ -252,12 +252,12 @@
             record = self._teams[team] = _TeamRecord()
         return record
 
-    def _compute_idle(self, record: _TeamRecord, index: int, lends_claims: bool) -> int:
+    def _compute_idle(self, record: _TeamRecord, index: int, lend_claims: bool) -> int:
         """Return the capacity that is free and that no other team claims.
 
-        With ``lends_claims`` the claims of the other teams count as idle, too.
+        With ``lend_claims`` the claims of the other teams count as idle, too.
         """
-        if lends_claims:
+        if lend_claims:
             return self._capacity[index] - self._use[index]
         others = self._claims[index] - record.claim[index]
         return self._capacity[index] - self._use[index] - others
--- a/src/damaskdeck/transport/api/app.py
+++ b/src/damaskdeck/transport/api/app.py
@@ -38,7 +38,7 @@
     clock: Clock,
     read_status: Callable[[], Mapping[str, Any]] = dict,
     is_ready: Callable[[], bool] | None = None,
-    body_limit: int = defaults.BODY_LIMIT,
+    body_limit: int = defaults.MAX_BODY_BYTES,
     request_timeout: timedelta = defaults.REQUEST_TIMEOUT,
     watch_limit: int = defaults.WATCH_LIMIT,
 ) -> Starlette:
--- a/src/damaskdeck/transport/links.py
+++ b/src/damaskdeck/transport/links.py
@@ -89,7 +89,7 @@
     :param metadata: sent when the stream is opened.
     :ivar is_retired: whether the link was closed because it was idle; the next message
         needs a new link.
-    :ivar is_refused: whether the last connection attempt was refused, as when no
+    :ivar is_connection_refused: whether the last connection was refused, as when no
         process listens at the peer's address.
     """
 
@@ -103,7 +103,7 @@
     ) -> None:
         self.instance = instance
         self.is_retired = False
-        self.is_refused = False
+        self.is_connection_refused = False
         self._find_address = find_address
         self._metadata = metadata
         self._clock = clock
@@ -157,7 +157,7 @@
             try:
                 await self._exchange(address)
             except (*STREAM_ERRORS, SilenceError) as error:
-                self.is_refused = isinstance(error, ConnectionRefusedError)
+                self.is_connection_refused = isinstance(error, ConnectionRefusedError)
                 self._on_disconnected(error)
             finally:
                 self._fail_pending_calls()
@@ -179,7 +179,7 @@
             )
 
     def _on_connected(self) -> None:
-        self.is_refused = False
+        self.is_connection_refused = False
         if self._disconnected_at is not None:
             outage = self._clock.monotonic() - self._disconnected_at
             _log.info(
--- a/src/damaskdeck/transport/peers.py
+++ b/src/damaskdeck/transport/peers.py
@@ -146,10 +146,10 @@
         finally:
             link.end_call(number, "cancelled")
 
-    def is_refused(self, instance: str) -> bool:
+    def is_connection_refused(self, instance: str) -> bool:
         """Return whether a daemon's address refused the last connection attempt."""
         found = self._links.get(instance)
-        return found is not None and found[0].is_refused
+        return found is not None and found[0].is_connection_refused
 
     def __mapping__(self) -> dict[str, MethodHandler]:
         """Return the methods of the server; called by grpclib."""
--- a/src/standins/peers.py
+++ b/src/standins/peers.py
@@ -179,7 +179,7 @@
             timer.cancel()
             reply.cancel()
 
-    def is_refused(self, instance: str) -> bool:
+    def is_connection_refused(self, instance: str) -> bool:
         """Whether connections are refused because the daemon's process has ended."""
         return self._switch.find(instance) is None
 
--- a/src/standins/pools.py
+++ b/src/standins/pools.py
@@ -379,7 +379,7 @@
         self._clock = clock
         self._allow = allow
 
-    async def ask(
+    async def request_advice(
         self, step: str, workers: tuple[str, ...], timeout: timedelta
     ) -> Advice | Rejected | Lost:
         """Return tickets for the workers that may run a step."""
@@ -406,11 +406,13 @@
         self._store = store
         self._tables = tables
 
-    async def read_queues(self, known: int = 0) -> DeclaredQueues | Rejected | Lost:
-        """Read the document, unless its revision is still ``known``."""
-        found = await self._store.read_changed(self.key, known)
+    async def read_queues(
+        self, known_revision: int = 0
+    ) -> DeclaredQueues | Rejected | Lost:
+        """Read the document, unless its revision is still ``known_revision``."""
+        found = await self._store.read_changed(self.key, known_revision)
         if isinstance(found, Unchanged):
-            return DeclaredQueues(None, found.revision, known)
+            return DeclaredQueues(None, found.revision, known_revision)
         if isinstance(found, Missing):
             return DeclaredQueues(None, found.revision)
         return self.decode(found.entry) if isinstance(found, Found) else found
--- a/src/standins/requests.py
+++ b/src/standins/requests.py
@@ -160,7 +160,7 @@
             self.switch.cut_both(name, other)
         self.members.dead.add(name)
 
-    async def ask(
+    async def submit(
         self,
         entry: str,
         identifier: str,
--- a/tests/poolcluster.py
+++ b/tests/poolcluster.py
@@ -61,7 +61,9 @@
 # No daemon serves a caller whose key was revoked longer ago than this.
 REVOCATION = timedelta(seconds=5)
 SECOND = timedelta(seconds=1)
-TERMS = AdvisorTiming(timedelta(milliseconds=10), timedelta(), timedelta(seconds=2))
+ADVISOR_TIMING = AdvisorTiming(
+    timedelta(milliseconds=10), timedelta(), timedelta(seconds=2)
+)
 SIZE = Size(4000, 8000, 0)
 # A worker may get orders for its old capacity for this long and one heartbeat after it
 # has shrunk.
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -142,7 +142,7 @@
                 urgent = number % 20 == 0
                 name = f"{'u' if urgent else 'n'}{number}"
                 start = clock.monotonic()
-                outcome = await deployment.ask(
+                outcome = await deployment.submit(
                     source.choice(names),
                     name,
                     team=f"team-{number % 3}",
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -27,7 +27,7 @@
 from damaskdeck.protocol.sizes import Size
 from damaskdeck.state.jobrecords import JobRecord
 from damaskdeck.state.pooljobs import Job, Step
-from tests.poolcluster import SECOND, SMALL, TERMS, make_job, make_queue
+from tests.poolcluster import ADVISOR_TIMING, SECOND, SMALL, make_job, make_queue
 
 WORKERS = 270
 ZONES = 5
@@ -87,7 +87,7 @@
     ) -> Step:
         """Return a step of a job, which may be confined to zones."""
         spec = make_job(StepSpec(tasks, SMALL, SECOND))
-        record = JobRecord(name, make_queue(advice=TERMS), spec, 1, 0.0, zones)
+        record = JobRecord(name, make_queue(advice=ADVISOR_TIMING), spec, 1, 0.0, zones)
         return Job(record, 0.0).occurrences[0][0]
 
     def query(
--- a/tests/test_client_accounts.py
+++ b/tests/test_client_accounts.py
@@ -271,7 +271,7 @@
             await asyncio.sleep(wait.total_seconds())
             return DeclaredQueues(None, revision + 1)
 
-        async def lose_answer(known=0):
+        async def lose_answer(known_revision=0):
             await asyncio.sleep(1.5)
             return Lost("timeout")
 
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -166,7 +166,7 @@
         plane.declare()
         refused = await submit(plane, b"x" * 300_000)
         self.assertEqual(refused.code, "payload_too_large")
-        with mock.patch.object(defaults, "RESULT_LIMIT", 3):
+        with mock.patch.object(defaults, "MAX_RESULT_BYTES", 3):
             view = await submit(plane)
             ended = await plane.wait_for_end(view.name)
         self.assertEqual(ended.state, JobState.FAILED)
@@ -176,7 +176,7 @@
     async def test_results_of_a_job_are_limited_together(self):
         plane = await Plane(workers=1).start()
         plane.declare(tasks=3, size={"processors": 4, "memory": 1})
-        with mock.patch.object(defaults, "RESULTS_LIMIT", 9):
+        with mock.patch.object(defaults, "MAX_TOTAL_RESULT_BYTES", 9):
             view = await submit(plane)
             ended = await plane.wait_for_end(view.name)
         self.assertEqual(
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -34,7 +34,7 @@
             )
             for task in controller.ledger.table.tasks.values()
         ]
-        with mock.patch.object(defaults, "RESULTS_LIMIT", 9):
+        with mock.patch.object(defaults, "MAX_TOTAL_RESULT_BYTES", 9):
             await asyncio.gather(
                 *(controller.tracker.handle_updates(n) for n in split(updates))
             )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -331,12 +331,16 @@
 
     async def test_advisor_returns_consents(self):
         advisor = PlatformAdvisor(self.client, self.platform.advisor.listener.address)
-        answer = await advisor.ask("j.0.0", ("i-0",), SECOND)
+        answer = await advisor.request_advice("j.0.0", ("i-0",), SECOND)
         self.assertEqual(answer, Advice((Consent("i-0", "t-i-0"),)))
         self.platform.advisor.faults.plan("/advise", FaultKind.REFUSE)
-        self.assertIsInstance(await advisor.ask("j.0.0", ("i-0",), SECOND), Rejected)
+        self.assertIsInstance(
+            await advisor.request_advice("j.0.0", ("i-0",), SECOND), Rejected
+        )
         no_advisor = PlatformAdvisor(self.client, "")
-        self.assertIsInstance(await no_advisor.ask("j.0.0", ("i-0",), SECOND), Rejected)
+        self.assertIsInstance(
+            await no_advisor.request_advice("j.0.0", ("i-0",), SECOND), Rejected
+        )
 
 
 class TestCallersJobs(unittest.TestCase):
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -19,9 +19,9 @@
 from standins.faults import FaultKind
 from standins.pools import Work
 from tests.poolcluster import (
+    ADVISOR_TIMING,
     SECOND,
     SMALL,
-    TERMS,
     PoolCase,
     make_job,
     make_queue,
@@ -264,7 +264,7 @@
     async def test_tasks_start_only_where_the_advisor_consents(self):
         cluster = await self.begin(
             allow=lambda step, worker: worker == "w2",
-            queues=(make_queue(advice=TERMS),),
+            queues=(make_queue(advice=ADVISOR_TIMING),),
         )
         await cluster.submit("j1", make_job(StepSpec(2, SMALL, SECOND)))
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
@@ -273,7 +273,7 @@
 
     @virtual
     async def test_a_lost_advisor_and_its_return_are_logged(self):
-        cluster = await self.begin(queues=(make_queue(advice=TERMS),))
+        cluster = await self.begin(queues=(make_queue(advice=ADVISOR_TIMING),))
         for daemon in cluster.daemons.values():
             daemon.advisor.faults.plan("ask", FaultKind.REFUSE)
         with TestHandler().applicationbound() as handler:
@@ -291,7 +291,7 @@
         cluster = await self.begin(
             workers=8,
             behave=lambda task, _: slow if task.job.startswith("long") else Work(),
-            queues=(make_queue(advice=TERMS, slack=30.0),),
+            queues=(make_queue(advice=ADVISOR_TIMING, slack=30.0),),
         )
         for number in range(16):
             await cluster.submit(f"long{number}", make_job())
--- a/tests/test_pools_accounts.py
+++ b/tests/test_pools_accounts.py
@@ -22,10 +22,10 @@
 from damaskdeck.protocol.sizes import ZERO_SIZE, Size, add_sizes
 from standins.pools import Work
 from tests.poolcluster import (
+    ADVISOR_TIMING,
     BOUNDS,
     SECOND,
     SMALL,
-    TERMS,
     PoolCase,
     make_account,
     make_job,
@@ -262,7 +262,7 @@
 
     @virtual
     async def test_the_advisor_is_queried_about_the_first_step_held_back(self):
-        queue = QUEUE._replace(advice=TERMS)
+        queue = QUEUE._replace(advice=ADVISOR_TIMING)
         cluster = await self.begin(queues=(queue,), accounts=make_accounts())
         await asyncio.sleep(0.1)
         frontend = cluster.daemons["d0"].frontend
--- a/tests/test_pools_chaos.py
+++ b/tests/test_pools_chaos.py
@@ -16,7 +16,7 @@
 from standins.faults import FaultKind
 from standins.loops import run_virtual
 from standins.pools import Work
-from tests.poolcluster import SECOND, SIZE, TERMS, PoolCluster, make_queue
+from tests.poolcluster import ADVISOR_TIMING, SECOND, SIZE, PoolCluster, make_queue
 
 # DAMASKDECK_CHAOS=FROM:TO selects other seeds.
 FIRST, _, LAST = os.environ.get("DAMASKDECK_CHAOS", "0:16").partition(":")
@@ -48,7 +48,7 @@
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
-        queues = (make_queue(attempts=4), make_queue("advised", advice=TERMS))
+        queues = (make_queue(attempts=4), make_queue("advised", advice=ADVISOR_TIMING))
         self.cluster = PoolCluster(
             daemons=4,
             workers=5,
--- a/tests/test_pools_workers.py
+++ b/tests/test_pools_workers.py
@@ -8,9 +8,9 @@
 from standins.faults import FaultKind
 from standins.pools import Work
 from tests.poolcluster import (
+    ADVISOR_TIMING,
     SECOND,
     SMALL,
-    TERMS,
     PoolCase,
     make_job,
     make_queue,
@@ -302,7 +302,7 @@
     @virtual
     async def test_a_copy_gets_a_fresh_ticket(self):
         step = StepSpec(3, SMALL, timedelta(seconds=2), is_speculative=True)
-        brief = TERMS._replace(ticket_validity=timedelta(milliseconds=400))
+        brief = ADVISOR_TIMING._replace(ticket_validity=timedelta(milliseconds=400))
         await self.run_with_slow_worker(step, 1, advice=brief)
         self.assertLess(self.cluster.clock.monotonic(), timedelta(seconds=9))
         copies = [row for row in self.cluster.list_starts("j0") if row[2] > 1]
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -518,7 +518,7 @@
         queue.put_back(job)
         self.assertEqual(queue.get("first").tasks, 3)
         self.assertEqual(quotas.read("ash").use, Size(0, 0, 0))
-        self.assertEqual(quotas.read("ash").want, Size(4, 4, 0))
+        self.assertEqual(quotas.read("ash").demand, Size(4, 4, 0))
         self.assertEqual(Pass(queue).next().name, "first")
 
 
--- a/tests/test_requests_model.py
+++ b/tests/test_requests_model.py
@@ -113,7 +113,7 @@
         clock = self.deployment.clock
         deadline = clock.monotonic() + timedelta(milliseconds=ask.timeout)
         caller = asyncio.ensure_future(
-            self.deployment.ask(
+            self.deployment.submit(
                 entry,
                 name,
                 handler=self.handlers.get(entry),
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -104,7 +104,7 @@
             for number in range(400):
                 asks.append(
                     asyncio.ensure_future(
-                        deployment.ask("entry-0-0", f"r{number}", idempotent=True)
+                        deployment.submit("entry-0-0", f"r{number}", idempotent=True)
                     )
                 )
                 await asyncio.sleep(0.02)
@@ -120,7 +120,7 @@
                 asks = []
                 for _ in range(int(seconds * 250)):
                     name = f"r{deployment.clock.monotonic()}"
-                    ask = deployment.ask("entry-0-0", name, idempotent=True)
+                    ask = deployment.submit("entry-0-0", name, idempotent=True)
                     asks.append(asyncio.ensure_future(ask))
                     await asyncio.sleep(0.004)
                 return await asyncio.gather(*asks)
@@ -146,7 +146,7 @@
         async def scenario(deployment):
             deployment.targets["target-0-0"].fails_everything = True
             for number in range(200):
-                await deployment.ask("entry-0-0", f"r{number}")
+                await deployment.submit("entry-0-0", f"r{number}")
             return deployment.log.executions
 
         executions = play(scenario, Layout(entries=1))
@@ -158,7 +158,7 @@
             for target in deployment.targets.values():
                 target.fails_everything = True
             for number in range(200):
-                await deployment.ask("entry-0-0", f"r{number}")
+                await deployment.submit("entry-0-0", f"r{number}")
             return {e.target for e in deployment.log.executions[150:]}
 
         self.assertGreaterEqual(len(play(scenario, Layout(entries=1, targets=6))), 4)
@@ -166,10 +166,10 @@
     def test_a_silent_target_costs_an_idempotent_request_a_part_of_its_time(self):
         async def scenario(deployment):
             for name in ("a", "b", "c"):
-                await deployment.ask("entry-0-0", name)
+                await deployment.submit("entry-0-0", name)
             deployment.targets["target-0-0"].pause()
             return [
-                await deployment.ask("entry-0-0", f"r{i}", idempotent=True)
+                await deployment.submit("entry-0-0", f"r{i}", idempotent=True)
                 for i in range(3)
             ]
 
@@ -183,7 +183,7 @@
             for target in deployment.targets.values():
                 target.pause()
             start = deployment.clock.monotonic()
-            outcome = await deployment.ask("entry-0-0", "r", idempotent=True)
+            outcome = await deployment.submit("entry-0-0", "r", idempotent=True)
             return outcome, deployment.clock.monotonic() - start
 
         outcome, time = play(scenario)
@@ -193,7 +193,7 @@
     def test_a_refusal_of_one_target_sends_the_request_to_another(self):
         async def scenario(deployment):
             deployment.targets["target-0-0"].faults.outage = True
-            outcomes = [await deployment.ask("entry-0-0", f"r{i}") for i in range(5)]
+            outcomes = [await deployment.submit("entry-0-0", f"r{i}") for i in range(5)]
             return outcomes, deployment.log.counts
 
         outcomes, counts = play(scenario, Layout(entries=1))
@@ -202,7 +202,7 @@
 
     def test_a_request_past_its_deadline_is_not_sent(self):
         async def scenario(deployment):
-            outcome = await deployment.ask("entry-0-0", "r", timeout=timedelta())
+            outcome = await deployment.submit("entry-0-0", "r", timeout=timedelta())
             return outcome, sum(t.calls["send"] for t in deployment.targets.values())
 
         outcome, sends = play(scenario)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -28,7 +28,7 @@
 
 def start_asks(deployment: Any, prefix: str, count: int) -> list[asyncio.Task[Any]]:
     """Start requests at the first entry, named ``prefix`` and a number from 0."""
-    asks = [deployment.ask("entry-0-0", f"{prefix}{i}") for i in range(count)]
+    asks = [deployment.submit("entry-0-0", f"{prefix}{i}") for i in range(count)]
     return [asyncio.ensure_future(ask) for ask in asks]
 
 
@@ -51,7 +51,7 @@
 class TestForwarding(unittest.TestCase):
     def test_an_entry_without_free_slots_forwards_to_an_owner(self):
         async def scenario(deployment):
-            asks = [deployment.ask("entry-0-0", f"r{i}") for i in range(4)]
+            asks = [deployment.submit("entry-0-0", f"r{i}") for i in range(4)]
             outcomes = await asyncio.gather(*asks)
             peaks = [t.peak_running for t in deployment.targets.values()]
             return outcomes, peaks
@@ -64,7 +64,7 @@
         async def scenario(deployment):
             for name in ("target-0-0", "target-0-1"):
                 await deployment.table.drop(f"target/{name}")
-            outcome = await deployment.ask("entry-0-0", "r")
+            outcome = await deployment.submit("entry-0-0", "r")
             return outcome, deployment.switch.messages["entry-0-1"]
 
         outcome, sent = play(scenario)
@@ -76,19 +76,19 @@
         async def scenario(deployment):
             await deployment.table.drop("target/target-0-0")
             await asyncio.sleep(60)
-            return await deployment.ask("entry-0-0", "r")
+            return await deployment.submit("entry-0-0", "r")
 
         self.assertEqual(play(scenario), Completed(b"r"))
 
     def test_other_zones_are_used_only_without_free_slots_in_the_own(self):
         async def scenario(deployment):
             first = await asyncio.gather(
-                *(deployment.ask("entry-0-0", f"a{i}") for i in range(4))
+                *(deployment.submit("entry-0-0", f"a{i}") for i in range(4))
             )
             far = [t for n, t in deployment.targets.items() if "-1-" in n]
             before = sum(t.peak_running for t in far)
             second = await asyncio.gather(
-                *(deployment.ask("entry-0-0", f"b{i}") for i in range(8))
+                *(deployment.submit("entry-0-0", f"b{i}") for i in range(8))
             )
             return first + second, before, sum(t.peak_running for t in far)
 
@@ -111,7 +111,7 @@
             deployment.switch.find("entry-0-0").send = record
             asks = []
             for number in range(200):
-                ask = deployment.ask("entry-0-0", f"r{number}")
+                ask = deployment.submit("entry-0-0", f"r{number}")
                 asks.append(asyncio.ensure_future(ask))
                 await asyncio.sleep(0.005)
             await asyncio.gather(*asks)
@@ -127,7 +127,7 @@
         async def scenario(deployment):
             for target in deployment.targets.values():
                 target.faults.plan("send", FaultKind.LOSE_ANSWER)
-            outcome = await deployment.ask("entry-0-0", "r")
+            outcome = await deployment.submit("entry-0-0", "r")
             return outcome, deployment.log.counts["r"]
 
         self.assertEqual(play(scenario), (Unknown("timeout"), 1))
@@ -136,7 +136,7 @@
         async def scenario(deployment):
             for target in deployment.targets.values():
                 target.faults.plan("send", FaultKind.LOSE_ANSWER)
-            outcome = await deployment.ask("entry-0-0", "r", idempotent=True)
+            outcome = await deployment.submit("entry-0-0", "r", idempotent=True)
             return outcome, deployment.log.counts["r"]
 
         outcome, count = play(scenario)
@@ -147,7 +147,7 @@
         async def scenario(deployment):
             for target in deployment.targets.values():
                 target.die()
-            outcome = await deployment.ask("entry-0-0", "r")
+            outcome = await deployment.submit("entry-0-0", "r")
             return outcome, deployment.log.counts["r"]
 
         outcome, count = play(scenario)
@@ -159,7 +159,7 @@
             for target in deployment.targets.values():
                 target.faults.plan("send", FaultKind.LOSE_ANSWER)
                 target.faults.plan("send", *[FaultKind.REFUSE] * 10)
-            return await deployment.ask("entry-0-0", "r", idempotent=True)
+            return await deployment.submit("entry-0-0", "r", idempotent=True)
 
         self.assertIsInstance(play(scenario), Unknown)
 
@@ -167,7 +167,7 @@
         async def scenario(deployment):
             for target in deployment.targets.values():
                 target.fails_everything = True
-            return await deployment.ask("entry-0-0", "r")
+            return await deployment.submit("entry-0-0", "r")
 
         self.assertEqual(play(scenario), Failed("status_500"))
 
@@ -177,7 +177,7 @@
         async def scenario(deployment):
             deployment.fleet.mark_leaving("target-0-0")
             for number in range(10):
-                await deployment.ask("entry-0-0", f"r{number}")
+                await deployment.submit("entry-0-0", f"r{number}")
             return {e.target for e in deployment.log.executions}
 
         self.assertEqual(play(scenario), {"target-0-1"})
@@ -186,15 +186,15 @@
         async def scenario(deployment):
             instance = deployment.fleet.get("target-0-0")
             deployment.fleet.remove("target-0-0")
-            await deployment.ask("entry-0-0", "r")
+            await deployment.submit("entry-0-0", "r")
             await deployment.table.hand_over("target/target-0-0", "entry-0-1")
             for number in range(6):
-                await deployment.ask("entry-0-1", f"r{number}")
+                await deployment.submit("entry-0-1", f"r{number}")
             before = {e.target for e in deployment.log.executions}
             deployment.fleet.put(instance)
             await asyncio.sleep(1)
             for number in range(6, 12):
-                await deployment.ask("entry-0-1", f"r{number}")
+                await deployment.submit("entry-0-1", f"r{number}")
             return before, {e.target for e in deployment.log.executions}
 
         before, after = play(scenario)
@@ -204,7 +204,7 @@
         async def scenario(deployment):
             target = deployment.targets["target-0-0"]
             target.is_leaving = True
-            outcomes = [await deployment.ask("entry-0-0", f"{i}") for i in range(10)]
+            outcomes = [await deployment.submit("entry-0-0", f"{i}") for i in range(10)]
             state = deployment.fleet.get("target-0-0").state
             return outcomes, target.refused_leaving, state
 
@@ -256,13 +256,13 @@
         async def scenario(deployment):
             router = deployment.routers["entry-0-0"]
             old = [
-                asyncio.ensure_future(deployment.ask("entry-0-0", f"old{i}"))
+                asyncio.ensure_future(deployment.submit("entry-0-0", f"old{i}"))
                 for i in range(20)
             ]
             await asyncio.sleep(0.01)
             drain = asyncio.ensure_future(router.drain())
             await asyncio.sleep(0.01)
-            new = await deployment.ask("entry-0-0", "new")
+            new = await deployment.submit("entry-0-0", "new")
             self.assertFalse(drain.done())
             await drain
             target = deployment.targets["target-0-0"]
@@ -277,7 +277,7 @@
             await deployment.routers["entry-0-0"].drain()
             deployment.kill_entry("entry-0-1")
             await asyncio.sleep(1)
-            return await deployment.ask("entry-0-0", "r")
+            return await deployment.submit("entry-0-0", "r")
 
         outcome = play(scenario)
         self.assertEqual((outcome.code, outcome.retry_after), ("draining", SECOND))
@@ -285,7 +285,7 @@
     def test_requests_that_wait_move_on_when_the_targets_are_handed_over(self):
         async def scenario(deployment):
             asks = [
-                asyncio.ensure_future(deployment.ask("entry-0-0", f"r{i}"))
+                asyncio.ensure_future(deployment.submit("entry-0-0", f"r{i}"))
                 for i in range(8)
             ]
             await asyncio.sleep(0.01)
@@ -299,8 +299,10 @@
     def test_requests_that_move_are_served_before_those_with_more_time(self):
         async def scenario(deployment):
             soon = timedelta(seconds=0.3)
-            asks = [deployment.ask("entry-0-1", f"b{i}") for i in range(30)]
-            asks += [deployment.ask("entry-0-0", f"a{i}", timeout=soon) for i in "1234"]
+            asks = [deployment.submit("entry-0-1", f"b{i}") for i in range(30)]
+            asks += [
+                deployment.submit("entry-0-0", f"a{i}", timeout=soon) for i in "1234"
+            ]
             asks = [asyncio.ensure_future(ask) for ask in asks]
             await asyncio.sleep(0.01)
             await deployment.table.hand_over("target/target-0-0", "entry-0-1")
@@ -328,7 +330,7 @@
         async def scenario(deployment):
             asks = [
                 asyncio.ensure_future(
-                    deployment.ask("entry-0-0", f"r{i}", team=f"team-{i % 20}")
+                    deployment.submit("entry-0-0", f"r{i}", team=f"team-{i % 20}")
                 )
                 for i in range(size)
             ]
@@ -347,7 +349,7 @@
     def test_a_cancelled_caller_leaves_the_queue(self):
         async def scenario(deployment):
             asks = [
-                asyncio.ensure_future(deployment.ask("entry-0-0", f"r{i}"))
+                asyncio.ensure_future(deployment.submit("entry-0-0", f"r{i}"))
                 for i in range(12)
             ]
             await asyncio.sleep(0.01)
@@ -367,7 +369,7 @@
             pool = lane.pools["target-0-0"]
             first = start_asks(deployment, "a", 4)
             await asyncio.sleep(0.01)
-            ask = asyncio.ensure_future(deployment.ask("entry-0-0", "b"))
+            ask = asyncio.ensure_future(deployment.submit("entry-0-0", "b"))
             await asyncio.sleep(0)
             pool.target = pool.target._replace(slots=3)
             lane.assign_free_slots()
@@ -383,7 +385,7 @@
             pool = lane.pools["target-0-0"]
             first = start_asks(deployment, "a", 4)
             await asyncio.sleep(0.01)
-            ask = asyncio.ensure_future(deployment.ask("entry-0-0", "b"))
+            ask = asyncio.ensure_future(deployment.submit("entry-0-0", "b"))
             await asyncio.sleep(0)
             pool.target = pool.target._replace(slots=3)
             ask.cancel()
@@ -458,7 +460,7 @@
             await deployment.table.drop("target/target-0-0")
             await asyncio.sleep(0.5)
             asks = [
-                asyncio.ensure_future(deployment.ask("entry-0-0", f"r{i}"))
+                asyncio.ensure_future(deployment.submit("entry-0-0", f"r{i}"))
                 for i in range(12)
             ]
             await asyncio.sleep(0.01)
@@ -506,7 +508,7 @@
             for router in deployment.routers.values():
                 router._sender._targets = answers
             asks = (
-                deployment.ask("entry-0-0", name, idempotent=idempotent)
+                deployment.submit("entry-0-0", name, idempotent=idempotent)
                 for name in ("a", "b")
             )
             return await asyncio.gather(*asks)
@@ -530,7 +532,7 @@
                 return {**await handler(instance, message), "identifier": "another"}
 
             peers.register(ForwardRequest, cross)
-            return await deployment.ask("entry-0-0", "r"), deployment.log.counts["r"]
+            return await deployment.submit("entry-0-0", "r"), deployment.log.counts["r"]
 
         self.assertEqual(play(scenario), (Unknown("answer_crossed"), 1))
 
@@ -550,7 +552,7 @@
                 return first
 
             peers.register(ForwardRequest, double)
-            return await deployment.ask("entry-0-0", "r"), deployment.log.counts["r"]
+            return await deployment.submit("entry-0-0", "r"), deployment.log.counts["r"]
 
         self.assertEqual(play(scenario), (Completed(b"r"), 1))
 
@@ -570,14 +572,14 @@
     def test_a_request_lost_on_the_way_is_unknown(self):
         async def scenario(deployment):
             deployment.switch.cut("entry-0-0", "entry-0-1")
-            return await deployment.ask("entry-0-0", "r")
+            return await deployment.submit("entry-0-0", "r")
 
         self.assertEqual(self.play(scenario), (Unknown("timeout"), 0))
 
     def test_a_reply_lost_on_the_way_is_unknown(self):
         async def scenario(deployment):
             deployment.switch.cut("entry-0-1", "entry-0-0")
-            return await deployment.ask("entry-0-0", "r")
+            return await deployment.submit("entry-0-0", "r")
 
         self.assertEqual(self.play(scenario), (Unknown("timeout"), 1))
 
@@ -586,14 +588,14 @@
             for name in deployment.routers:
                 deployment.switch.cut_both("entry-0-1", name)
             await asyncio.sleep(2)
-            asks = [deployment.ask("entry-0-1", f"r{i}") for i in range(20)]
+            asks = [deployment.submit("entry-0-1", f"r{i}") for i in range(20)]
             return {type(outcome) for outcome in await asyncio.gather(*asks)}
 
         self.assertEqual(self.play(scenario)[0], {Completed})
 
     def test_an_owner_that_dies_with_a_forwarded_request_is_unknown(self):
         async def scenario(deployment):
-            ask = asyncio.ensure_future(deployment.ask("entry-0-0", "r"))
+            ask = asyncio.ensure_future(deployment.submit("entry-0-0", "r"))
             await asyncio.sleep(0.01)
             deployment.kill_entry("entry-0-1")
             return await ask
@@ -638,8 +640,8 @@
 
     def test_a_key_is_claimed_before_and_settled_after_the_request(self):
         async def scenario(deployment, keys):
-            first = await deployment.ask("entry-0-0", "a", key="k")
-            second = await deployment.ask("entry-0-1", "b", key="k")
+            first = await deployment.submit("entry-0-0", "a", key="k")
+            second = await deployment.submit("entry-0-1", "b", key="k")
             return first, second
 
         outcomes, counts, keys = self.play(scenario)
@@ -650,7 +652,7 @@
     def test_nothing_is_sent_when_the_key_cannot_be_claimed(self):
         async def scenario(deployment, keys):
             keys.is_down = True
-            return await deployment.ask("entry-0-0", "a", key="k")
+            return await deployment.submit("entry-0-0", "a", key="k")
 
         outcome, counts, _ = self.play(scenario)
         self.assertEqual((outcome.code, counts), ("store_down", {}))
@@ -658,7 +660,7 @@
     def test_requests_without_a_key_never_ask_the_store(self):
         async def scenario(deployment, keys):
             keys.is_down = True
-            asks = (deployment.ask("entry-0-0", f"r{i}") for i in range(30))
+            asks = (deployment.submit("entry-0-0", f"r{i}") for i in range(30))
             return await asyncio.gather(*asks)
 
         outcomes, _, keys = self.play(scenario)
@@ -678,11 +680,11 @@
     def test_an_outcome_is_stored_though_its_caller_is_cancelled(self):
         async def scenario(deployment, keys):
             self.settle_slowly(keys)
-            ask = asyncio.ensure_future(deployment.ask("entry-0-0", "a", key="k"))
+            ask = asyncio.ensure_future(deployment.submit("entry-0-0", "a", key="k"))
             await asyncio.sleep(0.07)
             ask.cancel()
             await asyncio.sleep(0.1)
-            return await deployment.ask("entry-0-0", "b", key="k")
+            return await deployment.submit("entry-0-0", "b", key="k")
 
         outcome, counts, _ = self.play(scenario)
         self.assertEqual((outcome, counts), (Completed(b"a"), {"a": 1}))
@@ -697,11 +699,11 @@
                 return found
 
             keys.claim_key = claim_slowly
-            ask = asyncio.ensure_future(deployment.ask("entry-0-0", "a", key="k"))
+            ask = asyncio.ensure_future(deployment.submit("entry-0-0", "a", key="k"))
             await asyncio.sleep(0.01)
             ask.cancel()
             await asyncio.sleep(0.1)
-            return await deployment.ask("entry-0-0", "b", key="k")
+            return await deployment.submit("entry-0-0", "b", key="k")
 
         outcome, counts, _ = self.play(scenario)
         self.assertEqual((outcome, counts), (Refused("cancelled"), {}))
@@ -709,7 +711,7 @@
     def test_draining_waits_until_outcomes_are_stored(self):
         async def scenario(deployment, keys):
             self.settle_slowly(keys)
-            ask = asyncio.ensure_future(deployment.ask("entry-0-0", "a", key="k"))
+            ask = asyncio.ensure_future(deployment.submit("entry-0-0", "a", key="k"))
             await asyncio.sleep(0.01)
             ask.cancel()
             await asyncio.sleep(0)
@@ -721,11 +723,11 @@
 
     def test_a_cancelled_keyed_request_is_settled_with_its_answer(self):
         async def scenario(deployment, keys):
-            ask = asyncio.ensure_future(deployment.ask("entry-0-0", "a", key="k"))
+            ask = asyncio.ensure_future(deployment.submit("entry-0-0", "a", key="k"))
             await asyncio.sleep(0.01)
             ask.cancel()
             await asyncio.sleep(0.1)
-            return await deployment.ask("entry-0-0", "b", key="k")
+            return await deployment.submit("entry-0-0", "b", key="k")
 
         outcome, counts, _ = self.play(scenario)
         self.assertEqual((outcome, counts), (Completed(b"a"), {"a": 1}))
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -71,7 +71,7 @@
         return play(run, ONE, service_time=SLOW)
 
     def ask(self, deployment, entry, name, timeout=LONG):
-        ask = deployment.ask(entry, name, timeout=timeout)
+        ask = deployment.submit(entry, name, timeout=timeout)
         return asyncio.ensure_future(ask)
 
     def test_a_successor_waits_for_the_slots_still_filled(self):
@@ -88,7 +88,7 @@
     def test_a_successor_of_an_idle_owner_starts_at_once(self):
         async def scenario(deployment):
             await deployment.table.hand_over(TARGET, "entry-0-1")
-            await deployment.ask("entry-0-1", "r", timeout=LONG)
+            await deployment.submit("entry-0-1", "r", timeout=LONG)
             return deployment.clock.monotonic()
 
         self.assertLess(self.play(scenario), timedelta(seconds=5.2))
@@ -112,9 +112,9 @@
             await asyncio.sleep(1)
             deployment.kill_entry("entry-0-0")
             await deployment.table.assign(TARGET, "entry-0-1")
-            early = await deployment.ask("entry-0-1", "early", timeout=LONG)
+            early = await deployment.submit("entry-0-1", "early", timeout=LONG)
             await asyncio.sleep(12)
-            late = await deployment.ask("entry-0-1", "late", timeout=LONG)
+            late = await deployment.submit("entry-0-1", "late", timeout=LONG)
             return early, late, deployment.log.counts["early"]
 
         early, late, runs = self.play(scenario)
@@ -129,7 +129,7 @@
             deployment.kill_entry("entry-0-0")
             await deployment.table.assign(TARGET, "entry-0-1")
             await deployment.table.hand_over(TARGET, "entry-0-2")
-            return await deployment.ask("entry-0-2", "b", timeout=LONG)
+            return await deployment.submit("entry-0-2", "b", timeout=LONG)
 
         self.assertIsInstance(self.play(scenario), Refused)
 
@@ -179,7 +179,7 @@
             target = deployment.targets["target-0-0"]
             target.faults.plan("send", FaultKind.LOSE_ANSWER, FaultKind.LOSE_ANSWER)
             for number in range(2):
-                await deployment.ask("entry-0-0", f"a{number}", timeout=LONG)
+                await deployment.submit("entry-0-0", f"a{number}", timeout=LONG)
             asks = [self.ask(deployment, "entry-0-0", f"b{i}") for i in range(2)]
             return await asyncio.gather(*asks)
 
@@ -192,7 +192,7 @@
             await asyncio.sleep(1)
             deployment.targets["target-0-0"].die()
             outcomes = await asyncio.gather(*first)
-            refused = await deployment.ask("entry-0-0", "b", timeout=LONG)
+            refused = await deployment.submit("entry-0-0", "b", timeout=LONG)
             return outcomes, refused, deployment.log.counts
 
         outcomes, refused, counts = self.play(scenario)
