--- a/src/damaskdeck/protocol/resources.py
+++ b/src/damaskdeck/protocol/resources.py
@@ -52,11 +52,13 @@
     GANG = "gang"
 
 
+# The docstrings of the classes below are descriptions in ``/openapi.json``, which
+# clients read.
 class Metadata(TypedDict):
-    """Metadata of a resource.
+    """Who a resource is.
 
-    ``revision`` is the store's revision of its last write; operators send it in
-    ``If-Match``.
+    ``revision`` is the store's revision of its last write; operators give it
+    back in ``If-Match``.
     """
 
     name: Name
@@ -67,7 +69,7 @@
 class SizeSpec(TypedDict):
     """A size as operators write it.
 
-    ``processors`` in cores, ``memory`` in MiB, ``accelerators`` as a whole number.
+    ``processors`` in cores, ``memory`` in MiB, ``accelerators`` whole.
     """
 
     processors: NotRequired[Annotated[float, Meta(ge=0, le=1_000_000)]]
@@ -76,7 +78,7 @@
 
 
 class TeamSpec(TypedDict):
-    """A team with its quota; ``weight`` is its share of idle capacity."""
+    """A team with its quota; ``weight`` shares what is idle."""
 
     quota: SizeSpec
     weight: NotRequired[Annotated[float, Meta(gt=0, le=1000)]]
@@ -85,8 +87,8 @@
 class WorkloadSpec(TypedDict):
     """A workload as declared; sizes and run times may be wrong.
 
-    ``size`` is that of one task; ``tasks`` is the number of tasks of each job (batch
-    and gang) or of replicas (service). ``run_time`` is in seconds.
+    ``size`` is of one task; ``tasks`` counts the tasks of each job (batch and
+    gang) or the replicas kept running (service). ``run_time`` in seconds.
     """
 
     team: Name
@@ -102,9 +104,9 @@
 
 
 class PolicySpec(TypedDict):
-    """Policy of the whole deployment; the policy named ``default`` is in force.
+    """What holds for the whole deployment; the policy in force is ``default``.
 
-    ``weights`` of placement by the score's name; ``drained`` instances get no new
+    ``weights`` of placement by score's name; ``drained`` instances get no new
     work, as if the platform listed them as leaving.
     """
 
@@ -113,7 +115,7 @@
 
 
 class Resource(TypedDict):
-    """Any resource in the API."""
+    """Any resource as it crosses the API."""
 
     kind: Literal["team", "workload", "policy", "job", "task", "worker", "target"]
     metadata: Metadata
