--- a/src/damaskdeck/coordination/jobs/launches.py
+++ b/src/damaskdeck/coordination/jobs/launches.py
@@ -40,7 +40,7 @@
 class Launcher:
     """Starts tasks of one owned ledger through the owners of workers.
 
-    It upholds "A request marked as non-idempotent runs at most once": no start is
+    Guarantee: "A request marked as non-idempotent runs at most once." No start is
     sent before the placement, which is its start mark, is durable, and the start
     of each attempt is sent once.
 
--- a/src/damaskdeck/coordination/jobs/ownedledger.py
+++ b/src/damaskdeck/coordination/jobs/ownedledger.py
@@ -28,7 +28,7 @@
 class OwnedLedger:
     """One ledger from the gain to the loss of its ownership.
 
-    It upholds "Every caller learns truthfully": the table reflects only records
+    Guarantee: "Every caller learns truthfully": the table reflects only records
     that are durable.
 
     :param name: the name of the ledger, such as ``03``.
--- a/src/damaskdeck/coordination/members/ownership.py
+++ b/src/damaskdeck/coordination/members/ownership.py
@@ -1,8 +1,8 @@
 """Ownership of shards: claims, takeovers and handovers through the store.
 
-One daemon at a time decides about a shard. This is what guarantees that "no task
-is ever running in two places at once" and that no instance is given more work
-than it can hold.
+Only one daemon at a time decides about a shard. Two guarantees depend on this: "No
+task is ever running in two places at once", and no instance is given more work than
+it can hold.
 """
 
 import asyncio
--- a/src/damaskdeck/coordination/places/allocator.py
+++ b/src/damaskdeck/coordination/places/allocator.py
@@ -54,7 +54,7 @@
 class CapacityAllocator:
     """Assigns the capacity of the workers that this daemon owns to tasks.
 
-    It upholds "No instance is given more work than its processors, memory, or
+    Guarantee: "No instance is given more work than its processors, memory, or
     accelerators can hold."
 
     :param stop: ``stop(worker, task, checkpoint)`` preempts a task.
--- a/src/damaskdeck/coordination/places/relief.py
+++ b/src/damaskdeck/coordination/places/relief.py
@@ -27,7 +27,7 @@
 class PressureRelief:
     """Chooses tasks to throttle, checkpoint or stop on the owned workers.
 
-    It upholds "No instance is given more work than its processors, memory, or
+    Guarantee: "No instance is given more work than its processors, memory, or
     accelerators can hold" even if declared sizes are far from the actual usage.
     """
 
--- a/src/damaskdeck/protocol/outcomes.py
+++ b/src/damaskdeck/protocol/outcomes.py
@@ -10,7 +10,7 @@
 class Completed(NamedTuple):
     """It ran and succeeded.
 
-    Promise: "Every caller gets the whole answer to its own request".
+    Guarantee: "Every caller gets the whole answer to its own request".
 
     :param body: the whole answer.
     :param content_type: media type of ``body``.
@@ -36,7 +36,7 @@
 class Refused(NamedTuple):
     """It did not run and never will.
 
-    Promise: "When the system says a request was not run, it truly did not run."
+    Guarantee: "When the system says a request was not run, it truly did not run."
 
     :param code: stable code, as in ``queue_full``.
     :param detail: text for people.
--- a/src/damaskdeck/state/configuration.py
+++ b/src/damaskdeck/state/configuration.py
@@ -30,7 +30,7 @@
     daemon learns of before it has all changes below them are kept ahead of the
     base. They are in force, too.
 
-    Promise: "A configuration the system has accepted is in force everywhere
+    Guarantee: "A configuration the system has accepted is in force everywhere
     within seconds and never reverts."
 
     :param history: records the changes of the base in order.
--- a/src/damaskdeck/state/ledger.py
+++ b/src/damaskdeck/state/ledger.py
@@ -129,9 +129,9 @@
     async def commit(self, records: tuple[bytes, ...]) -> CommitOutcome:
         """Make records durable, all or none of them.
 
-        Promise: "When the system says a request was not run, it truly did not run."
-        The records of a caller that is cancelled while it waits may be committed or
-        not.
+        Guarantee: "When the system says a request was not run, it truly did not
+        run." The records of a caller that is cancelled while it waits may be committed
+        or not.
 
         :returns: ``Deposed`` and ``Rejected`` only if none of the records will ever be
             replayed; ``Lost`` if that is not known within the commit timeout.
--- a/src/damaskdeck/state/workeraccounts.py
+++ b/src/damaskdeck/state/workeraccounts.py
@@ -126,7 +126,7 @@
 class WorkerAccounts:
     """Reservations of tasks on the workers that this daemon owns.
 
-    Promise: "No instance is given more work than its processors, memory, or
+    Guarantee: "No instance is given more work than its processors, memory, or
     accelerators can hold." A reservation that doesn't fit is refused by a returned
     value; a negative free capacity raises :class:`InvariantError`.
     """
