--- a/src/damaskdeck/coordination/jobs/controllers.py
+++ b/src/damaskdeck/coordination/jobs/controllers.py
@@ -78,11 +78,11 @@
         self.set_workers(workers)
         for resource in self._configuration.list(Kind.TEAM):
             self.set_team(resource["metadata"]["name"], resource)
-        started = self.ledger.get_time()
+        started_at = self.ledger.get_time()
         if not await self.ledger.open():
             return
-        took = timedelta(seconds=self.ledger.get_time() - started)
-        _log.info("Opened a ledger.", ledger=self.ledger.name, took=took)
+        duration = timedelta(seconds=self.ledger.get_time() - started_at)
+        _log.info("Opened a ledger.", ledger=self.ledger.name, took=duration)
         self._runner = asyncio.ensure_future(self._run())
         self._runner.add_done_callback(self._watch)
 
--- a/src/damaskdeck/coordination/members/ownership.py
+++ b/src/damaskdeck/coordination/members/ownership.py
@@ -141,8 +141,8 @@
         while True:
             self._wake.clear()
             async with self._lock:
-                should_hurry = await self._reconcile()
-            wait = FAST_RECONCILE_INTERVAL if should_hurry else self._interval
+                should_reconcile_soon = await self._reconcile()
+            wait = FAST_RECONCILE_INTERVAL if should_reconcile_soon else self._interval
             await wait_for_event(self._wake, wait, self._clock)
 
     async def drain(self) -> None:
@@ -167,10 +167,12 @@
         await self._release_expired()
         if not await self._mirror.refresh() or not await self._members.refresh():
             return False
-        should_hurry = False
+        should_reconcile_soon = False
         for scope in list(self._shards):
-            should_hurry = await self._reconcile_scope(scope) or should_hurry
-        return should_hurry
+            should_reconcile_soon = (
+                await self._reconcile_scope(scope) or should_reconcile_soon
+            )
+        return should_reconcile_soon
 
     async def _reconcile_scope(self, scope: str) -> bool:
         table = self._get_table(scope)
--- a/src/damaskdeck/coordination/pools/accountlimits.py
+++ b/src/damaskdeck/coordination/pools/accountlimits.py
@@ -47,10 +47,10 @@
         """Whether the document in force is fresh enough to start tasks by."""
 
     def list_unreconciled(self) -> list[Size]:
-        """List the sizes of the workers that may have unknown runs."""
+        """List the sizes of the workers that may have unconfirmed runs."""
 
     def list_unconfirmed_jobs(self) -> Iterable[Job]:
-        """List the jobs that may have unknown runs on such workers."""
+        """List the jobs that may have unconfirmed runs on such workers."""
 
 
 class AccountLimits:
@@ -152,7 +152,7 @@
     # Unconfirmed usage -------------------------------------------------------
 
     def _get_unconfirmed(self, account: str) -> Size:
-        """Return an upper bound of the usage of an account by unknown runs."""
+        """Return an upper bound of the usage of an account by unconfirmed runs."""
         now = self._owner.now()
         if now - self._unconfirmed_at >= UNCONFIRMED_USAGE_MAX_AGE_SECONDS:
             self._unconfirmed_at = now
@@ -168,7 +168,7 @@
         for job in self._owner.list_unconfirmed_jobs():
             account = job.record.account
             total = add_sizes(
-                unconfirmed.get(account, ZERO_SIZE), _measure_unknown_runs(job)
+                unconfirmed.get(account, ZERO_SIZE), _measure_unconfirmed_runs(job)
             )
             unconfirmed[account] = total
         return {
@@ -229,17 +229,17 @@
     return max(0, min(wanted, count_fitting(spec, free)))
 
 
-def _measure_unknown_runs(job: Job) -> Size:
+def _measure_unconfirmed_runs(job: Job) -> Size:
     """Return the size of all runs that a job may have besides the known ones."""
     return sum_sizes(
         # The copy of a task that has completed may still be running.
-        _measure_unknown_runs_of_step(step, 2 if step.spec.is_speculative else 1)
+        _measure_unconfirmed_runs_of_step(step, 2 if step.spec.is_speculative else 1)
         for step in job.list_steps()
     )
 
 
-def _measure_unknown_runs_of_step(step: Step, max_runs: int) -> Size:
-    """Return the size of the unknown runs of a step.
+def _measure_unconfirmed_runs_of_step(step: Step, max_runs: int) -> Size:
+    """Return the size of the unconfirmed runs of a step.
 
     :param max_runs: The most runs that one task may have.
     """
--- a/src/damaskdeck/coordination/pools/contacts.py
+++ b/src/damaskdeck/coordination/pools/contacts.py
@@ -81,8 +81,8 @@
     :ivar used: The capacity that these runs use.
     :ivar free: The capacity that no run uses.
     :ivar unknown_runs: What the worker runs of tasks that are not known here.
-    :ivar last_received_end: number of the last end that the worker reported.
-    :ivar last_durable_end: number of the last end that is durable.
+    :ivar last_received_end: The number of the last end that the worker reported.
+    :ivar last_durable_end: The number of the last end that is durable.
     :ivar paused_until: The worker gets no orders before this time.
     :ivar polled_at: When the worker last answered a poll with its tasks.
     :ivar last_order: The last order to start tasks.
@@ -453,7 +453,7 @@
         """Return the deadline to extend the lease to, by the worker's clock.
 
         The lease of a silent worker is not extended: it might be extended without an
-        answer, and then its runs could not be given up.
+        answer, and then its runs could not be abandoned.
         """
         if not self.is_synchronized or not self._may_extend_lease:
             return None
@@ -519,7 +519,7 @@
         await self._clock.sleep(FAILED_POLL_DELAY)
 
     async def _handle_expired_lease(self) -> None:
-        """Give up the runs under a lease that has expired.
+        """Abandon the runs under a lease that has expired.
 
         This is only safe if the store still names this daemon as owner after that time:
         a successor may have reached the worker, extended its lease and received its
@@ -544,7 +544,7 @@
         self._owner.handle_contact_change(self)
 
     async def _settle_incarnation(self) -> None:
-        """Give up the runs of an incarnation that has ended.
+        """Abandon the runs of an incarnation that has ended.
 
         The same condition applies as for an expired lease.
         """
--- a/src/damaskdeck/coordination/pools/crashes.py
+++ b/src/damaskdeck/coordination/pools/crashes.py
@@ -24,11 +24,12 @@
 SIMULTANEOUS_SECONDS = 0.02
 # A worker that was restarted just now may crash again for its own reasons.
 WARM_UP_SECONDS = 3.0
-# A task that was suspect this often is given up, because it would crash more workers.
+# A job fails when one of its tasks was suspect this often, because the task would
+# crash more workers.
 MAX_SUSPECTED_CRASHES = 2
-# A task is also given up after this many crashes, even if other tasks were suspect.
-# Users accept two more starts after that, and crashes may go unseen while there is no
-# owner.
+# A job also fails after this many crashes under one task, even if other tasks were
+# suspect. Users accept two more starts after that, and crashes may go unseen while
+# there is no owner.
 MAX_CRASHES = 3
 # A long-running task that has run for this long does not crash workers by its start.
 STABLE_SECONDS = 10.0
@@ -60,8 +61,8 @@
     suspected: int
 
     @property
-    def is_enough(self) -> bool:
-        """Whether the task is given up."""
+    def is_at_limit(self) -> bool:
+        """Whether the task has reached a limit, so that its job fails."""
         return self.suspected >= MAX_SUSPECTED_CRASHES or self.crashes >= MAX_CRASHES
 
 
@@ -113,7 +114,7 @@
         job = step.job
         self._owner.mark_dirty(job)
         count = CrashCount(*step.count_crashes(task))
-        if count.is_enough and not job.is_final:
+        if count.is_at_limit and not job.is_final:
             reason = f"{count.crashes} workers crashed under task {task.name[1:]}"
             count_drop("crashes", "given_up")
             self._owner.end_job(job, QueueJobState.FAILED, reason)
--- a/src/damaskdeck/coordination/pools/departures.py
+++ b/src/damaskdeck/coordination/pools/departures.py
@@ -6,8 +6,8 @@
 from damaskdeck.coordination.pools.contacts import WorkerContact
 from damaskdeck.state.pooljobs import Run, RunPhase
 
-# A registration is read this long after it was written at most (0.12 to 0.38 s
-# measured).
+# A registration is read this long after it was written at most; actual lags are 0.12
+# to 0.38 s.
 NOTICE_LAG_SECONDS = 0.4
 # A run that would lose its work is stopped early only if its remaining time exceeds the
 # remaining stay by this factor, as estimates are off by half.
--- a/src/damaskdeck/coordination/pools/jobfrontend.py
+++ b/src/damaskdeck/coordination/pools/jobfrontend.py
@@ -165,9 +165,9 @@
         cached = self._final_states.get((identifier, caller.account, caller.queue))
         if cached is not None:
             return JobStateFound(cached)
-        started = self._now()
+        started_at = self._now()
         result = await self._call_owner(ReadJobState, OWNER_TIMEOUT, identifier, caller)
-        observe_latency("desk", "state", self._now() - started)
+        observe_latency("desk", "state", self._now() - started_at)
         if result is not None:
             return result
         if self._store.is_failing:
--- a/src/damaskdeck/coordination/pools/owner.py
+++ b/src/damaskdeck/coordination/pools/owner.py
@@ -274,7 +274,7 @@
         return self.account_limits.ceilings.build_write()
 
     async def wait_until_durable(self, contact: WorkerContact) -> bool:
-        """Wait for the ends taken so far; ``False`` while they can't be stored."""
+        """Wait for the ends received so far; ``False`` if they can't be stored now."""
         self._changes.record_worker_ends(contact)
         self._journal.wake()
         try:
--- a/src/damaskdeck/coordination/pools/ownermonitor.py
+++ b/src/damaskdeck/coordination/pools/ownermonitor.py
@@ -276,23 +276,23 @@
 
     async def _wait_for_heartbeat(self, owner: OwnerRecord) -> bool:
         """Wait for evidence that the owner is alive, for most of the usual timeout."""
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         timeout = timedelta(seconds=WITNESS_TIMEOUT_SHARE * self._find_timeout())
         heartbeats = set(self._heartbeats)
         while heartbeats and not self._peers.is_connection_refused(owner.instance):
-            spent = self._clock.monotonic() - began
-            if self._liveness.measure_silence() < spent.total_seconds():
+            elapsed = self._clock.monotonic() - started_at
+            if self._liveness.measure_silence() < elapsed.total_seconds():
                 return True
-            if spent >= timeout:
+            if elapsed >= timeout:
                 return False
-            rest = asyncio.ensure_future(self._clock.sleep(timeout - spent))
+            rest = asyncio.ensure_future(self._clock.sleep(timeout - elapsed))
             done, _ = await asyncio.wait(
                 {rest, *heartbeats}, return_when=asyncio.FIRST_COMPLETED
             )
             rest.cancel()
             heartbeats -= done
-        spent = self._clock.monotonic() - began
-        return self._liveness.measure_silence() <= spent.total_seconds()
+        elapsed = self._clock.monotonic() - started_at
+        return self._liveness.measure_silence() <= elapsed.total_seconds()
 
 
 def _has_answered(call: "asyncio.Future[bool | None]") -> bool:
--- a/src/damaskdeck/coordination/pools/submitter.py
+++ b/src/damaskdeck/coordination/pools/submitter.py
@@ -45,7 +45,7 @@
 )
 
 RETRY_DELAY = timedelta(milliseconds=60)
-# Number of daemons that are requested to store a job that this daemon can't store.
+# Number of daemons to which a job is delegated that this daemon can't store.
 DELEGATE_COUNT = 2
 DELEGATE_TIMEOUT = timedelta(milliseconds=450)
 
@@ -88,10 +88,9 @@
     ) -> JobAccepted | JobNotAccepted | JobUnconfirmed | CallRejected:
         """Store a job; the same identifier is the same job.
 
-        If the store does not answer this daemon, other daemons are requested to store
-        it.
+        If the store does not answer this daemon, the job is delegated to others.
         """
-        began = self._now()
+        started_at = self._now()
         zones = self._zone_capacities.choose(queue, identifier, spec)
         record = JobRecord(identifier, queue, spec, 0, 0.0, zones, caller.account)
         answer = await self._store_job(record, caller)
@@ -115,7 +114,7 @@
             count_refusal("submit", answer.code)
             if caller.account:
                 count_account_job(caller.account, "refused")
-        observe_latency("desk", "submit", self._now() - began)
+        observe_latency("desk", "submit", self._now() - started_at)
         return answer
 
     async def _store_job(
--- a/src/damaskdeck/coordination/requests/admission.py
+++ b/src/damaskdeck/coordination/requests/admission.py
@@ -16,7 +16,7 @@
 from damaskdeck.protocol.resources import Urgency
 
 MAX_QUEUE_BYTES = 2_000_000
-MIN_RETRY_AFTER_S = 0.2
+MIN_RETRY_AFTER_SECONDS = 0.2
 
 _RANKS = {urgency: rank for rank, urgency in enumerate(Urgency)}
 # Weight of one request in the moving average of each class's share.
@@ -292,5 +292,5 @@
         """
         wait = excess + ahead * self._durations.mean / max(slots, 1)
         spread = 1 + self._random.random()
-        hint = timedelta(seconds=max(wait, MIN_RETRY_AFTER_S) * spread)
+        hint = timedelta(seconds=max(wait, MIN_RETRY_AFTER_SECONDS) * spread)
         return Refused(code, retry_after=hint)
--- a/src/damaskdeck/coordination/requests/loads.py
+++ b/src/damaskdeck/coordination/requests/loads.py
@@ -18,7 +18,7 @@
 
 # Weight of one report in the moving average of the free slots.
 _AVERAGE_WEIGHT = 0.2
-_MIN_SERVICE_TIME_S = 0.001
+_MIN_SERVICE_TIME_SECONDS = 0.001
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(dict[str, ServiceLoad])
@@ -57,7 +57,7 @@
         """
         load = self.load
         age = (now - self.time).total_seconds()
-        weight = math.exp(-age / max(load["service_time"], _MIN_SERVICE_TIME_S))
+        weight = math.exp(-age / max(load["service_time"], _MIN_SERVICE_TIME_SECONDS))
         known = load["free"] - load["queued"]
         return weight * known + (1 - weight) * self.average_free - self.sent
 
--- a/src/damaskdeck/coordination/requests/routing.py
+++ b/src/damaskdeck/coordination/requests/routing.py
@@ -51,8 +51,8 @@
 COMPONENT = "routing"
 RETRY_AFTER = timedelta(seconds=1)
 DRAIN_POLL_INTERVAL = timedelta(milliseconds=5)
-HOP_TIME_S = 0.001
-CROSS_ZONE_HOP_TIME_S = 0.003
+HOP_TIME_SECONDS = 0.001
+CROSS_ZONE_HOP_TIME_SECONDS = 0.003
 
 # A request that could wait for own slots isn't redirected after this many free
 # refusals elsewhere.
@@ -397,8 +397,10 @@
     """
     if not slots:
         return remaining
-    return HOP_TIME_S if choice.is_same_zone else CROSS_ZONE_HOP_TIME_S
+    return HOP_TIME_SECONDS if choice.is_same_zone else CROSS_ZONE_HOP_TIME_SECONDS
 
 
 def _estimate_total_wait(choice: PeerChoice) -> float:
-    return choice.wait + (HOP_TIME_S if choice.is_same_zone else CROSS_ZONE_HOP_TIME_S)
+    return choice.wait + (
+        HOP_TIME_SECONDS if choice.is_same_zone else CROSS_ZONE_HOP_TIME_SECONDS
+    )
--- a/src/damaskdeck/coordination/requests/sharing.py
+++ b/src/damaskdeck/coordination/requests/sharing.py
@@ -20,7 +20,7 @@
 
 # Seconds from an offer until its request arrives; slots that become free in the
 # meantime are offered in advance.
-OFFER_LEAD_S = 0.003
+OFFER_LEAD_SECONDS = 0.003
 
 
 class _PeerQueue:
@@ -108,7 +108,7 @@
         if not waiting:
             return
         now = self._clock.monotonic()
-        available = lane.count_available(OFFER_LEAD_S) - self._count_offers(
+        available = lane.count_available(OFFER_LEAD_SECONDS) - self._count_offers(
             lane.service, now
         )
         while available > 0:
--- a/src/damaskdeck/coordination/workers/leases.py
+++ b/src/damaskdeck/coordination/workers/leases.py
@@ -1,9 +1,9 @@
 """Upper bounds for the end of task leases, by this daemon's monotonic clock.
 
-A paused worker may delay a renewal, which then takes effect after this daemon
-has given up waiting for the answer; but not after the lease has expired in the
-meantime. Therefore an answered call bounds the lease from the time of its answer,
-and an unanswered call extends the bound by one lease.
+A paused worker may delay a renewal, which then takes effect after this daemon has
+stopped waiting for the answer, but never after the lease has expired. Therefore an
+answered call bounds the lease from the time of its answer, and an unanswered call
+extends the bound by one lease.
 """
 
 from datetime import timedelta
--- a/src/damaskdeck/protocol/heartbeats.py
+++ b/src/damaskdeck/protocol/heartbeats.py
@@ -77,7 +77,7 @@
 
 @message("goodbye")
 class Goodbye(TypedDict):
-    """The sender has given up its lease and takes over nothing any more."""
+    """The sender has revoked its lease and takes over nothing any more."""
 
     session: str
 
