--- a/demo/checks.py
+++ b/demo/checks.py
@@ -1,10 +1,10 @@
-"""What the demo expects, counted and printed."""
+"""The expectations of the demo, counted and printed."""
 
 from typing import Any
 
 
 class Checks:
-    """Prints each check; remembers those that failed."""
+    """Prints each check and collects those that failed."""
 
     def __init__(self) -> None:
         self.failed: list[str] = []
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -93,9 +93,9 @@
             owner.owner.fence, owner.commits.commit_via_delegate
         )
         self.assertIsNone(owner.owner)
-        began = cluster.clock.monotonic()
+        started_at = cluster.clock.monotonic()
         await cluster.wait(lambda: cluster.find_owner() is not None)
-        self.assertLess(cluster.clock.monotonic() - began, timedelta(seconds=0.3))
+        self.assertLess(cluster.clock.monotonic() - started_at, timedelta(seconds=0.3))
         self.assertNotIn(cluster.find_owner().name, (owner.name, successor))
         self.end()
 
