--- a/tests/poolcluster.py
+++ b/tests/poolcluster.py
@@ -504,10 +504,10 @@
         spans: dict[TaskName, list[tuple[timedelta, timedelta, EndKind, str]]] = {}
         for name, worker in self.workers.items():
             worker.settle()
-            for task, attempt, kind, began, ended in worker.history:
+            for task, attempt, kind, started_at, ended_at in worker.history:
                 if (task, attempt) in worker.lost:
                     kind = EndKind.LAPSED
-                spans.setdefault(task, []).append((began, ended, kind, name))
+                spans.setdefault(task, []).append((started_at, ended_at, kind, name))
             for task, run in worker.running.items():
                 row = (run.started_at, timedelta.max, EndKind.COMPLETED, name)
                 spans.setdefault(task, []).append(row)
@@ -529,7 +529,11 @@
                 (r.started_at, timedelta.max, t) for t, r in worker.running.items()
             ]
             for at, task, _, _ in worker.starts:
-                there = [t for began, ended, t in spans if began <= at < ended]
+                there = [
+                    t
+                    for started_at, ended_at, t in spans
+                    if started_at <= at < ended_at
+                ]
                 used = functools.reduce(add_sizes, map(self._find_size, there), Size())
                 if not any(fits(used, size) for size in self._list_sizes(name, at)):
                     violations.append(f"{task} at {at} overfills {name}: {used}")
--- a/tests/test_account_metrics.py
+++ b/tests/test_account_metrics.py
@@ -54,9 +54,9 @@
         self.assertEqual(self.states["kiosk"], (0, 0))
 
     def test_late_jobs_have_their_own_outcome(self):
-        for took, outcome in ((1.0, "completed"), (100.0, "late")):
+        for final_at, outcome in ((1.0, "completed"), (100.0, "late")):
             job = self.add(outcome, "kiosk")
-            job.close(QueueJobState.COMPLETED, took)
+            job.close(QueueJobState.COMPLETED, final_at)
             self.metrics.record_end(job)
         failed = self.add("f", "kiosk")
         failed.close(QueueJobState.FAILED, 100.0)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -138,7 +138,7 @@
             names = list(deployment.routers)
             clock = deployment.clock
 
-            async def ask(number):
+            async def submit_request(number):
                 urgent = number % 20 == 0
                 name = f"{'u' if urgent else 'n'}{number}"
                 start = clock.monotonic()
@@ -155,7 +155,7 @@
             end = clock.monotonic() + timedelta(seconds=duration)
             while clock.monotonic() < end:
                 await asyncio.sleep(source.expovariate(rate))
-                tasks.append(asyncio.ensure_future(ask(len(tasks))))
+                tasks.append(asyncio.ensure_future(submit_request(len(tasks))))
             await asyncio.gather(*tasks)
             return {e.request: e.start for e in deployment.log.executions}
 
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -138,7 +138,7 @@
         await asyncio.sleep(1)
         self.assertEqual(self.read_cordons(), {"w3": ()})
         await cluster.submit("waits", make_job(), cluster.find_other_daemon().name)
-        # It is gone with the owner, and nobody could remove it from the roster.
+        # It is gone with the owner, so no daemon could remove it from the roster.
         cluster.find_owner().store.faults.outage = True
         cluster.workers["w3"].kill()
         cluster.store.set(StandinRegistry.prefix + "w3", None)
--- a/tests/test_delays.py
+++ b/tests/test_delays.py
@@ -1,7 +1,7 @@
-"""A process whose loop is late does not take that for lateness of the workers.
+"""A process whose event loop is late does not consider the workers late.
 
 The load: an owner with a tenth of a core, whose loop runs 0.3 s late. It received the
-answers to orders 0.3 s late and took workers for late after 0.15 s. So half of its
+answers to orders 0.3 s late and considered workers late after 0.15 s. So half of its
 orders were unconfirmed, and no worker got further orders.
 """
 
--- a/tests/test_foreign.py
+++ b/tests/test_foreign.py
@@ -305,7 +305,7 @@
 
 
 class TestOwner(PoolCase):
-    """An owner continues to schedule whatever other writers store."""
+    """An owner continues to schedule despite any entries of other writers."""
 
     kind = WireCluster
 
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -16,7 +16,7 @@
 
 
 class TestPace(unittest.TestCase):
-    """The total write rate of all ledgers is limited, whatever their number."""
+    """The total write rate of all ledgers is limited, independent of their number."""
 
     async def count_writes(self, ledger_count: int) -> float:
         """Return the writes a second of ledgers that constantly commit records."""
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -285,12 +285,12 @@
 
     async def test_drain_hands_over_without_the_clock_moving(self):
         owned = self.daemons["a"].list_owned()
-        began = self.deployment.clock.monotonic()
+        started_at = self.deployment.clock.monotonic()
         await self.daemons["a"].ownership.drain()
         await settle()
         self.deployment.check()
         self.assert_all_owned()
-        self.assertEqual(self.deployment.clock.monotonic(), began)
+        self.assertEqual(self.deployment.clock.monotonic(), started_at)
         self.assertEqual(self.daemons["a"].list_owned(), ())
         self.assertTrue(set(owned) <= set(self.daemons["a"].losses))
 
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -93,11 +93,11 @@
         daemon = cluster.daemons["d1"]
         for each in cluster.daemons.values():
             each.store.faults.plan("commit", *[FaultKind.REFUSE] * 100)
-        began = cluster.clock.monotonic()
+        started_at = cluster.clock.monotonic()
         done = await daemon.frontend.submit(make_queue(), "j1", make_job())
         self.assertIsInstance(done, JobNotAccepted)
         self.assertGreater(done.retry, timedelta())
-        self.assertLess(cluster.clock.monotonic() - began, SECOND)
+        self.assertLess(cluster.clock.monotonic() - started_at, SECOND)
         for each in cluster.daemons.values():
             each.store.faults.planned.clear()
         await asyncio.sleep(5)
@@ -110,9 +110,11 @@
         other = cluster.find_other_daemon()
         other.store.faults.outage = True
         await asyncio.sleep(0.5)
-        began = cluster.clock.monotonic()
+        started_at = cluster.clock.monotonic()
         await cluster.submit("j1", make_job(), other.name)
-        self.assertLess(cluster.clock.monotonic() - began, timedelta(milliseconds=100))
+        self.assertLess(
+            cluster.clock.monotonic() - started_at, timedelta(milliseconds=100)
+        )
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED, other.name)
         self.assertEqual(len(cluster.list_starts()), 1)
         self.end()
@@ -126,10 +128,12 @@
             each.store.faults.pause()
         await asyncio.sleep(2)
         daemon = cluster.daemons["d1"]
-        began = cluster.clock.monotonic()
+        started_at = cluster.clock.monotonic()
         done = await daemon.frontend.submit(make_queue(), "j1", make_job())
         self.assertIsInstance(done, JobNotAccepted)
-        self.assertLess(cluster.clock.monotonic() - began, timedelta(milliseconds=50))
+        self.assertLess(
+            cluster.clock.monotonic() - started_at, timedelta(milliseconds=50)
+        )
         for each in cluster.daemons.values():
             each.store.faults.resume()
         await asyncio.sleep(5)
@@ -174,8 +178,8 @@
             for task, _, _, _, ended in worker.history
             if task.step == 0
         ]
-        began = min(at for at, task, _, _ in starts if task.step == 1)
-        self.assertGreaterEqual(began, max(ends))
+        started_at = min(at for at, task, _, _ in starts if task.step == 1)
+        self.assertGreaterEqual(started_at, max(ends))
         self.end()
 
     @virtual
@@ -321,11 +325,11 @@
         spec = make_job(
             repeats=3, start_at=timedelta(seconds=wall + 2), interval=3 * SECOND
         )
-        began = cluster.clock.monotonic()
+        started_at = cluster.clock.monotonic()
         await cluster.submit("j1", spec)
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
         times = [
-            round((row[0] - began).total_seconds())
+            round((row[0] - started_at).total_seconds())
             for row in sorted(cluster.list_starts())
         ]
         self.assertEqual(times, [2, 5, 8])
--- a/tests/test_pools_capacity.py
+++ b/tests/test_pools_capacity.py
@@ -50,10 +50,10 @@
         await asyncio.sleep(3)
         cluster.resize("w0", SIZE)
         await asyncio.sleep(3)
-        began = cluster.clock.monotonic()
+        started_at = cluster.clock.monotonic()
         await cluster.submit("j1", make_job(StepSpec(4, SMALL, SECOND)))
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED)
-        self.assertLess(cluster.clock.monotonic() - began, 2 * SECOND)
+        self.assertLess(cluster.clock.monotonic() - started_at, 2 * SECOND)
         self.end()
 
     @virtual
--- a/tests/test_pools_chaos.py
+++ b/tests/test_pools_chaos.py
@@ -150,9 +150,11 @@
         await self.cluster.start()
         monitor = asyncio.ensure_future(self.watch_capacity())
         jobs = []
-        began = self.cluster.clock.monotonic()
+        started_at = self.cluster.clock.monotonic()
         number = 0
-        while self.cluster.clock.monotonic() - began < timedelta(seconds=FAULT_SECONDS):
+        while self.cluster.clock.monotonic() - started_at < timedelta(
+            seconds=FAULT_SECONDS
+        ):
             await asyncio.sleep(self.random.uniform(0.1, 0.8))
             roll = self.random.random()
             if roll < 0.55:
@@ -163,7 +165,7 @@
                 jobs.append(asyncio.ensure_future(self.cancel(target)))
             else:
                 chosen = self.random.choice(self.faults)
-                now = self.cluster.clock.monotonic() - began
+                now = self.cluster.clock.monotonic() - started_at
                 self.log.append(f"{now.total_seconds():.2f} {chosen.__name__}")
                 chosen(self)
         await asyncio.sleep(12)
@@ -489,7 +491,7 @@
 class TestFoundSeeds(unittest.TestCase):
     """Seeds that have shown a fault."""
 
-    # A task was given up for a crash that came after the task had ended, before that
+    # A job failed because of a crash that came after its task had ended, but before the
     # end was reported.
     def test_an_end_that_goes_with_its_worker_is_no_crash(self):
         problems, faults = play(CrashingChaos, 631)
--- a/tests/test_pools_crashes.py
+++ b/tests/test_pools_crashes.py
@@ -19,7 +19,7 @@
 # In the observed failure a worker was gone about 10 ms after the order to start.
 CRASH_DELAY = timedelta(milliseconds=10)
 # Twice the time of five starts with three seconds between them.
-GIVE_UP_SECONDS = 40
+FAILURE_TIMEOUT_SECONDS = 40
 LONG_RUNNING = StepSpec(1, SMALL, SECOND, is_long_running=True)
 
 Behaviour = Callable[[TaskName, int], Work]
@@ -48,14 +48,14 @@
 
 
 class TestCrashes(PoolCase):
-    """A task that crashes workers is given up, and other tasks are not."""
+    """A job whose task crashes workers fails, and other jobs do not."""
 
     @virtual
-    async def test_a_task_that_crashes_its_workers_is_given_up(self):
+    async def test_a_job_whose_task_crashes_its_workers_fails(self):
         cluster = await self.begin(workers=6, behave=crash_under("bad"))
         await cluster.submit("bad", make_job())
         await cluster.wait_for_state(
-            "bad", QueueJobState.FAILED, seconds=GIVE_UP_SECONDS
+            "bad", QueueJobState.FAILED, seconds=FAILURE_TIMEOUT_SECONDS
         )
         self.assertLessEqual(len(cluster.list_starts("bad")), 5)
         self.end()
@@ -66,40 +66,40 @@
         await cluster.submit("good", make_job(StepSpec(14, SMALL, SECOND)))
         await cluster.submit("bad", make_job())
         await cluster.wait_for_state(
-            "bad", QueueJobState.FAILED, seconds=GIVE_UP_SECONDS
+            "bad", QueueJobState.FAILED, seconds=FAILURE_TIMEOUT_SECONDS
         )
         await cluster.wait_for_state("good", QueueJobState.COMPLETED)
         self.assertGreater(len(cluster.list_starts("good")), 14)
         self.end()
 
     @virtual
-    async def test_a_task_that_crashes_its_workers_later_is_given_up(self):
+    async def test_a_job_whose_task_crashes_its_workers_later_fails(self):
         delay = timedelta(seconds=2)
         behave = crash_under("bad", after=delay, duration=3 * SECOND)
         cluster = await self.begin(workers=6, behave=behave)
         await cluster.submit("bad", make_job())
         await cluster.wait_for_state(
-            "bad", QueueJobState.FAILED, seconds=GIVE_UP_SECONDS
+            "bad", QueueJobState.FAILED, seconds=FAILURE_TIMEOUT_SECONDS
         )
         self.end()
 
     @virtual
-    async def test_a_gang_with_a_task_that_crashes_workers_is_given_up(self):
+    async def test_a_job_with_a_gang_that_crashes_workers_fails(self):
         behave = crash_under("bad", duration=20 * SECOND)
         cluster = await self.begin(workers=6, behave=behave)
         step = StepSpec(4, SIZE, SECOND, is_gang=True)
         await cluster.submit("bad", make_job(step))
         await cluster.wait_for_state(
-            "bad", QueueJobState.FAILED, seconds=GIVE_UP_SECONDS
+            "bad", QueueJobState.FAILED, seconds=FAILURE_TIMEOUT_SECONDS
         )
         self.end()
 
     @virtual
-    async def test_a_long_running_task_that_crashes_at_its_start_is_given_up(self):
+    async def test_a_job_with_a_long_running_task_that_crashes_at_its_start_fails(self):
         cluster = await self.begin(workers=6, behave=crash_under("bad"))
         await cluster.submit("bad", make_job(LONG_RUNNING))
         await cluster.wait_for_state(
-            "bad", QueueJobState.FAILED, seconds=GIVE_UP_SECONDS
+            "bad", QueueJobState.FAILED, seconds=FAILURE_TIMEOUT_SECONDS
         )
         self.end()
 
@@ -201,7 +201,7 @@
             if cluster.find_owner().name != "d5":
                 cluster.find_owner().kill()
         await cluster.wait_for_state(
-            "bad", QueueJobState.FAILED, "d5", seconds=GIVE_UP_SECONDS
+            "bad", QueueJobState.FAILED, "d5", seconds=FAILURE_TIMEOUT_SECONDS
         )
         self.assertLessEqual(len(cluster.list_starts("bad")), MAX_CRASHES)
         self.end()
--- a/tests/test_pools_kinds.py
+++ b/tests/test_pools_kinds.py
@@ -137,19 +137,19 @@
         cluster = await self.begin(behave=lambda t, a: Work(LONG))
         await cluster.submit("j0", make_job(StepSpec(2, WHOLE, LONG, label="r1")))
         await cluster.wait(lambda: len(cluster.list_starts("j0")) == 2)
-        began = cluster.clock.monotonic()
+        started_at = cluster.clock.monotonic()
         await cluster.submit("j1", make_job(StepSpec(2, SMALL, LONG, near="r1")))
         await cluster.wait(lambda: len(cluster.list_starts("j1")) == 2)
-        self.assertLess(cluster.clock.monotonic() - began, 3 * SECOND)
+        self.assertLess(cluster.clock.monotonic() - started_at, 3 * SECOND)
         self.end()
 
     @virtual
     async def test_a_step_whose_rack_does_not_exist_runs_elsewhere_at_once(self):
         cluster = await self.begin()
-        began = cluster.clock.monotonic()
+        started_at = cluster.clock.monotonic()
         await cluster.submit("j1", make_job(StepSpec(2, SMALL, LONG, near="r7")))
         await cluster.wait(lambda: len(cluster.list_starts("j1")) == 2)
-        self.assertLess(cluster.clock.monotonic() - began, SECOND)
+        self.assertLess(cluster.clock.monotonic() - started_at, SECOND)
         self.end()
 
     @virtual
--- a/tests/test_pools_overload.py
+++ b/tests/test_pools_overload.py
@@ -151,11 +151,11 @@
         self.liveness = OwnerLiveness(self.clock)
         self.liveness.follow(1)
 
-    def reply(self, took: timedelta, count: int = 30) -> None:
+    def reply(self, duration: timedelta, count: int = 30) -> None:
         """Let the owner reply to heartbeat requests."""
         for _ in range(count):
             sent = self.clock.monotonic().total_seconds()
-            self.clock.move(took)
+            self.clock.move(duration)
             self.liveness.record_reply(1, sent)
 
     def test_a_prompt_owner_has_the_shortest_timeout(self):
--- a/tests/test_pools_takeover.py
+++ b/tests/test_pools_takeover.py
@@ -67,8 +67,8 @@
         died = cluster.clock.monotonic()
         await cluster.submit("j1", make_job(), other)
         await cluster.wait(lambda: bool(cluster.list_starts("j1")))
-        began = cluster.list_starts("j1")[0][0]
-        self.assertLess(began - died, 3 * SECOND)
+        started_at = cluster.list_starts("j1")[0][0]
+        self.assertLess(started_at - died, 3 * SECOND)
         self.end()
 
     @virtual
@@ -79,8 +79,8 @@
         died = cluster.clock.monotonic()
         await cluster.submit("j1", make_job(), other)
         await cluster.wait(lambda: bool(cluster.list_starts("j1")))
-        began = cluster.list_starts("j1")[0][0]
-        self.assertLess(began - died, SECOND)
+        started_at = cluster.list_starts("j1")[0][0]
+        self.assertLess(started_at - died, SECOND)
         self.end()
 
     @virtual
@@ -90,8 +90,8 @@
         cluster.find_owner().kill()
         died = cluster.clock.monotonic()
         await cluster.wait(lambda: cluster.find_owner() is not None)
-        took = cluster.clock.monotonic() - died
-        self.assertLess(took, timedelta(milliseconds=250))
+        duration = cluster.clock.monotonic() - died
+        self.assertLess(duration, timedelta(milliseconds=250))
         self.end()
 
     @virtual
@@ -142,8 +142,8 @@
             return any(d.owner is not None and d.owner.is_loaded for d in rest)
 
         await cluster.wait(find_successor, seconds=3)
-        took = cluster.clock.monotonic() - cut_at
-        self.assertLess(took, timedelta(milliseconds=560))
+        duration = cluster.clock.monotonic() - cut_at
+        self.assertLess(duration, timedelta(milliseconds=560))
         cluster.heal()
         await asyncio.sleep(2)
         self.end()
@@ -172,8 +172,8 @@
         del cluster.daemons[owner.name]
         await cluster.submit("j1", make_job(), other)
         await cluster.wait(lambda: bool(cluster.list_starts("j1")))
-        began = cluster.list_starts("j1")[0][0]
-        self.assertLess(began - left, timedelta(milliseconds=300))
+        started_at = cluster.list_starts("j1")[0][0]
+        self.assertLess(started_at - left, timedelta(milliseconds=300))
         self.end()
 
     @virtual
@@ -208,8 +208,8 @@
         del cluster.daemons[owner.name]
         await cluster.wait(lambda: cluster.find_owner() is not None)
         # Release, takeover and load take three consecutive calls.
-        took = cluster.clock.monotonic() - left
-        self.assertLess(took, timedelta(milliseconds=900))
+        duration = cluster.clock.monotonic() - left
+        self.assertLess(duration, timedelta(milliseconds=900))
         await cluster.submit("j1", make_job(), other.name)
         await cluster.wait_for_state("j1", QueueJobState.COMPLETED, other.name)
         self.end()
--- a/tests/test_pools_workers.py
+++ b/tests/test_pools_workers.py
@@ -242,8 +242,8 @@
     async def test_a_run_that_would_be_late_on_a_slow_worker_starts_elsewhere(self):
         step = StepSpec(3, SMALL, timedelta(seconds=2))
         await self.run_with_slow_worker(step, 4)
-        took = self.cluster.clock.monotonic()
-        self.assertLess(took, timedelta(seconds=12))
+        duration = self.cluster.clock.monotonic()
+        self.assertLess(duration, timedelta(seconds=12))
         kinds = {row[2] for row in self.cluster.workers["w0"].history}
         self.assertIn(EndKind.STOPPED, kinds)
         self.end()
--- a/tests/test_pools_zones.py
+++ b/tests/test_pools_zones.py
@@ -172,7 +172,7 @@
         self.end()
 
     @virtual
-    async def test_runs_under_a_lease_extended_by_a_successor_are_not_given_up(self):
+    async def test_runs_under_a_lease_extended_by_a_successor_are_not_abandoned(self):
         cluster = await self.begin_quick_cluster(
             daemons=5, behave=lambda t, a: Work(2 * SECOND)
         )
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -360,7 +360,7 @@
 
 
 class TestBounds(unittest.TestCase):
-    """Guarantees for a job, whatever other jobs arrive."""
+    """Guarantees for a job that hold under any arrivals of other jobs."""
 
     def test_no_class_and_no_team_starves(self):
         clock, quotas = ManualClock(), make_quotas(Size(1000, 1000, 0))
--- a/tests/test_request_plane.py
+++ b/tests/test_request_plane.py
@@ -81,12 +81,14 @@
             self.targets[name] = target
         self.daemons = {name: Daemon(self, name) for name in ("a", "b", "c")}
 
-    async def ask(self, daemon: str, name: str) -> object:
+    async def send_request(self, daemon: str, name: str) -> object:
         request = ServiceRequest(name, "orders", "t", name.encode(), 5 * SECOND)
         return await self.daemons[daemon].router.handle_request(request)
 
-    async def ask_many(self, daemon: str, names: list[str]) -> list[object]:
-        return await asyncio.gather(*(self.ask(daemon, name) for name in names))
+    async def send_requests(self, daemon: str, names: list[str]) -> list[object]:
+        return await asyncio.gather(
+            *(self.send_request(daemon, name) for name in names)
+        )
 
     def kill(self, name: str) -> None:
         daemon = self.daemons.pop(name)
@@ -123,7 +125,7 @@
             owned = plane.count_owned()
             names = [f"r{number}" for number in range(8)]
             start = plane.clock.monotonic()
-            outcomes = await plane.ask_many("a", names)
+            outcomes = await plane.send_requests("a", names)
             return owned, outcomes, plane.clock.monotonic() - start
 
         owned, outcomes, time = self.play(scenario)
@@ -135,7 +137,7 @@
         async def scenario(plane):
             name = next(name for name, owned in plane.count_owned().items() if owned)
             interrupted = [
-                asyncio.ensure_future(plane.ask(name, f"d{number}"))
+                asyncio.ensure_future(plane.send_request(name, f"d{number}"))
                 for number in range(8)
             ]
             await asyncio.sleep(0.1)
@@ -150,7 +152,7 @@
             await asyncio.sleep(13)
             names = [f"r{number}" for number in range(8)]
             start = plane.clock.monotonic()
-            outcomes = await plane.ask_many(other, names)
+            outcomes = await plane.send_requests(other, names)
             return waited, outcomes, plane.clock.monotonic() - start
 
         waited, outcomes, time = self.play(scenario)
@@ -162,19 +164,19 @@
         async def scenario(plane):
             name = next(name for name, owned in plane.count_owned().items() if owned)
             daemon = plane.daemons[name]
-            asks = [
-                asyncio.ensure_future(plane.ask(name, f"d{number}"))
+            requests = [
+                asyncio.ensure_future(plane.send_request(name, f"d{number}"))
                 for number in range(12)
             ]
             await asyncio.sleep(0.1)
             await daemon.router.drain()
             await daemon.ownership.drain()
-            done = await asyncio.gather(*asks)
+            done = await asyncio.gather(*requests)
             other = next(other for other in plane.daemons if other != name)
             await asyncio.sleep(2)
             start = plane.clock.monotonic()
             names = [f"r{number}" for number in range(8)]
-            later = await plane.ask_many(other, names)
+            later = await plane.send_requests(other, names)
             return done + later, plane.clock.monotonic() - start
 
         outcomes, time = self.play(scenario)
@@ -187,7 +189,7 @@
             await asyncio.sleep(60)
             calls = sum(plane.store.calls.values())
             names = [f"r{number}" for number in range(8)]
-            outcomes = await plane.ask_many("a", names)
+            outcomes = await plane.send_requests("a", names)
             return outcomes, sum(plane.store.calls.values()) - calls
 
         outcomes, calls = self.play(scenario)
--- a/tests/test_requests_model.py
+++ b/tests/test_requests_model.py
@@ -36,7 +36,7 @@
 LATE = timedelta(milliseconds=20)
 
 
-class Ask(NamedTuple):
+class PlannedRequest(NamedTuple):
     """A caller's request; it is cancelled after ``cancel_after`` milliseconds."""
 
     entry: int
@@ -53,8 +53,8 @@
     second: int
 
 
-asks = st.builds(
-    Ask,
+planned_requests = st.builds(
+    PlannedRequest,
     st.integers(0, 2),
     st.booleans(),
     st.sampled_from([30, 100, 400, 2000]),
@@ -67,7 +67,10 @@
     st.integers(0, 2),
 )
 plans = st.lists(
-    st.tuples(st.sampled_from([0, 0, 1, 7, 40]), st.one_of(asks, asks, asks, events)),
+    st.tuples(
+        st.sampled_from([0, 0, 1, 7, 40]),
+        st.one_of(planned_requests, planned_requests, planned_requests, events),
+    ),
     min_size=5,
     max_size=60,
 )
@@ -76,7 +79,7 @@
 class CallerResult(NamedTuple):
     """What a caller got, and how long after its deadline."""
 
-    ask: Ask
+    request: PlannedRequest
     outcome: Outcome | None
     delay: timedelta
 
@@ -93,14 +96,14 @@
             n: set() for n in ENTRIES
         }
 
-    async def play(self, plan: list[tuple[int, Ask | Event]]) -> None:
+    async def play(self, plan: list[tuple[int, PlannedRequest | Event]]) -> None:
         """Run the plan, then wait until everything has ended."""
         callers = []
         for number, (gap, step) in enumerate(plan):
             await asyncio.sleep(gap / 1000)
-            if isinstance(step, Ask):
-                ask = self._ask(f"r{number}", step)
-                callers.append(asyncio.ensure_future(ask))
+            if isinstance(step, PlannedRequest):
+                request = self._send_request(f"r{number}", step)
+                callers.append(asyncio.ensure_future(request))
             else:
                 await getattr(self, f"_{step.kind}")(step.first, step.second)
         await asyncio.gather(*callers)
@@ -108,28 +111,30 @@
             target.resume()
         await asyncio.sleep(15)
 
-    async def _ask(self, name: str, ask: Ask) -> None:
-        entry = self.alive[ask.entry % len(self.alive)]
+    async def _send_request(self, name: str, request: PlannedRequest) -> None:
+        entry = self.alive[request.entry % len(self.alive)]
         clock = self.deployment.clock
-        deadline = clock.monotonic() + timedelta(milliseconds=ask.timeout)
+        deadline = clock.monotonic() + timedelta(milliseconds=request.timeout)
         caller = asyncio.ensure_future(
             self.deployment.submit(
                 entry,
                 name,
                 handler=self.handlers.get(entry),
-                timeout=timedelta(milliseconds=ask.timeout),
-                idempotent=ask.idempotent,
+                timeout=timedelta(milliseconds=request.timeout),
+                idempotent=request.idempotent,
             )
         )
         self._callers[entry].add(caller)
-        cancel_after = None if ask.cancel_after is None else ask.cancel_after / 1000
+        cancel_after = (
+            None if request.cancel_after is None else request.cancel_after / 1000
+        )
         await asyncio.wait({caller}, timeout=cancel_after)
         caller.cancel()
         await asyncio.wait({caller})
         outcome = None if caller.cancelled() else caller.result()
         if outcome is not None or entry in self.alive:
             self.results[name] = CallerResult(
-                ask, outcome, clock.monotonic() - deadline
+                request, outcome, clock.monotonic() - deadline
             )
 
     def _get_target(self, number: int) -> Any:
@@ -188,14 +193,14 @@
         faults = set()
         if self.deployment.count_overfills():
             faults.add("overfilled")
-        for name, (ask, outcome, delay) in self.results.items():
-            if not ask.idempotent and counts[name] > 1:
+        for name, (request, outcome, delay) in self.results.items():
+            if not request.idempotent and counts[name] > 1:
                 faults.add("ran twice")
             if isinstance(outcome, Refused) and counts[name]:
                 faults.add("ran though refused")
             if isinstance(outcome, Completed) and outcome.body != name.encode():
                 faults.add("another's answer")
-            if ask.cancel_after is None and outcome is None:
+            if request.cancel_after is None and outcome is None:
                 faults.add("no outcome")
             if delay > LATE:
                 faults.add("late")
@@ -211,7 +216,7 @@
         return leaks
 
 
-def play_ours(plan: list[tuple[int, Ask | Event]]) -> Game:
+def play_ours(plan: list[tuple[int, PlannedRequest | Event]]) -> Game:
     async def scenario(deployment: RequestDeployment) -> Game:
         game = Game(deployment, {})
         await game.play(plan)
@@ -220,7 +225,7 @@
     return play(scenario, LAYOUT, service_time=make_exponential_time(MEAN))
 
 
-def play_naive(plan: list[tuple[int, Ask | Event]]) -> Game:
+def play_naive(plan: list[tuple[int, PlannedRequest | Event]]) -> Game:
     async def scenario(deployment: RequestDeployment) -> Game:
         instances = tuple(t.instance for t in deployment.targets.values())
         handlers = {
@@ -255,14 +260,14 @@
 
     def test_the_naive_router_breaks_them_under_the_same_plan(self):
         plan = [(0, Event("lose_answer", number % 3, 0)) for number in range(6)]
-        plan += [(1, Ask(number, False, 100, None)) for number in range(30)]
+        plan += [(1, PlannedRequest(number, False, 100, None)) for number in range(30)]
         faults = play_naive(plan).list_faults()
         self.assertLessEqual({"overfilled", "ran twice"}, faults)
         self.assertIn("ran though refused", faults)
         self.assertEqual(play_ours(plan).list_faults(), set())
 
     def test_ours_completes_as_much_when_nothing_fails(self):
-        plan = [(7, Ask(number, False, 2000, None)) for number in range(60)]
+        plan = [(7, PlannedRequest(number, False, 2000, None)) for number in range(60)]
         done = [
             sum(isinstance(r.outcome, Completed) for r in game.results.values())
             for game in (play_ours(plan), play_naive(plan))
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -100,15 +100,15 @@
         async def scenario(deployment):
             for target in deployment.targets.values():
                 target.faults.plan("send", *[FaultKind.REFUSE] * 10_000)
-            asks = []
+            requests = []
             for number in range(400):
-                asks.append(
+                requests.append(
                     asyncio.ensure_future(
                         deployment.submit("entry-0-0", f"r{number}", idempotent=True)
                     )
                 )
                 await asyncio.sleep(0.02)
-            await asyncio.gather(*asks)
+            await asyncio.gather(*requests)
             return sum(t.calls["send"] for t in deployment.targets.values())
 
         sends = play(scenario, Layout(entries=1))
@@ -117,13 +117,13 @@
     def test_targets_that_recover_are_not_overloaded(self):
         async def scenario(deployment):
             async def ask_for(seconds):
-                asks = []
+                requests = []
                 for _ in range(int(seconds * 250)):
                     name = f"r{deployment.clock.monotonic()}"
-                    ask = deployment.submit("entry-0-0", name, idempotent=True)
-                    asks.append(asyncio.ensure_future(ask))
+                    request = deployment.submit("entry-0-0", name, idempotent=True)
+                    requests.append(asyncio.ensure_future(request))
                     await asyncio.sleep(0.004)
-                return await asyncio.gather(*asks)
+                return await asyncio.gather(*requests)
 
             await ask_for(1)
             for target in deployment.targets.values():
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -26,10 +26,10 @@
 Scenario = Callable[[RequestDeployment], Awaitable[Any]]
 
 
-def start_asks(deployment: Any, prefix: str, count: int) -> list[asyncio.Task[Any]]:
+def start_requests(deployment: Any, prefix: str, count: int) -> list[asyncio.Task[Any]]:
     """Start requests at the first entry, named ``prefix`` and a number from 0."""
-    asks = [deployment.submit("entry-0-0", f"{prefix}{i}") for i in range(count)]
-    return [asyncio.ensure_future(ask) for ask in asks]
+    requests = [deployment.submit("entry-0-0", f"{prefix}{i}") for i in range(count)]
+    return [asyncio.ensure_future(request) for request in requests]
 
 
 def play(scenario: Scenario, layout: Layout | None = None, **options: Any) -> Any:
@@ -51,8 +51,8 @@
 class TestForwarding(unittest.TestCase):
     def test_an_entry_without_free_slots_forwards_to_an_owner(self):
         async def scenario(deployment):
-            asks = [deployment.submit("entry-0-0", f"r{i}") for i in range(4)]
-            outcomes = await asyncio.gather(*asks)
+            requests = [deployment.submit("entry-0-0", f"r{i}") for i in range(4)]
+            outcomes = await asyncio.gather(*requests)
             peaks = [t.peak_running for t in deployment.targets.values()]
             return outcomes, peaks
 
@@ -109,12 +109,12 @@
                 return send(instance, message, kind)
 
             deployment.switch.find("entry-0-0").send = record
-            asks = []
+            requests = []
             for number in range(200):
-                ask = deployment.submit("entry-0-0", f"r{number}")
-                asks.append(asyncio.ensure_future(ask))
+                request = deployment.submit("entry-0-0", f"r{number}")
+                requests.append(asyncio.ensure_future(request))
                 await asyncio.sleep(0.005)
-            await asyncio.gather(*asks)
+            await asyncio.gather(*requests)
             return notified
 
         layout = Layout(zones=12, entries=1, targets=1, slots=1)
@@ -284,13 +284,13 @@
 
     def test_requests_that_wait_move_on_when_the_targets_are_handed_over(self):
         async def scenario(deployment):
-            asks = [
+            requests = [
                 asyncio.ensure_future(deployment.submit("entry-0-0", f"r{i}"))
                 for i in range(8)
             ]
             await asyncio.sleep(0.01)
             await deployment.table.hand_over("target/target-0-0", "entry-0-1")
-            return await asyncio.gather(*asks), deployment.count_overfills()
+            return await asyncio.gather(*requests), deployment.count_overfills()
 
         outcomes, overfills = play(scenario)
         self.assertEqual(outcomes, [Completed(f"r{i}".encode()) for i in range(8)])
@@ -299,14 +299,14 @@
     def test_requests_that_move_are_served_before_those_with_more_time(self):
         async def scenario(deployment):
             soon = timedelta(seconds=0.3)
-            asks = [deployment.submit("entry-0-1", f"b{i}") for i in range(30)]
-            asks += [
+            requests = [deployment.submit("entry-0-1", f"b{i}") for i in range(30)]
+            requests += [
                 deployment.submit("entry-0-0", f"a{i}", timeout=soon) for i in "1234"
             ]
-            asks = [asyncio.ensure_future(ask) for ask in asks]
+            requests = [asyncio.ensure_future(request) for request in requests]
             await asyncio.sleep(0.01)
             await deployment.table.hand_over("target/target-0-0", "entry-0-1")
-            return {type(outcome) for outcome in await asyncio.gather(*asks)}
+            return {type(outcome) for outcome in await asyncio.gather(*requests)}
 
         self.assertEqual(play(scenario), {Completed})
 
@@ -328,7 +328,7 @@
             calls += 1
 
         async def scenario(deployment):
-            asks = [
+            requests = [
                 asyncio.ensure_future(
                     deployment.submit("entry-0-0", f"r{i}", team=f"team-{i % 20}")
                 )
@@ -336,26 +336,26 @@
             ]
             await asyncio.sleep(0.01)
             sys.setprofile(count)
-            for task in reversed(asks):
+            for task in reversed(requests):
                 task.cancel()
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             sys.setprofile(None)
-            self.assertTrue(all(task.cancelled() for task in asks))
+            self.assertTrue(all(task.cancelled() for task in requests))
 
         play(scenario, keys=keys)
         return calls, keys.calls
 
     def test_a_cancelled_caller_leaves_the_queue(self):
         async def scenario(deployment):
-            asks = [
+            requests = [
                 asyncio.ensure_future(deployment.submit("entry-0-0", f"r{i}"))
                 for i in range(12)
             ]
             await asyncio.sleep(0.01)
-            for task in asks[:11]:
+            for task in requests[:11]:
                 task.cancel()
-            last = await asks[11]
+            last = await requests[11]
             return last, deployment.clock.monotonic(), deployment.log.counts
 
         last, time, counts = play(scenario)
@@ -367,14 +367,14 @@
         async def scenario(deployment):
             lane = deployment.routers["entry-0-0"]._owned.get_lane(SERVICE)
             pool = lane.pools["target-0-0"]
-            first = start_asks(deployment, "a", 4)
+            first = start_requests(deployment, "a", 4)
             await asyncio.sleep(0.01)
-            ask = asyncio.ensure_future(deployment.submit("entry-0-0", "b"))
+            request = asyncio.ensure_future(deployment.submit("entry-0-0", "b"))
             await asyncio.sleep(0)
             pool.target = pool.target._replace(slots=3)
             lane.assign_free_slots()
-            ask.cancel()
-            await asyncio.gather(*first, ask, return_exceptions=True)
+            request.cancel()
+            await asyncio.gather(*first, request, return_exceptions=True)
             return pool.busy
 
         self.assertEqual(play(scenario), 0)
@@ -383,31 +383,31 @@
         async def scenario(deployment):
             lane = deployment.routers["entry-0-0"]._owned.get_lane(SERVICE)
             pool = lane.pools["target-0-0"]
-            first = start_asks(deployment, "a", 4)
+            first = start_requests(deployment, "a", 4)
             await asyncio.sleep(0.01)
-            ask = asyncio.ensure_future(deployment.submit("entry-0-0", "b"))
+            request = asyncio.ensure_future(deployment.submit("entry-0-0", "b"))
             await asyncio.sleep(0)
             pool.target = pool.target._replace(slots=3)
-            ask.cancel()
+            request.cancel()
             lane.assign_free_slots()
-            await asyncio.gather(*first, ask, return_exceptions=True)
+            await asyncio.gather(*first, request, return_exceptions=True)
             return pool.busy
 
         self.assertEqual(play(scenario), 0)
 
     def test_an_offer_during_a_cancellation_goes_to_the_next_waiter(self):
         async def scenario(deployment):
-            first = start_asks(deployment, "a", 4)
+            first = start_requests(deployment, "a", 4)
             await asyncio.sleep(0.01)
-            asks = start_asks(deployment, "b", 2)
+            requests = start_requests(deployment, "b", 2)
             await asyncio.sleep(0)
-            asks[0].cancel()
+            requests[0].cancel()
             router = deployment.routers["entry-0-0"]
             offer = OfferSlots(service=SERVICE, count=1)
             await router._sharing._handle_offer("entry-0-1", offer)
             waiting = len(router._owned.get_lane(SERVICE).queue)
             await asyncio.gather(*first, return_exceptions=True)
-            return waiting, await asks[1]
+            return waiting, await requests[1]
 
         self.assertEqual(play(scenario), (0, Completed(b"b1")))
 
@@ -459,12 +459,12 @@
         async def scenario(deployment):
             await deployment.table.drop("target/target-0-0")
             await asyncio.sleep(0.5)
-            asks = [
+            requests = [
                 asyncio.ensure_future(deployment.submit("entry-0-0", f"r{i}"))
                 for i in range(12)
             ]
             await asyncio.sleep(0.01)
-            for task in asks:
+            for task in requests:
                 task.cancel()
             await asyncio.sleep(1)
             return deployment.log.counts
@@ -507,11 +507,11 @@
         async def scenario(deployment):
             for router in deployment.routers.values():
                 router._sender._targets = answers
-            asks = (
+            requests = (
                 deployment.submit("entry-0-0", name, idempotent=idempotent)
                 for name in ("a", "b")
             )
-            return await asyncio.gather(*asks)
+            return await asyncio.gather(*requests)
 
         outcomes = play(scenario)
         for name, outcome in zip(("a", "b"), outcomes, strict=True):
@@ -588,17 +588,17 @@
             for name in deployment.routers:
                 deployment.switch.cut_both("entry-0-1", name)
             await asyncio.sleep(2)
-            asks = [deployment.submit("entry-0-1", f"r{i}") for i in range(20)]
-            return {type(outcome) for outcome in await asyncio.gather(*asks)}
+            requests = [deployment.submit("entry-0-1", f"r{i}") for i in range(20)]
+            return {type(outcome) for outcome in await asyncio.gather(*requests)}
 
         self.assertEqual(self.play(scenario)[0], {Completed})
 
     def test_an_owner_that_dies_with_a_forwarded_request_is_unknown(self):
         async def scenario(deployment):
-            ask = asyncio.ensure_future(deployment.submit("entry-0-0", "r"))
+            request = asyncio.ensure_future(deployment.submit("entry-0-0", "r"))
             await asyncio.sleep(0.01)
             deployment.kill_entry("entry-0-1")
-            return await ask
+            return await request
 
         outcome, runs = self.play(scenario)
         self.assertEqual((type(outcome), runs), (Unknown, 1))
@@ -660,8 +660,8 @@
     def test_requests_without_a_key_never_ask_the_store(self):
         async def scenario(deployment, keys):
             keys.is_down = True
-            asks = (deployment.submit("entry-0-0", f"r{i}") for i in range(30))
-            return await asyncio.gather(*asks)
+            requests = (deployment.submit("entry-0-0", f"r{i}") for i in range(30))
+            return await asyncio.gather(*requests)
 
         outcomes, _, keys = self.play(scenario)
         self.assertEqual({type(o) for o in outcomes}, {Completed})
@@ -680,9 +680,11 @@
     def test_an_outcome_is_stored_though_its_caller_is_cancelled(self):
         async def scenario(deployment, keys):
             self.settle_slowly(keys)
-            ask = asyncio.ensure_future(deployment.submit("entry-0-0", "a", key="k"))
+            request = asyncio.ensure_future(
+                deployment.submit("entry-0-0", "a", key="k")
+            )
             await asyncio.sleep(0.07)
-            ask.cancel()
+            request.cancel()
             await asyncio.sleep(0.1)
             return await deployment.submit("entry-0-0", "b", key="k")
 
@@ -699,9 +701,11 @@
                 return found
 
             keys.claim_key = claim_slowly
-            ask = asyncio.ensure_future(deployment.submit("entry-0-0", "a", key="k"))
+            request = asyncio.ensure_future(
+                deployment.submit("entry-0-0", "a", key="k")
+            )
             await asyncio.sleep(0.01)
-            ask.cancel()
+            request.cancel()
             await asyncio.sleep(0.1)
             return await deployment.submit("entry-0-0", "b", key="k")
 
@@ -711,9 +715,11 @@
     def test_draining_waits_until_outcomes_are_stored(self):
         async def scenario(deployment, keys):
             self.settle_slowly(keys)
-            ask = asyncio.ensure_future(deployment.submit("entry-0-0", "a", key="k"))
+            request = asyncio.ensure_future(
+                deployment.submit("entry-0-0", "a", key="k")
+            )
             await asyncio.sleep(0.01)
-            ask.cancel()
+            request.cancel()
             await asyncio.sleep(0)
             await deployment.routers["entry-0-0"].drain()
             return keys.claimed["k"]
@@ -723,9 +729,11 @@
 
     def test_a_cancelled_keyed_request_is_settled_with_its_answer(self):
         async def scenario(deployment, keys):
-            ask = asyncio.ensure_future(deployment.submit("entry-0-0", "a", key="k"))
+            request = asyncio.ensure_future(
+                deployment.submit("entry-0-0", "a", key="k")
+            )
             await asyncio.sleep(0.01)
-            ask.cancel()
+            request.cancel()
             await asyncio.sleep(0.1)
             return await deployment.submit("entry-0-0", "b", key="k")
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -1,4 +1,4 @@
-"""A service runs as declared, whatever was declared before."""
+"""A service runs as declared, independent of earlier declarations."""
 
 import unittest
 from datetime import timedelta
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""No target gets more than its slots allow, whoever owns it and whatever fails."""
+"""No target gets more requests than it has slots, under any owner and failure."""
 
 import asyncio
 import unittest
@@ -70,16 +70,20 @@
 
         return play(run, ONE, service_time=SLOW)
 
-    def ask(self, deployment, entry, name, timeout=LONG):
-        ask = deployment.submit(entry, name, timeout=timeout)
-        return asyncio.ensure_future(ask)
+    def start_request(self, deployment, entry, name, timeout=LONG):
+        request = deployment.submit(entry, name, timeout=timeout)
+        return asyncio.ensure_future(request)
 
     def test_a_successor_waits_for_the_slots_still_filled(self):
         async def scenario(deployment):
-            first = [self.ask(deployment, "entry-0-0", f"a{i}") for i in range(2)]
+            first = [
+                self.start_request(deployment, "entry-0-0", f"a{i}") for i in range(2)
+            ]
             await asyncio.sleep(1)
             await deployment.table.hand_over(TARGET, "entry-0-1")
-            second = [self.ask(deployment, "entry-0-1", f"b{i}") for i in range(2)]
+            second = [
+                self.start_request(deployment, "entry-0-1", f"b{i}") for i in range(2)
+            ]
             return await asyncio.gather(*first, *second)
 
         outcomes = self.play(scenario)
@@ -95,11 +99,15 @@
 
     def test_slots_are_not_filled_twice_when_two_owners_follow_one_another(self):
         async def scenario(deployment):
-            first = [self.ask(deployment, "entry-0-0", f"a{i}") for i in range(2)]
+            first = [
+                self.start_request(deployment, "entry-0-0", f"a{i}") for i in range(2)
+            ]
             await asyncio.sleep(1)
             await deployment.table.hand_over(TARGET, "entry-0-1")
             await deployment.table.hand_over(TARGET, "entry-0-0")
-            second = [self.ask(deployment, "entry-0-0", f"b{i}") for i in range(2)]
+            second = [
+                self.start_request(deployment, "entry-0-0", f"b{i}") for i in range(2)
+            ]
             return await asyncio.gather(*first, *second)
 
         outcomes = self.play(scenario)
@@ -108,7 +116,7 @@
     def test_a_dead_owners_calls_keep_their_slots_until_they_have_ended(self):
         async def scenario(deployment):
             for number in range(2):
-                self.ask(deployment, "entry-0-0", f"a{number}")
+                self.start_request(deployment, "entry-0-0", f"a{number}")
             await asyncio.sleep(1)
             deployment.kill_entry("entry-0-0")
             await deployment.table.assign(TARGET, "entry-0-1")
@@ -124,7 +132,7 @@
     def test_a_second_takeover_still_waits_for_the_first_owners_calls(self):
         async def scenario(deployment):
             for number in range(2):
-                self.ask(deployment, "entry-0-0", f"a{number}")
+                self.start_request(deployment, "entry-0-0", f"a{number}")
             await asyncio.sleep(1)
             deployment.kill_entry("entry-0-0")
             await deployment.table.assign(TARGET, "entry-0-1")
@@ -136,7 +144,7 @@
     def test_an_owner_that_lost_its_lease_in_a_pause_sends_nothing(self):
         async def scenario(deployment):
             view = deployment.table.views["entry-0-0"]
-            place = self.ask(deployment, "entry-0-0", "r")
+            place = self.start_request(deployment, "entry-0-0", "r")
             view.owned.clear()
             return await place, deployment.log.counts["r"]
 
@@ -146,14 +154,14 @@
 
     def test_a_former_owner_reports_to_its_successor_after_a_pause(self):
         async def scenario(deployment):
-            paused = self.ask(deployment, "entry-0-0", "a")
+            paused = self.start_request(deployment, "entry-0-0", "a")
             await asyncio.sleep(1)
             deployment.switch.pause("entry-0-0")
             await deployment.table.assign(TARGET, "entry-0-1")
             await asyncio.sleep(1)
             deployment.switch.resume("entry-0-0")
             await deployment.table.lose("entry-0-0", TARGET, 1)
-            second = self.ask(deployment, "entry-0-1", "b")
+            second = self.start_request(deployment, "entry-0-1", "b")
             return await paused, await second, deployment.clock.monotonic()
 
         *outcomes, time = self.play(scenario)
@@ -162,11 +170,15 @@
 
     def test_a_cancelled_caller_leaves_the_slot_filled_until_the_answer(self):
         async def scenario(deployment):
-            first = [self.ask(deployment, "entry-0-0", f"a{i}") for i in range(2)]
+            first = [
+                self.start_request(deployment, "entry-0-0", f"a{i}") for i in range(2)
+            ]
             await asyncio.sleep(1)
             for task in first:
                 task.cancel()
-            second = [self.ask(deployment, "entry-0-0", f"b{i}") for i in range(2)]
+            second = [
+                self.start_request(deployment, "entry-0-0", f"b{i}") for i in range(2)
+            ]
             outcomes = await asyncio.gather(*second)
             return outcomes, deployment.clock.monotonic()
 
@@ -180,15 +192,19 @@
             target.faults.plan("send", FaultKind.LOSE_ANSWER, FaultKind.LOSE_ANSWER)
             for number in range(2):
                 await deployment.submit("entry-0-0", f"a{number}", timeout=LONG)
-            asks = [self.ask(deployment, "entry-0-0", f"b{i}") for i in range(2)]
-            return await asyncio.gather(*asks)
+            requests = [
+                self.start_request(deployment, "entry-0-0", f"b{i}") for i in range(2)
+            ]
+            return await asyncio.gather(*requests)
 
         outcomes = self.play(scenario)
         self.assertEqual({type(o) for o in outcomes}, {Refused})
 
     def test_a_target_that_dies_loses_what_it_ran_and_no_more(self):
         async def scenario(deployment):
-            first = [self.ask(deployment, "entry-0-0", f"a{i}") for i in range(2)]
+            first = [
+                self.start_request(deployment, "entry-0-0", f"a{i}") for i in range(2)
+            ]
             await asyncio.sleep(1)
             deployment.targets["target-0-0"].die()
             outcomes = await asyncio.gather(*first)
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -86,7 +86,7 @@
 
 
 class TestChooseOwner(unittest.TestCase):
-    """Choice of the owner to ask."""
+    """Choice of the owner that gets a task."""
 
     def count_choices(self, views, need, times=300):
         rng = random.Random(1)
