--- a/benchmarks/alternatives.py
+++ b/benchmarks/alternatives.py
@@ -1,4 +1,4 @@
-"""Alternative ways to share slots between entries, simulated for comparison."""
+"""Other ways to share slots between entries, in virtual time, for comparison."""
 
 import asyncio
 import heapq
@@ -36,11 +36,11 @@
         self.number = number
         self.credits = _SHARE
         self.queue: deque[tuple[Arrival, float]] = deque()
-        self.borrow_requests = 0
+        self.asks = 0
         self.is_asking = False
 
     def lend(self) -> int:
-        """Lend half of the credits that this entry does not need, at least one."""
+        """Give away half of the credits that nobody needs here, at least one."""
         if self.queue or not self.credits:
             return 0
         amount = (self.credits + 1) // 2
@@ -60,9 +60,9 @@
     async def replay(self, arrivals: list[Arrival]) -> None:
         """Send all arrivals and wait until the last one has ended."""
         loop = asyncio.get_running_loop()
-        started_at = loop.time()
+        begin = loop.time()
         for arrival in arrivals:
-            await asyncio.sleep(started_at + arrival.time - loop.time())
+            await asyncio.sleep(begin + arrival.time - loop.time())
             lender = self.lenders[arrival.entry]
             lender.queue.append((arrival, loop.time()))
             self._serve(lender)
@@ -97,7 +97,7 @@
                 amount = other.lend()
                 await asyncio.sleep(delay)
                 lender.credits += amount
-                lender.borrow_requests += 1
+                lender.asks += 1
                 if amount:
                     break
             if not lender.credits:
--- a/benchmarks/arrivals.py
+++ b/benchmarks/arrivals.py
@@ -1,8 +1,8 @@
 """Recorded arrivals for the placement benchmark, generated from a seed.
 
-There are three mixes: the two deployments of today and the target size. Declared
-run times and sizes are wrong by up to a factor of four; 5 % of the workers fail
-every task that they start.
+Three mixes: the two deployments of today and the target size. Declared run
+times and sizes are wrong by up to four times; 5 % of the workers fail whatever
+they start.
 """
 
 import math
@@ -23,12 +23,12 @@
 
 
 class Arrival(NamedTuple):
-    """A job as it arrives, with properties that only the benchmark knows.
+    """A job as it arrives, with what only the benchmark knows of it.
 
-    :param declared: declared size of each task, which is reserved.
-    :param used: size that each task uses.
+    :param declared: size of each task as declared; it is what is reserved.
+    :param used: size that each task really uses.
     :param declared_time: declared run time of each task.
-    :param run_time: actual run time of each task.
+    :param run_time: real run time of each task.
     """
 
     time: timedelta
@@ -48,7 +48,7 @@
 
 
 class Quota(NamedTuple):
-    """The quota of a team, and its weight for idle capacity."""
+    """What a team may use and its weight in sharing what is idle."""
 
     size: Size
     weight: float
@@ -57,8 +57,8 @@
 class Mix(NamedTuple):
     """Workers and arrivals of one deployment.
 
-    :param failing: names of the workers that fail every task.
-    :param duration: time after which arrivals and measurements end.
+    :param failing: names of the workers that fail whatever they start.
+    :param duration: arrivals and figures end here.
     """
 
     name: str
@@ -73,8 +73,8 @@
     """Jobs of one workload that keep arriving.
 
     :param rate: jobs a second while ``start <= time < end``.
-    :param tasks: minimum and maximum number of tasks of a job.
-    :param millicores, memory, run_time: minimum and maximum, drawn log-uniformly.
+    :param tasks: least and most tasks of a job.
+    :param millicores, memory, run_time: least and most, drawn by logarithm.
     """
 
     workload: str
@@ -94,7 +94,7 @@
 
 
 def make_maji_tamu(seed: int, duration: timedelta = timedelta(minutes=12)) -> Mix:
-    """Make the Nairobi mix: short urgent work above services and batch work."""
+    """Make the Nairobi mix: short urgent work over services and batch work."""
     rng = random.Random(seed)
     size = Size(16_000, 64 * GIB, 0)
     workers = [
@@ -149,9 +149,9 @@
 def make_target_size(
     seed: int, duration: timedelta = timedelta(seconds=60), workers: int = 790
 ) -> Mix:
-    """Make the mix at the target size: 790 workers, 420 starts/s, 13,000 running.
+    """Make the mix of the letter: 790 workers, 420 starts/s, 13,000 running.
 
-    :param workers: number of workers; the arrivals are scaled with it.
+    :param workers: other numbers scale the arrivals with them.
     """
     rng = random.Random(seed)
     scale = workers / 790
@@ -238,7 +238,7 @@
             stream.type,
             stream.urgency,
             rng.randint(*stream.tasks),
-            _draw_declared_size(rng, used, workers),
+            _misjudge(rng, used, workers),
             used,
             timedelta(seconds=run_time * _draw_factor(rng)),
             timedelta(seconds=run_time),
@@ -276,10 +276,8 @@
     return services
 
 
-def _draw_declared_size(
-    rng: random.Random, used: Size, workers: list[Instance]
-) -> Size:
-    """Draw a declared size that is wrong by up to a factor of 4 but fits a worker."""
+def _misjudge(rng: random.Random, used: Size, workers: list[Instance]) -> Size:
+    """Declare a size that is wrong by up to four times, but fits some worker."""
     declared = Size(
         round(used[0] * _draw_factor(rng)), round(used[1] * _draw_factor(rng)), used[2]
     )
@@ -288,7 +286,7 @@
 
 
 def _draw_team(rng: random.Random, teams: int) -> int:
-    """Draw a team; the first teams have most of the work."""
+    """Draw a team; the first ones have most of the work."""
     return min(int(rng.expovariate(_TEAM_SKEW / teams)), teams - 1)
 
 
@@ -308,7 +306,7 @@
 
 
 def _draw_step(rng: random.Random, bounds: tuple[int, int]) -> int:
-    """Draw a power of two, the usual numbers of accelerators."""
+    """Draw a power of two, as accelerators are asked for."""
     steps = [step for step in (0, 1, 2, 4, 8) if bounds[0] <= step <= bounds[1]]
     return rng.choice(steps)
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,6 +1,6 @@
-"""Resource usage of daemons by role and size; writes docs/capacity.json.
+"""What daemons spend by role, at several sizes; writes docs/capacity.json.
 
-benchmarks/pages.py computes the page docs/CAPACITY.md from the slopes.
+The page docs/CAPACITY.md is worked out from its slopes by benchmarks/pages.py.
 """
 
 import asyncio
@@ -50,7 +50,7 @@
     :param window: seconds of each measurement.
     :param zones: numbers of zones, of ``daemons`` daemons each.
     :param target_workers: workers of the whole fleet that the model is checked
-        against; 0 skips the check.
+        against; 0 leaves the check out.
     """
 
     window: float
@@ -92,25 +92,25 @@
 
 
 class Roles(NamedTuple):
-    """The roles of the daemons in the first two zones.
+    """Which daemons of the first zone and of the second do what.
 
-    :param owners: own all workers and targets, but no ledger.
+    :param owners: own all workers and targets, and keep no ledger.
     :param entries: own nothing.
-    :param ledger_owner: owns the only ledger.
+    :param keeper: keeps the only ledger.
     """
 
     owners: tuple[str, ...]
     entries: tuple[str, ...]
-    ledger_owner: str
+    keeper: str
 
     @classmethod
     async def find(cls, fleet: Fleet) -> "Roles":
-        """Find the role of each daemon."""
-        ledger_owners = await fleet.list_owners("ledger")
-        free = [name for name in fleet.clients if name not in ledger_owners]
+        """Find out who does what."""
+        keepers = await fleet.list_owners("ledger")
+        free = [name for name in fleet.clients if name not in keepers]
         near = [name for name in free if fleet.zones[name] == OWNER_ZONE]
         far = [name for name in free if fleet.zones[name] != OWNER_ZONE]
-        return cls(tuple(near), tuple(far), ledger_owners[0])
+        return cls(tuple(near), tuple(far), keepers[0])
 
 
 class Points:
@@ -130,8 +130,8 @@
     ) -> None:
         """Add a sample's figures for the daemons of a role.
 
-        Figures of the platform cover all daemons together and have a separate
-        role.
+        Those of the platform are of all daemons together and have a role of
+        their own.
         """
         self.bench = max(self.bench, sample.bench)
         for figure in sample.list_figures():
@@ -170,7 +170,7 @@
 
 
 async def measure_roles(plan: Plan, points: Points) -> dict[str, Any]:
-    """Measure owners, entries, the ledger owner and watchers on a small fleet."""
+    """Measure owners, entries, the keeper and watchers on a small fleet."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder), {"ledgers": 1})
         await fleet.start()
@@ -185,7 +185,7 @@
             await _measure_tasks(plan, points, fleet, roles)
             return {
                 "overlaps": len(fleet.platform.runs.overlaps),
-                "keeper owns workers": fleet.zones[roles.ledger_owner] == OWNER_ZONE,
+                "keeper owns workers": fleet.zones[roles.keeper] == OWNER_ZONE,
                 "owners": _count_owners(fleet),
             }
         finally:
@@ -280,7 +280,7 @@
 
 
 async def fill(fleet: Fleet, count: int) -> int:
-    """Submit long jobs until ``count`` tasks run; return how many run."""
+    """Submit long jobs until so many tasks run; returns how many do."""
     clients = list(fleet.clients.values())
     missing = (count - fleet.count_running()) // fleets.TASKS_PER_JOB
     for number in range(missing):
@@ -304,7 +304,7 @@
     owned = driver / _count_owners(fleet)
     points.add(experiment, "owner", owned, sample, roles.owners)
     points.add(experiment, PLATFORM, driver, sample, roles.entries[:1])
-    points.add(experiment, "keeper", driver, sample, [roles.ledger_owner])
+    points.add(experiment, "keeper", driver, sample, [roles.keeper])
     points.add(experiment, "other", driver, sample, roles.entries)
 
 
@@ -331,7 +331,7 @@
 
 
 async def _measure_whole(plan: Plan, fleet: Fleet) -> dict[str, Any]:
-    """Measure a whole fleet, to check the predictions of the slopes."""
+    """Measure a whole fleet, to check what the slopes foretell."""
     found = {}
     await fleets.declare(fleet)
     fleet.add_workers(plan.target_workers)
@@ -353,7 +353,7 @@
 
 
 def _show_sample(sample: Sample, settled: bool, running: int) -> dict[str, Any]:
-    """Return the average and the highest figures of the daemons."""
+    """Return the average daemon's figures, and the highest."""
     figures = {
         name: {
             "average": round(sample.average(name), 4),
@@ -372,7 +372,7 @@
 
 
 def _find_highest(sample: Sample, figure: str) -> float:
-    """Return the highest figure of a daemon; the platform knows averages only."""
+    """Return the busiest daemon's figure; the platform sees the average only."""
     if figure in sample.fleet:
         return sample.average(figure)
     return max(figures.get(figure, 0.0) for figures in sample.daemons.values())
@@ -401,7 +401,7 @@
 
 
 async def measure(plan: Plan) -> dict[str, Any]:
-    """Run all measurements of a plan."""
+    """Measure everything of a plan."""
     points = Points()
     imports = measure_imports()
     small = await measure_roles(plan, points)
@@ -425,9 +425,9 @@
     """Measure; a full run writes the figures and the page's tables."""
     figures = asyncio.run(measure(QUICK if quick else FULL))
     if not quick:
-        # benchmarks.failures measures the figures of failures separately.
+        # Those of failures are measured apart, by benchmarks.failures.
         failures = json.loads(FIGURES.read_text())["failures"]
-        combined = {**figures, "failures": failures}
-        FIGURES.write_text(json.dumps(combined, indent=1) + "\n")
+        kept = {**figures, "failures": failures}
+        FIGURES.write_text(json.dumps(kept, indent=1) + "\n")
         pages.write_page()
     return figures
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,4 +1,4 @@
-"""Time until a configuration is in force everywhere, and the cost of the relay."""
+"""Time until a configuration is in force everywhere, and what the relay costs."""
 
 import asyncio
 import statistics
@@ -38,7 +38,7 @@
 
 
 class CountedStore:
-    """A store client that counts calls by operation."""
+    """A client of the store that counts calls by operation."""
 
     def __init__(self, client: Any, calls: Counter[str]) -> None:
         self._client = client
@@ -94,7 +94,7 @@
 
 
 class Fleet:
-    """Daemons in zones; three zones form a region."""
+    """Daemons in zones; three zones make a region."""
 
     def __init__(
         self, zones: int, daemons: int, relays: bool = True, seed: int = 0
@@ -118,7 +118,7 @@
             self.kill(name)
 
     def kill(self, name: str) -> None:
-        """Kill a daemon without notice to its peers."""
+        """End a daemon without a word."""
         for task in self.nodes.pop(name).tasks:
             task.cancel()
         self.switch.disconnect(name)
@@ -128,7 +128,7 @@
         return [node for node in self.nodes.values() if node.zone == zone]
 
     def cut_off(self, zone: str, from_peers: bool) -> None:
-        """Cut a zone off from the store and, if ``from_peers``, from other zones."""
+        """Cut a zone off from the store, and from the other zones if asked."""
         inside = [node.name for node in self.list_zone(zone)]
         self.store.faults.cut_off.update(inside)
         for name in inside if from_peers else ():
@@ -137,12 +137,12 @@
                     self.switch.cut_both(name, other.name)
 
     def heal(self) -> None:
-        """Make everything reachable again."""
+        """Let everything be reached again."""
         self.store.faults.cut_off.clear()
         self.switch.heal_all()
 
     async def measure(self, weight: float) -> dict[str, float]:
-        """Return the seconds until ``weight`` is in force and reported everywhere."""
+        """Return the seconds until ``weight`` is in force, and told so, everywhere."""
         loop = asyncio.get_running_loop()
         start, found = loop.time(), {}
         while loop.time() - start < LIMIT:
@@ -157,11 +157,11 @@
         return {"in_force": found.get("in_force", LIMIT), "told": LIMIT}
 
     async def wait(self, seconds: float) -> None:
-        """Wait for up to two seconds more than given, so that phases differ."""
+        """Wait, and up to two seconds more, so that phases differ."""
         await asyncio.sleep(seconds + 2 * self.random.random())
 
     async def write(self, name: str, weight: float) -> None:
-        """Write through one daemon and record the revision."""
+        """Write on one daemon and note the revision."""
         done = await self.nodes[name].put(weight)
         assert isinstance(done, Declared), done
         self.lowest = done.resource["metadata"]["revision"]
@@ -186,7 +186,7 @@
 
 @scenario
 async def writer_dead(fleet: Fleet) -> dict[str, float]:
-    """The accepting daemon dies before it notifies a peer; only the store knows."""
+    """The accepting daemon dies before it tells anybody; the store alone knows."""
     for other in fleet.nodes.values():
         fleet.switch.cut_both("d00", other.name)
     await fleet.write("d00", 2.0)
@@ -214,7 +214,7 @@
 
 @scenario
 async def watchers_and_writer_dead(fleet: Fleet) -> dict[str, float]:
-    """The same, and the accepting daemon dies before it notifies a peer."""
+    """The same, and the accepting daemon dies before it tells anybody."""
     for node in fleet.list_zone("z1"):
         if node.relay.is_watcher():
             fleet.kill(node.name)
@@ -223,7 +223,7 @@
 
 @scenario
 async def zone_without_store(fleet: Fleet) -> dict[str, float]:
-    """A zone reaches its peers but not the store."""
+    """A zone doesn't reach the store, but its peers."""
     fleet.cut_off("z1", from_peers=False)
     await fleet.wait(CUT_SECONDS)
     await fleet.write("d00", 2.0)
@@ -232,7 +232,7 @@
 
 @scenario
 async def zone_healed(fleet: Fleet) -> dict[str, float]:
-    """A zone was cut off during writes by others; measured from its reconnection."""
+    """A zone was cut off from everything while others wrote; counted from healing."""
     fleet.cut_off("z1", from_peers=True)
     for weight in (2.0, 3.0, 4.0):
         await fleet.write("d00", weight)
@@ -243,7 +243,7 @@
 
 @scenario
 async def after_outage(fleet: Fleet) -> dict[str, float]:
-    """The store was down; a write follows as soon as it is available again."""
+    """The store was down; a write follows at once when it is back."""
     fleet.store.faults.outage = True
     await fleet.wait(CUT_SECONDS)
     fleet.store.faults.outage = False
@@ -252,7 +252,7 @@
 
 
 def run(quick: bool = False) -> dict[str, Any]:
-    """Run all scenarios in seconds of virtual time; processor time is real."""
+    """Run all scenarios; seconds of virtual time, except processor time."""
     zones, trials = (3, 2) if quick else (9, TRIALS)
     figures: dict[str, Any] = {"zones": zones, "daemons": 3 * zones, "trials": trials}
     for name, function in SCENARIOS.items():
@@ -282,20 +282,17 @@
 
 
 def _measure_idle(zones: int) -> dict[str, Any]:
-    """Return the cost of the relay per daemon while nothing changes."""
-    processor_seconds = {}
+    """Return what the relay costs while nothing changes, for each daemon."""
+    spent = {}
     for relays in (False, True):
         before = time.process_time()
         calls, outage = run_virtual(_idle(zones, relays))
-        processor_seconds[relays] = time.process_time() - before
+        spent[relays] = time.process_time() - before
     seconds = 2 * IDLE_SECONDS * 3 * zones
     return {
         "store_calls_a_second": sum(calls.values()) / IDLE_SECONDS,
         "store_calls_a_second_in_an_outage": sum(outage.values()) / IDLE_SECONDS,
-        "processor_share_of_a_daemon": (
-            processor_seconds[True] - processor_seconds[False]
-        )
-        / seconds,
+        "processor_share_of_a_daemon": (spent[True] - spent[False]) / seconds,
     }
 
 
@@ -322,7 +319,7 @@
 
 
 def _change(configuration: Configuration, count: int) -> None:
-    """Change workloads one after another."""
+    """Change one workload after the other."""
     for _ in range(count):
         base = configuration.revision
         event = _make_event(f"w-{base % 100}", base + 1)
@@ -347,7 +344,7 @@
 
 
 async def _measure_watches(readers: int) -> dict[str, float]:
-    """Return the processor time per line sent to a watcher."""
+    """Return the processor time for each line that a watcher is sent."""
     configuration, clock = Configuration(), LoopClock()
     configuration.apply_snapshot((), 0)
     lines = [
@@ -360,7 +357,7 @@
         for _ in range(readers)
     ]
     sent = 0
-    started_at = time.process_time()
+    began = time.process_time()
     for _ in range(CHANGES):
         _change(configuration, 1)
         for each in lines:
@@ -368,5 +365,5 @@
             while line["type"] == "BOOKMARK":
                 line = await anext(each)
             sent += len(msgspec.json.encode(line)) > 0
-    processor_seconds = time.process_time() - started_at
-    return {"readers": readers, "us_a_line": 1e6 * processor_seconds / sent}
+    spent = time.process_time() - began
+    return {"readers": readers, "us_a_line": 1e6 * spent / sent}
--- a/benchmarks/deciders.py
+++ b/benchmarks/deciders.py
@@ -1,10 +1,10 @@
-"""Waiting times of jobs when one owner decides for a pool, and when several do.
+"""How long jobs wait when one owner decides for a pool, and when several share it.
 
-The pool and its simulated load are those of the smaller site of the users: 24 workers
-of 16 cores, three queues, some of them with gangs, and an advisor that consents to a
-third to two thirds of the workers for each step. A decider knows only its part of the
-workers; a hash of the job's name chooses its decider. Placement is best fit by rank
-and age; smaller jobs overtake a gang that does not fit.
+The pool and its load are those of the smaller of the users' sites as it is played: 24
+workers of 16 cores, three queues, gangs among them, an advisor that consents to a
+third to two thirds of the workers for each step. A decider knows its part of the
+workers only; each job goes to the decider that a hash of its name picks. Placement is
+best fit by rank and age, with smaller jobs going before a gang that finds no room.
 """
 
 import heapq
@@ -18,13 +18,13 @@
 WORKERS = 24
 SECONDS = 600
 SEED = 11
-# Numbers of deciders that share the workers: one in total, one per availability zone,
-# one per instance.
+# How many deciders share the workers: one for all, one for each availability zone,
+# one for each instance.
 PARTS = {"one_for_all": 1, "one_a_zone": 3, "one_an_instance": 6}
 
 
 class Kind(NamedTuple):
-    """The jobs of a queue: mean figures with their spreads, and requirements.
+    """A queue's jobs: mean figures with their spreads, and what they need.
 
     :param consents: share of workers that the advisor consents to.
     """
@@ -50,7 +50,7 @@
 
 
 class Waiting(NamedTuple):
-    """A job of which some tasks have not started."""
+    """A job that has not started whole."""
 
     rank: int
     arrived: float
@@ -64,7 +64,7 @@
 
 
 def run(quick: bool = False) -> dict:
-    """Return waits from arrival to the start of the last task, by deciders."""
+    """Return waits from arrival to the start of a job's last task, by deciders."""
     seconds = SECONDS // 10 if quick else SECONDS
     return {name: _play(parts, seconds) for name, parts in PARTS.items()}
 
@@ -137,7 +137,7 @@
     waits: dict[str, list[float]],
     now: float,
 ) -> list[Waiting]:
-    """Start the tasks that fit; return the jobs that still wait."""
+    """Start what finds room; return the jobs that still wait."""
     left = []
     for job in queue:
         own = [w for w in job.allowed if w % parts == part]
@@ -155,14 +155,14 @@
 
 
 def _place(job: Waiting, own: list[int], free: list[int]) -> list[int]:
-    available = {worker: free[worker] for worker in own}
+    room = {worker: free[worker] for worker in own}
     places = []
     for _ in range(job.left):
-        fitting = [worker for worker in own if available[worker] >= job.cores]
+        fitting = [worker for worker in own if room[worker] >= job.cores]
         if not fitting:
             break
-        best = min(fitting, key=available.__getitem__)
-        available[best] -= job.cores
+        best = min(fitting, key=room.__getitem__)
+        room[best] -= job.cores
         places.append(best)
     return places
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -30,7 +30,7 @@
 
 
 def measure_memory(mix: Mix, running: int) -> float:
-    """Return the memory of accounts, index and reservations of a full fleet, in MiB."""
+    """Return what accounts, index and reservations of a full fleet take, in MiB."""
     sizes = [arrival.declared for arrival in mix.arrivals]
     tracemalloc.start()
     accounts = WorkerAccounts()
@@ -44,9 +44,9 @@
 
 
 def measure(mix: Mix, running: int, rounds: int) -> Figures:
-    """End a task, place another one and reserve capacity, repeatedly.
+    """End a task, place another and reserve, over and over.
 
-    :param running: number of running tasks, as close as the mix of sizes allows.
+    :param running: tasks that run, as near as the mix of sizes allows.
     """
     rng = random.Random(1)
     sizes = [
@@ -100,7 +100,7 @@
     count: int,
     prefix: str = "t",
 ) -> list[str]:
-    """Start tasks until there are ``count`` more, or many did not fit."""
+    """Start tasks until there are ``count`` more, or many found no room."""
     tasks: list[str] = []
     failures = 0
     while len(tasks) < count and failures < 50:
--- a/benchmarks/failures.py
+++ b/benchmarks/failures.py
@@ -1,4 +1,4 @@
-"""Effects of failures at full size: moves, messages, store calls, recovery time.
+"""What failures set off at size: moves, messages, store calls, time to settle.
 
 Adds its figures to docs/capacity.json, for the page docs/CAPACITY.md.
 """
@@ -28,7 +28,7 @@
 
 
 class Plan(NamedTuple):
-    """The size of the fleet that is exposed to the failures."""
+    """The size of the fleet that meets the failures."""
 
     zones: int
     daemons: int
@@ -41,26 +41,26 @@
 FULL = Plan(zones=4, daemons=3, workers=300, tasks=4000, window=6)
 
 
-class TestedFleet(NamedTuple):
-    """A running fleet, and its usage while nothing fails."""
+class Stage(NamedTuple):
+    """A running fleet, and what it spends while nothing fails."""
 
     fleet: Fleet
     plan: Plan
     idle: Sample
 
 
-FailureScenario = Callable[[TestedFleet], Awaitable[dict[str, Any]]]
-_failure_scenarios: list[FailureScenario] = []
+Scene = Callable[[Stage], Awaitable[dict[str, Any]]]
+_scenes: list[Scene] = []
 
 
-def failure_scenario(function: FailureScenario) -> FailureScenario:
-    """Register a failure; failures run in order of definition."""
-    _failure_scenarios.append(function)
+def scene(function: Scene) -> Scene:
+    """Register a failure; they happen in order of definition."""
+    _scenes.append(function)
     return function
 
 
 def add_up(sample: Sample, names: Collection[str] = ()) -> dict[str, float]:
-    """Return the sums of the figures of the named daemons, or of all."""
+    """Return the figures of the named daemons together, or of all."""
     count = len(names or sample.daemons)
     return {
         name: sample.average(name, () if name in sample.fleet else names) * count
@@ -69,16 +69,16 @@
 
 
 async def watch(
-    tested: TestedFleet,
+    stage: Stage,
     act: Callable[[], Awaitable[Any]],
     is_settled: Callable[[], Awaitable[bool]],
 ) -> dict[str, Any]:
-    """Cause a failure and measure until the fleet has recovered.
+    """Let something fail and measure until it has settled.
 
-    :returns: the seconds, and the usage of the remaining daemons beyond their
-        usage while nothing fails.
+    :returns: the seconds, and what the daemons that stayed spent beyond what
+        they spend while nothing fails.
     """
-    fleet = tested.fleet
+    fleet = stage.fleet
     before = await fleet.read(is_first=True)
     await act()
     is_done = False
@@ -88,8 +88,8 @@
     seconds = time.monotonic() - before.time
     after = await fleet.read(is_first=False)
     sample = fleets.compare(before, after)
-    stayed = [name for name in sample.daemons if name in tested.idle.daemons]
-    spent, idle = add_up(sample, stayed), add_up(tested.idle, stayed)
+    stayed = [name for name in sample.daemons if name in stage.idle.daemons]
+    spent, idle = add_up(sample, stayed), add_up(stage.idle, stayed)
     lasted = after.time - before.time
 
     def exceed(*names: str) -> float:
@@ -111,79 +111,79 @@
     }
 
 
-async def is_owned(tested: TestedFleet) -> bool:
-    """Return whether each worker and target has a live owner.
+async def is_owned(stage: Stage) -> bool:
+    """Tell whether each worker and target has an owner that lives.
 
-    Daemons call each other for the answer, so this must not be used while messages
-    are counted.
+    Daemons ask each other for the answer, so this isn't for use while the
+    messages are counted.
     """
-    owned = await tested.fleet.count_owned()
-    return owned >= tested.fleet.count_listed()
+    owned = await stage.fleet.count_owned()
+    return owned >= stage.fleet.count_listed()
 
 
 class Moves:
-    """Workers that get a new owner, detected by the epochs that they receive."""
+    """Workers that get a new owner, told by the epochs that they see."""
 
-    def __init__(self, tested: TestedFleet, names: Collection[str]) -> None:
-        workers = tested.fleet.platform.workers
+    def __init__(self, stage: Stage, names: Collection[str]) -> None:
+        workers = stage.fleet.platform.workers
         self._workers = [workers[name] for name in names]
         self._before = [worker.epoch for worker in self._workers]
 
     async def has_moved(self, count: int) -> bool:
-        """Return whether at least ``count`` workers have a new owner."""
+        """Tell whether so many have a new owner."""
         epochs = zip(self._workers, self._before, strict=True)
         return sum(worker.epoch > before for worker, before in epochs) >= count
 
 
-async def list_owned(tested: TestedFleet, daemon: str) -> list[str]:
+async def list_owned(stage: Stage, daemon: str) -> list[str]:
     """List the workers that a daemon owns."""
-    reply = await tested.fleet.clients[daemon].call("GET", "/v1/status")
+    reply = await stage.fleet.clients[daemon].call("GET", "/v1/status")
     shards = reply.read_json()["owned"]["worker"]
     return [shard.partition("/")[2] or shard for shard in shards]
 
 
 async def lose_daemon(
-    tested: TestedFleet, end: Callable[[str], Awaitable[None]]
+    stage: Stage, end: Callable[[str], Awaitable[None]]
 ) -> dict[str, Any]:
     """End a daemon and wait until its workers have new owners."""
     name = f"entry-{ZONE[-1]}0"
-    held = await list_owned(tested, name)
-    moves = Moves(tested, held)
-    found = await watch(tested, partial(end, name), partial(moves.has_moved, len(held)))
+    held = await list_owned(stage, name)
+    moves = Moves(stage, held)
+    found = await watch(stage, partial(end, name), partial(moves.has_moved, len(held)))
     return {**found, "workers moved": len(held)}
 
 
-@failure_scenario
-async def fail_daemon(tested: TestedFleet) -> dict[str, Any]:
+@scene
+async def fail_daemon(stage: Stage) -> dict[str, Any]:
     """An entry instance fails."""
-    return await lose_daemon(tested, tested.fleet.drop_daemon)
+    return await lose_daemon(stage, stage.fleet.drop_daemon)
 
 
-@failure_scenario
-async def replace_daemon(tested: TestedFleet) -> dict[str, Any]:
+@scene
+async def replace_daemon(stage: Stage) -> dict[str, Any]:
     """An entry instance comes, and gets its share of the zone."""
-    fleet, name = tested.fleet, f"entry-{ZONE[-1]}0"
+    fleet, name = stage.fleet, f"entry-{ZONE[-1]}0"
     near = [n for n, w in fleet.platform.workers.items() if w.instance.zone == ZONE]
-    share = len(near) // tested.plan.daemons // 2
-    moves = Moves(tested, near)
+    share = len(near) // stage.plan.daemons // 2
+    moves = Moves(stage, near)
     found = await watch(
-        tested, partial(fleet.add_daemon, name, ZONE), partial(moves.has_moved, share)
+        stage, partial(fleet.add_daemon, name, ZONE), partial(moves.has_moved, share)
     )
     return {**found, "workers moved": share}
 
 
-@failure_scenario
-async def shut_down_daemon(tested: TestedFleet) -> dict[str, Any]:
+@scene
+async def shut_down_daemon(stage: Stage) -> dict[str, Any]:
     """An entry instance is shut down gracefully."""
-    found = await lose_daemon(tested, tested.fleet.stop_daemon)
-    await tested.fleet.add_daemon(f"entry-{ZONE[-1]}0", ZONE)
-    await tested.fleet.wait_settled()
+    found = await lose_daemon(stage, stage.fleet.stop_daemon)
+    await stage.fleet.add_daemon(f"entry-{ZONE[-1]}0", ZONE)
+    await stage.fleet.wait_settled()
     return found
 
 
-async def remove_workers(tested: TestedFleet, count: int) -> dict[str, Any]:
-    """Remove workers of one zone and wait until all tasks run again."""
-    fleet = tested.fleet
+async def remove_workers(stage: Stage, count: int) -> dict[str, Any]:
+    """Take workers of one zone off, and wait until all tasks run again."""
+    fleet = stage.fleet
     running = fleet.count_running()
     near = [
         name
@@ -198,25 +198,25 @@
     async def runs_again() -> bool:
         return fleet.count_running() >= running
 
-    return await watch(tested, remove, runs_again)
+    return await watch(stage, remove, runs_again)
 
 
-@failure_scenario
-async def fail_worker(tested: TestedFleet) -> dict[str, Any]:
+@scene
+async def fail_worker(stage: Stage) -> dict[str, Any]:
     """A worker fails and leaves the list; its tasks run elsewhere."""
-    return await remove_workers(tested, 1)
+    return await remove_workers(stage, 1)
 
 
-@failure_scenario
-async def fail_rack(tested: TestedFleet) -> dict[str, Any]:
+@scene
+async def fail_rack(stage: Stage) -> dict[str, Any]:
     """A rack of eight workers fails."""
-    return await remove_workers(tested, RACK)
+    return await remove_workers(stage, RACK)
 
 
-@failure_scenario
-async def cut_off_zone(tested: TestedFleet) -> dict[str, Any]:
+@scene
+async def cut_off_zone(stage: Stage) -> dict[str, Any]:
     """A zone's daemons lose the store and the list for twenty seconds."""
-    fleet = tested.fleet
+    fleet = stage.fleet
     names = [name for name, zone in fleet.zones.items() if zone == ZONE]
     running = fleet.count_running()
 
@@ -230,15 +230,15 @@
     async def has_ended() -> bool:
         return True
 
-    found = await watch(tested, cut, has_ended)
+    found = await watch(stage, cut, has_ended)
     lost = running - fleet.count_running()
     return {**found, "tasks lost": lost, "cut seconds": CUT_SECONDS}
 
 
-@failure_scenario
-async def fail_zone(tested: TestedFleet) -> dict[str, Any]:
+@scene
+async def fail_zone(stage: Stage) -> dict[str, Any]:
     """A zone fails with its daemons and workers."""
-    fleet = tested.fleet
+    fleet = stage.fleet
     names = [name for name, zone in fleet.zones.items() if zone == ZONE]
     gone = [
         name
@@ -256,67 +256,67 @@
     async def runs_again() -> bool:
         return fleet.count_running() >= running
 
-    return await watch(tested, fail, runs_again)
+    return await watch(stage, fail, runs_again)
 
 
 class RateLimit(Faults):
     """Refuses calls beyond a rate, as a service at its limit does.
 
-    :param rate: calls per second that are admitted, not counting waiting watches.
+    :param rate: calls a second that are let in; waiting watches aside.
     """
 
     def __init__(self, rate: float) -> None:
         super().__init__()
         self.refused = 0
         self._rate = rate
-        self._tokens = rate
+        self._room = rate
         self._filled = time.monotonic()
 
     def take(self, operation: str) -> FaultKind | None:
-        """Refuse a call that exceeds the rate."""
+        """Refuse a call when there is no room for it."""
         now = time.monotonic()
         grown = (now - self._filled) * self._rate
-        self._tokens = min(self._rate, self._tokens + grown)
+        self._room = min(self._rate, self._room + grown)
         self._filled = now
-        if self._tokens < 1:
+        if self._room < 1:
             self.refused += 1
             return FaultKind.REFUSE
-        self._tokens -= 1
+        self._room -= 1
         return None
 
 
-@failure_scenario
-async def limit_store(tested: TestedFleet) -> dict[str, Any]:
+@scene
+async def limit_store(stage: Stage) -> dict[str, Any]:
     """The store lets in fewer calls than the daemons make."""
-    fleet = tested.fleet
+    fleet = stage.fleet
     store = fleet.platform.store
     load = Load(fleet, STARTS / fleets.TASKS_PER_JOB, _submit_short)
-    free = add_up(await fleet.measure(tested.plan.window, load))
+    free = add_up(await fleet.measure(stage.plan.window, load))
     limit = RateLimit(STORE_RATE)
     store.gateway.faults = limit
     load = Load(fleet, STARTS / fleets.TASKS_PER_JOB, _submit_short)
-    sample = await fleet.measure(2 * tested.plan.window, load)
+    sample = await fleet.measure(2 * stage.plan.window, load)
     store.gateway.faults = store.faults
-    started_at = time.monotonic()
-    await wait_until(partial(is_owned, tested), lambda is_done: is_done, LIMIT_SECONDS)
+    begin = time.monotonic()
+    await wait_until(partial(is_owned, stage), lambda is_done: is_done, LIMIT_SECONDS)
     tight = add_up(sample)
-    prefixes = ("store", "refusals", "retries", "task starts", "drops")
+    kept = ("store", "refusals", "retries", "task starts", "drops")
     return {
         "limit": STORE_RATE,
         "refused": limit.refused,
         "answers to submissions": dict(load.statuses),
-        "seconds until all is owned again": round(time.monotonic() - started_at, 2),
-        "without limit": _pick(free, prefixes),
-        "with limit": _pick(tight, prefixes),
+        "seconds until all is owned again": round(time.monotonic() - begin, 2),
+        "without limit": _pick(free, kept),
+        "with limit": _pick(tight, kept),
         "overlaps": len(fleet.platform.runs.overlaps),
     }
 
 
-def _pick(figures: dict[str, float], prefixes: tuple[str, ...]) -> dict[str, float]:
+def _pick(figures: dict[str, float], kept: tuple[str, ...]) -> dict[str, float]:
     return {
         name: round(value, 2)
         for name, value in figures.items()
-        if value and name.startswith(prefixes) and "store_calls" not in name
+        if value and name.startswith(kept) and "store_calls" not in name
     }
 
 
@@ -325,7 +325,7 @@
 
 
 async def measure(plan: Plan) -> dict[str, Any]:
-    """Run all failures."""
+    """Let everything fail that can."""
     found: dict[str, Any] = {"plan": plan._asdict(), "scenes": {}}
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder))
@@ -338,17 +338,17 @@
             found["running"] = await fill(fleet, plan.tasks)
             await asyncio.sleep(plan.window)
             idle = await fleet.measure(2 * plan.window)
-            tested = TestedFleet(fleet, plan, idle)
-            for act in _failure_scenarios:
+            stage = Stage(fleet, plan, idle)
+            for act in _scenes:
                 label = act.__doc__.splitlines()[0]
-                found["scenes"][label] = await act(tested)
+                found["scenes"][label] = await act(stage)
         finally:
             await fleet.close()
     return found
 
 
 def run(quick: bool = False) -> dict[str, Any]:
-    """Measure; a full run adds its figures to those of the page."""
+    """Measure; a full run adds its figures to the page's."""
     found = asyncio.run(measure(QUICK if quick else FULL))
     if not quick:
         figures = json.loads(pages.FIGURES.read_text())
--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -1,4 +1,4 @@
-"""Real daemons on loopback, the load on them, and their usage."""
+"""Real daemons on loopback, the load on them, and what they spend."""
 
 import asyncio
 import re
@@ -39,11 +39,11 @@
 
 
 class Sample(NamedTuple):
-    """Usage per second of each daemon, by name of the figure.
+    """What each daemon spent in a second, by name of the figure.
 
     :param daemons: figures of each daemon.
-    :param fleet: figures of all daemons together, as counted by the platform.
-    :param bench: share of a core that the process of the benchmark used.
+    :param fleet: figures of all daemons together, as the platform saw them.
+    :param bench: share of a core that the benchmark's own process took.
     """
 
     daemons: dict[str, dict[str, float]]
@@ -94,10 +94,9 @@
         await self.platform.close()
 
     async def grow(self, zones: int, daemons: int) -> None:
-        """Add daemons one by one until each zone has ``daemons`` of them.
+        """Add daemons, one after the other, until there are so many in each zone.
 
-        The platform's list is never empty, as a daemon becomes ready only after it has
-        read a list.
+        The list is never empty, as a daemon is ready only once it has seen one.
         """
         if not self.platform.workers:
             self.add_workers(1, ["zone-0"])
@@ -123,7 +122,7 @@
         await asyncio.sleep(START_PAUSE_SECONDS)
 
     async def drop_daemon(self, name: str) -> None:
-        """Kill a daemon, as if its instance failed."""
+        """Kill a daemon as when its instance fails."""
         await self._take_out(name).kill()
 
     async def stop_daemon(self, name: str) -> None:
@@ -136,7 +135,7 @@
         return self.deployment.daemons.pop(name)
 
     def add_workers(self, count: int, zones: Sequence[str] = ()) -> None:
-        """Add workers, spread over the zones, until there are ``count``."""
+        """Add workers, spread over the zones, until there are so many."""
         zones = zones or sorted(set(self.zones.values()))
         for number in range(len(self.platform.workers), count):
             self.platform.add_worker(
@@ -147,22 +146,22 @@
             )
 
     def add_targets(self, count: int, zones: Sequence[str] = ()) -> None:
-        """Add targets, spread over the zones, until there are ``count``."""
+        """Add targets, spread over the zones, until there are so many."""
         zones = zones or sorted(set(self.zones.values()))
         for number in range(len(self.platform.targets), count):
             zone = zones[number % len(zones)]
             self.platform.add_target(f"target-{number:03}", zone, SERVICE)
 
     async def wait_settled(self) -> bool:
-        """Wait until every worker and target has one owner; return whether it has."""
+        """Wait until every worker and target has one owner; tell whether so."""
         reached = await wait_until(
-            self.count_owned, lambda count: count >= self.count_shards(), 60
+            self.count_owned, lambda count: count >= self.count_things(), 60
         )
         await asyncio.sleep(SETTLE_SECONDS)
-        return reached >= self.count_shards()
+        return reached >= self.count_things()
 
-    def count_shards(self) -> int:
-        """Count the shards that need an owner."""
+    def count_things(self) -> int:
+        """Count what needs an owner."""
         return len(self.platform.workers) + len(self.platform.targets)
 
     def count_listed(self) -> int:
@@ -176,7 +175,7 @@
         )
 
     async def count_owned(self) -> int:
-        """Count the workers and targets that daemons report as owned."""
+        """Count workers and targets that daemons say they own."""
         count = 0
         for client in list(self.clients.values()):
             owned = (await client.call("GET", "/v1/status")).read_json()["owned"]
@@ -184,7 +183,7 @@
         return count
 
     async def list_owners(self, scope: str) -> list[str]:
-        """List the daemons that own a shard of ``scope``."""
+        """List the daemons that own something of ``scope``."""
         found = []
         for name, client in self.clients.items():
             status = (await client.call("GET", "/v1/status")).read_json()
@@ -202,7 +201,7 @@
         return sum(len(worker.list_running()) for worker in workers)
 
     async def measure(self, seconds: float, load: "Load | None" = None) -> Sample:
-        """Measure each daemon for a time under a load."""
+        """Measure each daemon over a time, under a load."""
         running = asyncio.ensure_future(load.run()) if load else None
         if load:
             await asyncio.sleep(SETTLE_SECONDS)
@@ -274,8 +273,8 @@
     """Calls at a fixed rate, spread over the daemons.
 
     :param rate: calls a second.
-    :param act: makes a call, given the client to use and the number of the call.
-    :param names: the daemons to call; by default all.
+    :param act: makes the call with a number; told the client to use.
+    :param names: the daemons to call; all unless given.
     """
 
     def __init__(
@@ -313,12 +312,12 @@
 
 
 def list_zones(count: int) -> list[str]:
-    """List the names of ``count`` zones."""
+    """List the names of so many zones."""
     return [f"zone-{number}" for number in range(count)]
 
 
 async def declare(fleet: Fleet) -> None:
-    """Declare each team and its own workload, and wait until they are in force."""
+    """Declare each team and a workload of its own, in force everywhere."""
     client = next(iter(fleet.clients.values()))
     quota = {"processors": 4096, "memory": 1 << 28}
     for team in list_teams():
@@ -337,13 +336,13 @@
 
 
 def check(reply: Reply) -> None:
-    """Stop the benchmark if a call that it needs was refused."""
+    """Stop the benchmark when a call that it needs was refused."""
     if reply.status >= 300:
         raise RuntimeError(f"{reply.status} {reply.body!r}")
 
 
 async def submit(client: Client, number: int, seconds: float) -> Any:
-    """Submit a job whose tasks run for ``seconds``."""
+    """Submit a job whose tasks run for so long."""
     team = list_teams()[number % TEAMS]
     path = f"/v1/workloads/batch-{team}/jobs"
     return await client.call("POST", path, {"run_time": seconds})
@@ -406,7 +405,7 @@
 
 
 def compare(before: Reading, after: Reading) -> Sample:
-    """Return the usage per second between two readings."""
+    """Return what was spent in a second between two readings."""
     seconds = after.time - before.time
     daemons = {
         name: _subtract(before.daemons[name], figures, seconds)
@@ -424,7 +423,7 @@
 def _subtract(
     before: dict[str, float], after: dict[str, float], seconds: float
 ) -> dict[str, float]:
-    """Return the growth of counters per second, and the last values of sizes."""
+    """Return the growth a second of counters, and of sizes the last value."""
     return {
         name: value if "MB" in name else (value - before.get(name, 0.0)) / seconds
         for name, value in after.items()
--- a/benchmarks/gangs.py
+++ b/benchmarks/gangs.py
@@ -1,8 +1,8 @@
 """A gang of most of the cell under a steady stream of small tasks.
 
 Three daemons, one ledger and 24 workers of 16 cores in virtual time; small tasks
-of 20 s arrive faster than they can run. Measured with and without reserved capacity.
-Workers report no usage, so that sizes stay as declared.
+of 20 s come faster than they can run. With and without room that is kept. Workers
+report no usage, so that sizes stay as declared.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 
 
 async def stream(plane: Plane) -> None:
-    """Submit small tasks until cancelled."""
+    """Submit small tasks without end."""
     ledger_owner = plane.find("d2").ledger_owner
     while True:
         small = Submission("small", "team", SMALL)
@@ -55,15 +55,15 @@
     running = asyncio.ensure_future(stream(plane))
     await plane.clock.sleep(60 * SECOND)
     await plane.find("d2").ledger_owner.submit_job(Submission("gang", "team", GANG))
-    started_at = plane.clock.monotonic()
+    began = plane.clock.monotonic()
     shares = []
-    while plane.clock.monotonic() - started_at < LIMIT * SECOND:
+    while plane.clock.monotonic() - began < LIMIT * SECOND:
         gangs, others = count_running(plane)
         if gangs == tasks:
             break
         shares.append((gangs + others) / (WORKERS * CORES))
         await plane.clock.sleep(STEP)
-    waited = (plane.clock.monotonic() - started_at) / SECOND
+    waited = (plane.clock.monotonic() - began) / SECOND
     running.cancel()
     return {
         "tasks": tasks,
@@ -75,10 +75,10 @@
 
 
 def run(quick: bool = False) -> dict[str, Any]:
-    """Measure gangs of different sizes, with and without reserved capacity."""
+    """Measure gangs of different sizes, without and with kept room."""
     sizes = (300,) if quick else (200, 360)
-    with_reservations = [run_virtual(measure(tasks)) for tasks in sizes]
+    kept = [run_virtual(measure(tasks)) for tasks in sizes]
     never = timedelta(days=1)
     with mock.patch.object(starvinggangs, "STARVATION_LIMIT", never):
-        without_reservations = [run_virtual(measure(tasks)) for tasks in sizes]
-    return {"kept_room": with_reservations, "no_kept_room": without_reservations}
+        unkept = [run_virtual(measure(tasks)) for tasks in sizes]
+    return {"kept_room": kept, "no_kept_room": unkept}
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -1,4 +1,4 @@
-"""Measures learned sizes: packing with wrong declarations, overfills, and cost."""
+"""Measures learnt sizes: packing with wrong declarations, overfills, and cost."""
 
 import math
 import random
@@ -34,7 +34,7 @@
 
 
 class Load(NamedTuple):
-    """A workload: the peak usage of its tasks, and its declaration."""
+    """A workload: what its tasks truly use at most, and what is declared."""
 
     name: str
     used: Size
@@ -46,7 +46,7 @@
 
 
 class Run:
-    """A task with its actual usage over time."""
+    """A task, with its true use over time."""
 
     def __init__(self, name: str, load: Load, rng: random.Random) -> None:
         noise = rng.uniform(0.85, 1.0)
@@ -62,7 +62,7 @@
         self.history: list[Size] = []
 
     def find_use(self) -> Size:
-        """Return its current usage."""
+        """Return what it uses now."""
         grown = min(1.0, 0.1 + self.done / (GROWTH * self.run_time))
         millicores = self.peak.millicores
         if self.limit is not None:
@@ -70,19 +70,19 @@
         return Size(millicores, round(self.peak.memory * grown), 0)
 
     def advance(self) -> None:
-        """Run for one more tick, slower if it is throttled."""
+        """Run on for a tick, slower where it is throttled."""
         use = self.find_use()
         self.history.append(use)
         self.done += TICK * use.millicores / max(self.peak.millicores, 1)
 
     def find_reported(self, age: int = 0) -> Size | None:
-        """Return the usage in the report of ``age`` ticks ago."""
+        """Return what the lagging report of ``age`` ticks ago said."""
         index = len(self.history) - 1 - LAG_TICKS - age
         return self.history[index] if index >= 0 else None
 
 
 class Fleet:
-    """Workers that always have more work waiting than they can hold.
+    """Workers that are always offered more work than they hold.
 
     :param sizing: how sizes are set: ``declared``, ``learnt`` or ``known``.
     """
@@ -134,11 +134,11 @@
             self.counts["made"] += 1
             load = self.rng.choice(self.loads)
             self.waiting.append(Run(f"t{self.counts['made']}", load, self.rng))
-        still_waiting = []
+        kept = []
         for run in self.waiting:
             if not self._try(run, tick):
-                still_waiting.append(run)
-        self.waiting = still_waiting
+                kept.append(run)
+        self.waiting = kept
 
     def _try(self, run: Run, tick: int) -> bool:
         run.reserved = self._find_size(run)
@@ -237,9 +237,9 @@
 
 
 def run(quick: bool) -> Figures:
-    """Compare declared, learned and known sizes, and measure the cost of learning.
+    """Compare declared, learnt and known sizes, and measure the cost of learning.
 
-    :param quick: whether to simulate a shorter time.
+    :param quick: a shorter time.
     """
     ticks = 900 if quick else 3600
     figures: Figures = {
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -1,7 +1,7 @@
 """Measures ledgers in virtual time against a store that answers after 5 ms.
 
-Latencies and rates are exact in virtual time; processor time is real and includes
-the store's stand-in and the load.
+Latencies and rates are exact in virtual time; processor time is real and holds
+the store's stand-in and the load as well.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 class CountingStore:
-    """A client that counts calls and written bytes by purpose."""
+    """A client that counts calls and written bytes by what they are for."""
 
     def __init__(self, client: StoreClient, calls: Counter[str]) -> None:
         self._client = client
@@ -51,7 +51,7 @@
 class Deployment:
     """Some ledgers in one store, each with a state of a fixed size.
 
-    :param ledgers: number of ledgers, which share the state of the deployment.
+    :param ledgers: how many; they share the state of the whole deployment.
     """
 
     def __init__(self, ledgers: int) -> None:
@@ -74,7 +74,7 @@
             self.ledgers.append(await self.take_over(number))
 
     async def take_over(self, number: int) -> Ledger:
-        """Open a ledger for a new owner."""
+        """Open a ledger for a new keeper."""
         self.epochs[number] += 1
         state = self._states[number]
         client = CountingStore(self.store.connect("keeper"), self.calls)
@@ -89,7 +89,7 @@
 def run(quick: bool) -> Figures:
     """Measure commits, store calls and bytes.
 
-    :param quick: whether to make shorter runs.
+    :param quick: shorter runs.
     """
     seconds = 4 if quick else 24
     return {
@@ -118,14 +118,14 @@
 
 
 async def measure_closed_loop(seconds: float) -> Figures:
-    """Let many clients commit to one ledger, each again after every answer."""
+    """Let many clients commit to one ledger, each again once it was answered."""
     deployment = Deployment(1)
     await deployment.start()
     return await _run_clients(deployment, deployment.ledgers[0].commit, seconds)
 
 
 async def measure_single_writes(seconds: float) -> Figures:
-    """Let the same clients make one append per commit, in order of the log."""
+    """The same clients with one append for each commit, in order of the log."""
     deployment = Deployment(1)
     store = CountingStore(deployment.store.connect("naive"), deployment.calls)
     lock = asyncio.Lock()
@@ -159,7 +159,7 @@
 
 
 async def measure_load(load: int, ledgers: int, seconds: float) -> Figures:
-    """Commit at random times, at a rate that does not depend on the answers."""
+    """Commit at random times, at a fixed rate whatever the answers take."""
     deployment = Deployment(ledgers)
     await deployment.start()
     deployment.calls.clear()
@@ -198,17 +198,17 @@
     deployment = Deployment(LEDGERS)
     await deployment.start()
     deployment.calls.clear()
-    owners = {number: number % daemons for number in range(LEDGERS)}
+    keepers = {number: number % daemons for number in range(LEDGERS)}
     gaps: list[float] = []
 
     async def restart_all() -> None:
         for daemon in range(daemons):
             await asyncio.sleep(seconds / (daemons + 1))
-            for number in [n for n, d in owners.items() if d == daemon]:
+            for number in [n for n, d in keepers.items() if d == daemon]:
                 begun = deployment.clock.monotonic()
                 await deployment.ledgers[number].close()
                 deployment.ledgers[number] = await deployment.take_over(number)
-                owners[number] = (daemon + 1) % daemons
+                keepers[number] = (daemon + 1) % daemons
                 gap = deployment.clock.monotonic() - begun
                 gaps.append(gap.total_seconds() * 1000)
 
--- a/benchmarks/lines.py
+++ b/benchmarks/lines.py
@@ -1,7 +1,7 @@
-"""Cost of a log line, and the rate of lines that takes 5 % of a core.
+"""What a log line costs, and how many a daemon can write in 5 % of its processor.
 
-Lines pass through the real logger, handler and writer to a sink that accepts all of
-them; the limits per second are not reached, so each line is written.
+Lines go through the real logger, handler and writer to a sink that takes all; the
+limits of a second are not reached, so each line is written.
 """
 
 import os
@@ -15,10 +15,10 @@
 
 
 def run(quick: bool = False) -> dict:
-    """Return the processor time of the line of a decision, and the possible rate."""
+    """Return the processor time of a decision's line and what follows from it."""
     rounds = 3 if quick else 20
-    durations = sorted(_time_batch(number) for number in range(rounds))
-    cost = durations[len(durations) // 2] / BATCH
+    spent = sorted(_time_batch(number) for number in range(rounds))
+    cost = spent[len(spent) // 2] / BATCH
     return {
         "lines_measured": rounds * BATCH,
         "processor_microseconds_a_line": round(cost * 1e6, 1),
@@ -31,7 +31,7 @@
     log = get_logger("dispatching")
     handler = LineHandler(LineWriter(descriptor), "d0", "info")
     with handler.applicationbound():
-        started_at = time.process_time()
+        began = time.process_time()
         for index in range(BATCH):
             log.info(
                 "Ordered.",
@@ -44,6 +44,6 @@
                 epoch=2,
             )
         handler.flush()
-        durations = time.process_time() - started_at
+        spent = time.process_time() - began
     os.close(descriptor)
-    return durations
+    return spent
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,8 +1,8 @@
-"""Cost of membership and ownership, and gaps in which no daemon decides.
+"""What membership and ownership cost, and how long nobody decides.
 
-Messages, bytes and times are those of the real modules on the manual clock and
-the stand-ins; processor time is measured with real streams on loopback and the
-machine's clock, with all daemons in one process.
+Messages, bytes and times come from the real modules on the manual clock and
+the stand-ins; processor time from real streams on loopback and the machine's
+clock, all daemons in one process.
 """
 
 import asyncio
@@ -62,7 +62,7 @@
         ]
 
     async def advance(self, duration: timedelta) -> None:
-        """Advance the clock; each daemon publishes a new report every second."""
+        """Let time pass; each daemon has a new report every second."""
         for _ in range(round(duration / timedelta(seconds=1))):
             publish(self.daemons)
             await self.clock.advance(timedelta(seconds=1))
@@ -70,14 +70,14 @@
     async def measure_gap(
         self, owner: Daemon, shards: tuple[str, ...], step: timedelta
     ) -> float:
-        """Return the seconds from the first loss of a shard to the last gain."""
+        """Return the seconds from the first thing lost to the last one regained."""
         others = [daemon for daemon in self.daemons if daemon is not owner]
-        started_at = self.clock.monotonic()
+        began = self.clock.monotonic()
         while not is_decided(others, shards):
             if not owner.tasks[0].cancelling() and is_decided([owner], shards):
-                started_at = self.clock.monotonic()
+                began = self.clock.monotonic()
             await self.clock.advance(step)
-        return (self.clock.monotonic() - started_at).total_seconds()
+        return (self.clock.monotonic() - began).total_seconds()
 
     async def close(self) -> None:
         """End all daemons."""
@@ -87,7 +87,7 @@
 
 
 def is_decided(daemons: list[Daemon], shards: tuple[str, ...]) -> bool:
-    """Return whether some daemon may decide about each of ``shards``."""
+    """Tell whether some daemon decides about each of ``shards``."""
     return all(
         any(daemon.ownership.get_epoch(shard) is not None for daemon in daemons)
         for shard in shards
@@ -134,7 +134,7 @@
 
 
 async def measure_traffic(size: int, duration: timedelta) -> dict[str, Any]:
-    """Measure the messages, bytes and store calls per daemon and second."""
+    """Measure messages, bytes and store calls per daemon and second."""
     deployment = Deployment(size)
     await deployment.advance(WARM_UP)
     switch, store = deployment.switch, deployment.store
@@ -164,7 +164,7 @@
 async def measure_gaps(
     trials: int, leave: Callable[[Deployment, Daemon], None], step: timedelta
 ) -> dict[str, float]:
-    """Remove an owner at different times; return seconds until others decide."""
+    """Let an owner go at different moments; seconds until others decide."""
     gaps = []
     for trial in range(trials):
         deployment = Deployment(ZONE_SIZE)
@@ -180,7 +180,7 @@
 
 
 def kill(deployment: Deployment, daemon: Daemon) -> None:
-    """Kill a daemon without notice to its peers."""
+    """End a daemon without a word."""
     stop([daemon])
     deployment.switch.disconnect(daemon.members.self.name)
 
@@ -205,11 +205,11 @@
         member = member._replace(peer_address=network.address)
         daemons.append(start_daemon(member, network, store, clock))
     await asyncio.sleep(seconds)
-    started_at, used = time.monotonic(), time.process_time()
+    began, used = time.monotonic(), time.process_time()
     for _ in range(int(seconds)):
         publish(daemons)
         await asyncio.sleep(1)
-    share = (time.process_time() - used) / (time.monotonic() - started_at) / size
+    share = (time.process_time() - used) / (time.monotonic() - began) / size
     live = min(len(daemon.members.list_live()) for daemon in daemons)
     stop(daemons)
     await asyncio.gather(*(network.close() for network in networks))
@@ -227,7 +227,7 @@
 
 
 def measure_heartbeat(rounds: int) -> dict[str, float]:
-    """Measure the processor time of writing and of handling one heartbeat."""
+    """Measure the processor time of writing and of taking one heartbeat."""
 
     async def measure() -> dict[str, float]:
         deployment = Deployment(27)
@@ -236,27 +236,27 @@
         peer_state = one._peer_states[other.self.name]
         now = deployment.clock.monotonic()
         writing = _time(lambda: one._write_heartbeat(peer_state, now), rounds)
-        heartbeat = one._write_heartbeat(peer_state, now)
-        started_at = time.process_time()
+        beat = one._write_heartbeat(peer_state, now)
+        began = time.process_time()
         for number in itertools.islice(itertools.count(10_000), rounds):
-            heartbeat["number"] = number
-            await other._handle_heartbeat(one.self.name, heartbeat)
-        receiving = (time.process_time() - started_at) / rounds * 1e6
+            beat["number"] = number
+            await other._handle_heartbeat(one.self.name, beat)
+        taking = (time.process_time() - began) / rounds * 1e6
         await deployment.close()
-        return {"write_us": round(writing, 1), "take_us": round(receiving, 1)}
+        return {"write_us": round(writing, 1), "take_us": round(taking, 1)}
 
     return asyncio.run(measure())
 
 
 def _time(act: Callable[[], object], rounds: int) -> float:
-    started_at = time.process_time()
+    began = time.process_time()
     for _ in range(rounds):
         act()
-    return (time.process_time() - started_at) / rounds * 1e6
+    return (time.process_time() - began) / rounds * 1e6
 
 
 def run(quick: bool) -> dict[str, Any]:
-    """Run all measurements, in less than 30 s; a quick run takes less than 10 s."""
+    """Run all measurements; below half a minute, quick below ten seconds."""
     sizes = SIZES[:2] if quick else SIZES
     duration = timedelta(seconds=10 if quick else 20)
     trials = 3 if quick else 12
--- a/benchmarks/naive.py
+++ b/benchmarks/naive.py
@@ -1,4 +1,4 @@
-"""The naive scheduler for the replay: first fit in order of arrival."""
+"""The naive scheduler under the replay: in arrival order, first fit."""
 
 from collections import deque
 from datetime import timedelta
@@ -10,9 +10,9 @@
 
 
 class NaiveQueue:
-    """Starts work strictly in order of arrival; the head waits for capacity.
+    """Starts work strictly in order of arrival; the head waits for room.
 
-    :param skips: whether later work may overtake work that doesn't fit.
+    :param skips: whether work that doesn't fit lets later work go first.
     """
 
     interval = timedelta()
@@ -21,7 +21,7 @@
         self._naive = NaiveScheduler(cell.mix.workers)
         self._skips = skips
         self._queue: deque[list[Task]] = deque()
-        self._may_fit = True
+        self._has_room = True
 
     def submit(self, cell: Cell, tasks: list[Task]) -> None:
         """Append a job; a gang stays together."""
@@ -37,17 +37,17 @@
             self._queue.append(tasks)
         else:
             self._queue.extend([task] for task in tasks)
-        self._may_fit = True
+        self._has_room = True
 
     def end(self, cell: Cell, task: Task, has_failed: bool) -> None:
-        """Free the capacity of a task; a failed one goes to the end of the queue."""
+        """Free what a task held; a failed one goes to the end of the queue."""
         self._naive.stop(task.name)
         if task.state == "waiting":
             self._queue.append([task])
-        self._may_fit = True
+        self._has_room = True
 
     def step(self, cell: Cell) -> None:
-        """Start the head of the queue while it fits."""
+        """Start the head of the queue as long as there is room for it."""
         if self._skips:
             self._try_all(cell)
             return
@@ -55,9 +55,9 @@
             self._queue.popleft()
 
     def _try_all(self, cell: Cell) -> None:
-        if not self._may_fit:
+        if not self._has_room:
             return
-        self._may_fit = False
+        self._has_room = False
         waiting: deque[list[Task]] = deque()
         for _, jobs in groupby(self._queue, lambda tasks: tasks[0].arrival.job):
             is_full = False
--- a/benchmarks/pages.py
+++ b/benchmarks/pages.py
@@ -52,7 +52,7 @@
 
 
 def table(name: str) -> Callable[[Writer], Writer]:
-    """Register the function that writes a table of the page."""
+    """Register what writes a table of the page."""
 
     def register(writer: Writer) -> Writer:
         _writers[name] = writer
@@ -72,7 +72,7 @@
 
 
 def fill_page(text: str, slopes: Slopes) -> str:
-    """Return the page with its tables computed again."""
+    """Return the page with its tables worked out anew."""
 
     def replace(match: re.Match[str]) -> str:
         return match[1] + _writers[match[2]](slopes) + match[3]
@@ -86,7 +86,7 @@
 
 
 def show(value: float, digits: int = 3) -> str:
-    """Format a number with ``digits`` significant digits, or all before the point."""
+    """Show a number with so many significant digits, more before the point."""
     if not value:
         return "0"
     if abs(value) < SMALLEST:
@@ -129,7 +129,7 @@
 
 @table("sizes")
 def write_sizes(slopes: Slopes) -> str:
-    """Write the assumptions about each deployment."""
+    """Write what is assumed of each deployment."""
     rows = [
         [s.name, s.zones, s.daemons, s.workers, s.tasks, s.starts, s.changes, s.ledgers]
         for s in sizing.SCALES
@@ -140,14 +140,14 @@
 
 def _write_roles(slopes: Slopes, scale: Scale) -> str:
     roles = sizing.work_out(slopes, scale)
-    each, per_ledger = 1 / scale.daemons, 1 / scale.ledgers
+    each, kept = 1 / scale.daemons, 1 / scale.ledgers
     labels = {
         "peer": f"peer, idle: {scale.zones} zones",
         "workers": f"worker owner: {show(scale.workers * each)} workers",
         "tasks": f"worker owner: {show(scale.tasks * each)} tasks running",
         "starts": f"worker owner: {show(scale.starts * each)} starts/s",
-        "kept_tasks": f"ledger keeper: {show(scale.tasks * per_ledger)} tasks",
-        "kept_starts": f"ledger keeper: {show(scale.starts * per_ledger)} starts/s",
+        "kept_tasks": f"ledger keeper: {show(scale.tasks * kept)} tasks",
+        "kept_starts": f"ledger keeper: {show(scale.starts * kept)} starts/s",
         "watcher": f"configuration watcher: {scale.changes:.0f} changes a day",
         "follower": f"configuration, others: {scale.changes:.0f} changes a day",
         "writer": f"entry of operators: all {scale.changes:.0f} changes a day",
@@ -164,12 +164,7 @@
     sums = [
         ["sum: owner of workers, idle", "", *_list_cost(roles.idle), ""],
         ["sum: owner of workers, peak", "", *_list_cost(roles.owner), ""],
-        [
-            "sum: owner that keeps a ledger, peak",
-            "",
-            *_list_cost(roles.ledger_owner),
-            "",
-        ],
+        ["sum: owner that keeps a ledger, peak", "", *_list_cost(roles.keeper), ""],
     ]
     head = ("role and its load", "state", *_COST_HEAD, "carried by")
     return lay_out(head, rows + sums)
@@ -195,7 +190,7 @@
 
 @table("requests")
 def write_requests(slopes: Slopes) -> str:
-    """Write the cost of a request, which is no control traffic."""
+    """Write what a request costs; it isn't control."""
     rows = []
     for role in ("entry", "owner"):
         cost = slopes.measure_growth("requests", role)
@@ -207,7 +202,7 @@
 
 @table("budget")
 def write_budget(slopes: Slopes) -> str:
-    """Write which figures are within the budget and which exceed it."""
+    """Write what is within the budget and what is over it."""
     imports = slopes.figures["imports MB"]["daemon"]
     rows = []
     for scale in sizing.SCALES:
@@ -215,16 +210,16 @@
         for label, cost in (
             ("idle", roles.idle),
             ("peak", roles.owner),
-            ("peak, keeps a ledger", roles.ledger_owner),
+            ("peak, keeps a ledger", roles.keeper),
         ):
             control = cost.memory - imports
             rows.append(
                 [
                     f"{scale.name}, {label}",
-                    _compare_with_budget(cost.processor / 10, PROCESSOR_BUDGET / 10),
-                    _compare_with_budget(control, MEMORY_BUDGET),
-                    _compare_with_budget(cost.memory, MEMORY_BUDGET),
-                    _compare_with_budget(cost.all_bytes / 1000, BYTES_BUDGET / 1000),
+                    _judge(cost.processor / 10, PROCESSOR_BUDGET / 10),
+                    _judge(control, MEMORY_BUDGET),
+                    _judge(cost.memory, MEMORY_BUDGET),
+                    _judge(cost.all_bytes / 1000, BYTES_BUDGET / 1000),
                 ]
             )
     head = (
@@ -237,7 +232,7 @@
     return lay_out(head, rows)
 
 
-def _compare_with_budget(value: float, budget: float) -> str:
+def _judge(value: float, budget: float) -> str:
     if value <= budget:
         return show(value)
     return f"**{show(value)}**, over: {show(value / budget, 2)} times"
@@ -245,7 +240,7 @@
 
 @table("imports")
 def write_imports(slopes: Slopes) -> str:
-    """Write the memory of imports, each after those before it."""
+    """Write what imports alone take, each after those before it."""
     rows = []
     last = 0.0
     for name, size in slopes.figures["imports MB"].items():
@@ -257,7 +252,7 @@
 
 @table("store")
 def write_store(slopes: Slopes) -> str:
-    """Write the calls to the store."""
+    """Write the store's calls."""
     rows = []
     for scale in sizing.SCALES:
         calls = sizing.count_store_calls(slopes, scale)
@@ -267,10 +262,10 @@
                 calls.renewals,
                 calls.task_writes,
                 calls.change_writes,
-                _compare_with_budget(calls.writes, WRITES_LIMIT),
+                _judge(calls.writes, WRITES_LIMIT),
                 calls.refreshes,
                 calls.waiting,
-                _compare_with_budget(calls.reads, READS_LIMIT),
+                _judge(calls.reads, READS_LIMIT),
             ]
         )
     head = ("calls a second", "lease renewals", "ledger writes", "configuration writes")
@@ -313,19 +308,19 @@
 
 @table("whole")
 def write_whole(slopes: Slopes) -> str:
-    """Compare measurements of a whole fleet with the predictions of the slopes."""
+    """Compare a whole fleet as measured with what the slopes foretell."""
     rows = []
     for state, found in slopes.figures["whole"].items():
         if not isinstance(found, dict):
             continue
-        predicted = _predict(slopes, found)
+        foretold = _foretell(slopes, found)
         for figure, value in (
-            ("processor ms", predicted.processor),
-            ("resident MB", predicted.memory),
-            ("peer_messages out", predicted.messages),
-            ("peer_bytes in", predicted.peer_bytes / 2),
-            ("platform bytes", predicted.platform_bytes),
-            ("worker bytes", predicted.worker_bytes),
+            ("processor ms", foretold.processor),
+            ("resident MB", foretold.memory),
+            ("peer_messages out", foretold.messages),
+            ("peer_bytes in", foretold.peer_bytes / 2),
+            ("platform bytes", foretold.platform_bytes),
+            ("worker bytes", foretold.worker_bytes),
         ):
             measured = found["figures"].get(figure, {"average": 0.0, "highest": 0.0})
             average, highest = float(measured["average"]), float(measured["highest"])
@@ -336,16 +331,16 @@
     return lay_out((*head, "measured, average", "measured, highest"), rows)
 
 
-def _predict(slopes: Slopes, found: dict[str, Any]) -> Cost:
-    """Return the predicted usage of the average daemon of a measured fleet."""
+def _foretell(slopes: Slopes, found: dict[str, Any]) -> Cost:
+    """Return what the average daemon of a measured fleet should spend."""
     starts = found["figures"].get("task starts", {"average": 0.0})["average"]
     daemons = found["daemons"]
     scale = sizing.TARGET._replace(
         daemons=daemons, tasks=found["running"], starts=starts * daemons, changes=0
     )
     roles = sizing.work_out(slopes, scale)
-    ledger_cost = roles.kept_tasks.plus(roles.kept_starts)
-    return roles.owner.plus(ledger_cost.times(scale.ledgers / daemons))
+    kept = roles.kept_tasks.plus(roles.kept_starts)
+    return roles.owner.plus(kept.times(scale.ledgers / daemons))
 
 
 @table("growth")
@@ -372,7 +367,7 @@
 
 @table("failures")
 def write_failures(slopes: Slopes) -> str:
-    """Write the measured effects of failures."""
+    """Write what failures set off, as measured."""
     rows = []
     for label, found in slopes.figures["failures"]["scenes"].items():
         if "seconds" not in found:
@@ -388,11 +383,11 @@
 def write_limit(slopes: Slopes) -> str:
     """Write what happens when the store refuses calls."""
     found = slopes.figures["failures"]["scenes"]
-    limits = next(figures for figures in found.values() if "limit" in figures)
-    free, limited = limits["without limit"], limits["with limit"]
+    tight = next(scene for scene in found.values() if "limit" in scene)
+    free, limited = tight["without limit"], tight["with limit"]
     rows = [
         [name, float(free.get(name, 0)), float(limited.get(name, 0))]
         for name in sorted({*free, *limited})
     ]
-    head = ("a second, all daemons", "no limit", f"{limits['limit']} calls/s let in")
+    head = ("a second, all daemons", "no limit", f"{tight['limit']} calls/s let in")
     return lay_out(head, rows)
--- a/benchmarks/passes.py
+++ b/benchmarks/passes.py
@@ -1,8 +1,8 @@
-"""Cost of a decision of the pools' dispatcher, by the number of workers.
+"""What a decision of the pools' dispatcher costs, by the number of workers.
 
-The pool is full and fifty steps wait, as at the peak load of an owner: each run that
-ends frees capacity for one start. Measured is the processor time from the end to the
-order, without the cost of calls to workers.
+A full pool with fifty steps waiting, as an owner at its peak has: each run that ends
+makes room for one start. Measured is the processor time from the end to the order,
+without what calls to workers cost.
 """
 
 import asyncio
@@ -37,24 +37,14 @@
 DECISIONS = 400
 # A decision is one of so many that a worker's end makes possible for any step.
 CONSENT_EVERY = 3
-WORKER_SIZE = Size(16_000, 64_000, 0)
+ROOM = Size(16_000, 64_000, 0)
 TASK = Size(4_000, 4_000, 0)
 BOUNDS = PoolBounds(
     timedelta(seconds=6), timedelta(seconds=1), timedelta(seconds=6), timedelta(120)
 )
-ADVISOR_TIMING = AdvisorTiming(
-    timedelta(milliseconds=20), timedelta(), timedelta(seconds=3600)
-)
+TERMS = AdvisorTiming(timedelta(milliseconds=20), timedelta(), timedelta(seconds=3600))
 QUEUE = Queue(
-    "quick",
-    "a.example",
-    "/quick/",
-    "hub",
-    0,
-    3,
-    3.0,
-    timedelta(seconds=9),
-    ADVISOR_TIMING,
+    "quick", "a.example", "/quick/", "hub", 0, 3, 3.0, timedelta(seconds=9), TERMS
 )
 
 
@@ -75,7 +65,7 @@
 
 
 class _Owner:
-    """The part of an owner that the dispatcher needs."""
+    """As much of an owner as the dispatcher asks for."""
 
     def __init__(self) -> None:
         self.term = OwnerTerm(1, 1, 1, None)
@@ -97,15 +87,15 @@
         return max(task.attempt for task in tasks) + 1
 
     def charge(self, run: Run) -> None:
-        """Count a run that uses capacity."""
+        """Count a run that takes room."""
         self.account_limits.charge(run)
 
     def release(self, run: Run) -> None:
-        """Stop counting a run."""
+        """Count a run no longer."""
         self.account_limits.release(run)
 
     def record_running(self, run: Run) -> None:
-        """Do nothing."""
+        """Nothing follows from it here."""
 
 
 async def _measure(workers: int, decisions: int) -> dict[str, float]:
@@ -129,12 +119,12 @@
         dispatcher._pass()
         run = running[number * 7 % len(running)]
         contact = owner.contacts[run.worker]
-        started_at = time.perf_counter()
+        began = time.perf_counter()
         contact.remove_run(run)
         dispatcher.record_end(contact, run.task, _end(run), run)
         dispatcher.handle_freed_capacity(contact)
         dispatcher._pass()
-        costs.append(1e6 * (time.perf_counter() - started_at))
+        costs.append(1e6 * (time.perf_counter() - began))
         await asyncio.sleep(0)
         placed = next(iter(run for run in contact.runs.values() if run.worker), run)
         running[number * 7 % len(running)] = placed
@@ -146,12 +136,7 @@
 
 def _add(owner: _Owner, clock: SystemClock, number: int) -> WorkerContact:
     info = PoolWorker(
-        f"w{number}",
-        "hub",
-        f"10.0.0.1:{number}",
-        f"z{number % 5}",
-        WORKER_SIZE,
-        frozenset(),
+        f"w{number}", "hub", f"10.0.0.1:{number}", f"z{number % 5}", ROOM, frozenset()
     )
     term, times = owner.term, derive_times(BOUNDS)
     contact = WorkerContact(
@@ -165,8 +150,8 @@
 
 
 def _fill(contact: WorkerContact) -> list[Run]:
-    """Fill the worker with tasks of other jobs."""
-    count = WORKER_SIZE.millicores // TASK.millicores
+    """Let other jobs' tasks take all the room."""
+    count = ROOM.millicores // TASK.millicores
     tasks = _build(f"full-{contact.info.identifier}", count).occurrences[0][0].tasks
     runs = []
     for task in tasks:
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,4 +1,4 @@
-"""Measures placement of recorded arrivals: ours, a naive one and a bound."""
+"""Measures placement over recorded arrivals: ours, naive and a bound, in one run."""
 
 import gc
 import time
@@ -26,7 +26,7 @@
 def run(quick: bool) -> Figures:
     """Replay all mixes.
 
-    :param quick: whether to replay a shorter time of each mix.
+    :param quick: a shorter time of each mix.
     """
     factor = 0.25 if quick else 1.0
     figures: Figures = {}
@@ -77,15 +77,15 @@
         for done, most in zip(cell.delivered, bound, strict=True)
     ]  # fmt: skip
     binding = max(range(3), key=lambda index: _find_load(mix, index))
-    contended_time = cell.contended_time
+    stretch = cell.stretch
     figures: Figures = {
         "delivered": shares[binding],
         "delivered_by_dimension": shares,
-        "packing": _divide(contended_time.binding, contended_time.time),
+        "packing": _divide(stretch.binding, stretch.time),
         "packing_by_dimension": [
-            _divide(share, contended_time.time) for share in contended_time.shares
+            _divide(share, stretch.time) for share in stretch.shares
         ],
-        "time_with_work_waiting_s": round(contended_time.time),
+        "time_with_work_waiting_s": round(stretch.time),
         "stranded_accelerators": _divide(sum(cell.stranded), len(cell.stranded)),
         "lost_core_seconds": round(cell.lost),
         "counts": dict(cell.counts),
@@ -107,8 +107,8 @@
         figures["refused_by_owners"] = _divide(placer.refused, placer.asked)
     return figures | {
         "decisions": len(times),
-        "decisions_per_s": round(len(times) / policy.processor_seconds),
-        "decision_us": round(1e6 * policy.processor_seconds / len(times), 1),
+        "decisions_per_s": round(len(times) / policy.spent),
+        "decision_us": round(1e6 * policy.spent / len(times), 1),
         "decision_p50_us": round(1e6 * _quantile(times, 0.5), 1),
         "decision_p99_us": round(1e6 * _quantile(times, 0.99), 1),
         "running_at_end": policy.accounts.totals.tasks,
--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -1,4 +1,4 @@
-"""Bytes and processor time of calls to the platform over loopback."""
+"""Bytes and processor time of calls to the platform, over loopback."""
 
 import asyncio
 import time
@@ -29,7 +29,7 @@
 
 
 class CountingRelay:
-    """Forwards bytes to an address and counts them."""
+    """Passes bytes on to an address and counts them."""
 
     def __init__(self, address: str) -> None:
         self._address = address
@@ -86,10 +86,10 @@
 async def measure_time(call: Call, count: int) -> float:
     """Return the processor time of one call, both sides, in microseconds."""
     await call()
-    started_at = time.process_time()
+    begin = time.process_time()
     for _ in range(count):
         await call()
-    return round((time.process_time() - started_at) / count * 1e6, 1)
+    return round((time.process_time() - begin) / count * 1e6, 1)
 
 
 async def measure_store(platform: Platform, count: int) -> dict[str, Any]:
@@ -151,7 +151,7 @@
 
 
 async def measure_fleet(platform: Platform, count: int) -> dict[str, float]:
-    """Measure the cost of an unchanged list while an instance is leaving."""
+    """Measure what an unchanged list costs while an instance is leaving."""
     instances = platform.instances.connect(CLIENT)
     fleet = Fleet(instances, platform.clock)
     platform.leave("target-000")
@@ -159,14 +159,14 @@
 
 
 async def measure(count: int) -> dict[str, Any]:
-    """Run all measurements on one platform."""
+    """Measure everything over one platform."""
     platform = build_platform(SystemClock())
-    started_at = time.process_time()
+    begin = time.process_time()
     await platform.serve()
     figures: dict[str, Any] = {
         "listeners": {
             "count": WORKERS + TARGETS + 1,
-            "start ms": round((time.process_time() - started_at) * 1e3, 1),
+            "start ms": round((time.process_time() - begin) * 1e3, 1),
         },
         **await measure_store(platform, count),
         **await measure_parts(platform, count),
@@ -179,6 +179,6 @@
 def run(quick: bool = False) -> dict[str, Any]:
     """Run all measurements.
 
-    :param quick: whether to make fewer repetitions.
+    :param quick: fewer repetitions.
     """
     return asyncio.run(measure(100 if quick else 1000))
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,4 +1,4 @@
-"""The whole policy for the replay: queue, placement, preemption and gangs."""
+"""The whole policy under the replay: queue, placement, preemption and gangs."""
 
 import time
 from collections import deque
@@ -36,7 +36,7 @@
 
 
 class CellClock:
-    """A read-only clock of a cell."""
+    """The clock of a cell, for those who only read it."""
 
     def __init__(self, cell: Cell) -> None:
         self._cell = cell
@@ -49,7 +49,7 @@
 class Policy:
     """One decider that sees all workers.
 
-    :param processor_seconds: used by the policy.
+    :param spent: processor seconds used by the policy.
     :param decisions: processor seconds of each decision about a task or gang.
     """
 
@@ -83,7 +83,7 @@
             self.accounts, clock, self._estimate, self.placer.find_refusal
         )
         self.placer.add_filter("planned", self.backfill.prepare)
-        self.processor_seconds = 0.0
+        self.spent = 0.0
         self.decisions: list[float] = []
         self._tasks = cell.tasks
         self._jobs: dict[str, deque[Task]] = {}
@@ -95,15 +95,15 @@
         started = time.perf_counter()
         arrival = tasks[0].arrival
         self._push(arrival.job, tasks)
-        self.processor_seconds += time.perf_counter() - started
+        self.spent += time.perf_counter() - started
 
     def end(self, cell: Cell, task: Task, has_failed: bool) -> None:
-        """Free the capacity of a task, and queue the task if it has to run again."""
+        """Free what a task held and queue it again if it has to run again."""
         started = time.perf_counter()
         self.accounts.release(task.name)
-        self._record_preemption(task.name)
-        self._record_run_time(cell, task)
-        self._record_quarantine(task, has_failed)
+        self._note_cleared(task.name)
+        self._note_run_time(cell, task)
+        self._note_quarantine(task, has_failed)
         rank = RANKS[task.arrival.urgency]
         self.quotas.release(task.arrival.team, task.size, rank)
         if has_failed:
@@ -111,7 +111,7 @@
         self.queue.unblock_fitting(self.accounts.workers[task.worker].free)
         if task.state == "waiting":
             self._push(task.name, [task])
-        self.processor_seconds += time.perf_counter() - started
+        self.spent += time.perf_counter() - started
 
     def step(self, cell: Cell) -> None:
         """Decide about waiting jobs until nothing more fits."""
@@ -119,7 +119,7 @@
         self._start_cleared(cell)
         self._start_planned(cell)
         self._pass_over(cell)
-        self.processor_seconds += time.perf_counter() - started
+        self.spent += time.perf_counter() - started
 
     def _pass_over(self, cell: Cell) -> None:
         turn = Pass(self.queue)
@@ -156,14 +156,14 @@
             cell.stop(cell.tasks[name])
         return True
 
-    def _record_preemption(self, name: str) -> None:
+    def _note_cleared(self, name: str) -> None:
         self.preemptor.record_end(name)
         job_name = self._clearing.pop(name, None)
         if job_name in self._cleared:
             self._cleared[job_name][1].discard(name)
 
     def _start_cleared(self, cell: Cell) -> None:
-        """Start the tasks whose victims have all ended."""
+        """Start the tasks whose victims are all gone."""
         ready = [job for job, names in self._cleared.values() if not names]
         for job in ready:
             del self._cleared[job.name]
@@ -177,12 +177,12 @@
                 for task in islice(self._jobs[job.name], job.offered):
                     self.preemptor.drop_claim(task.name)
 
-    def _record_run_time(self, cell: Cell, task: Task) -> None:
+    def _note_run_time(self, cell: Cell, task: Task) -> None:
         is_whole = task.state == "completed" and task.left == task.arrival.run_time
         run_time = cell.now - task.started if is_whole else None
         self.estimates.observe_end(task.arrival.workload, task.name, run_time)
 
-    def _record_quarantine(self, task: Task, has_failed: bool) -> None:
+    def _note_quarantine(self, task: Task, has_failed: bool) -> None:
         succeeded = False if has_failed else task.state == "completed" or None
         arrival = task.arrival
         self.quarantine.record_end(
@@ -205,7 +205,7 @@
         )
 
     def _start_planned(self, cell: Cell) -> None:
-        """Start the planned job as soon as it fits."""
+        """Start the job that room is planned for as soon as it fits."""
         self.backfill.refresh()
         plan = self.backfill.plan
         if plan is None or plan.start > cell.now:
@@ -234,7 +234,7 @@
         return placed
 
     def _place(self, need: TaskNeed) -> str | InsufficientCapacity | Impossible:
-        """Reserve capacity for a task, preferably where tasks were preempted for it."""
+        """Reserve room for a task, where it was cleared for it, or elsewhere."""
         claimed = self.preemptor.find_claim(need.task)
         if claimed and isinstance(self.accounts.reserve(need, claimed), Reserved):
             return claimed
@@ -254,7 +254,7 @@
             cell.start(cell.tasks[name], worker)
 
     def _plan(self, cell: Cell, job: WaitingJob) -> None:
-        """Plan the start of a job that needs much at once, if none is planned."""
+        """Plan room for a job that needs much at once, if none is planned."""
         if self.backfill.plan is not None:
             return
         tasks = islice(self._jobs[job.name], job.offered)
--- a/benchmarks/pool.py
+++ b/benchmarks/pool.py
@@ -1,4 +1,4 @@
-"""Waiting and fairness of a queue for one pool of resources, without placement."""
+"""Waiting and fairness of a queue over one pool of resources, without placement."""
 
 import heapq
 import math
@@ -18,7 +18,7 @@
 
 TEAMS = 120
 CAPACITY = Size(4_000_000, 16_000_000, 200)
-# Share of the jobs, and minimum and maximum run time in seconds, of each class.
+# Share of the jobs, and least and most run time in seconds, of each class.
 CLASSES = {
     Urgency.URGENT: (0.35, 1, 5),
     Urgency.HIGH: (0.15, 5, 30),
@@ -28,26 +28,26 @@
 
 
 class PoolJob(NamedTuple):
-    """A job with its run time, which only the benchmark knows."""
+    """A job with the run time that only the benchmark knows."""
 
     waiting: WaitingJob
     run_time: timedelta
 
 
 class Pool:
-    """The environment of a queue: the time and the free capacity."""
+    """A queue's surroundings: the time, and the room that is left."""
 
     def __init__(self, capacity: Size = CAPACITY) -> None:
         self.now = timedelta()
         self.capacity = capacity
-        self.free = capacity
+        self.room = capacity
         self.running: list[tuple[timedelta, int, PoolJob]] = []
         self.use: dict[str, Size] = {}
         self.waits: dict[Urgency, list[float]] = {urgency: [] for urgency in Urgency}
         self._order = 0
 
     def monotonic(self) -> timedelta:
-        """Return the time, as a clock does."""
+        """Return the time, for those who take a clock."""
         return self.now
 
     def start(self, job: PoolJob) -> None:
@@ -56,7 +56,7 @@
         self._order += 1
         end = self.now + job.run_time
         heapq.heappush(self.running, (end, self._order, job))
-        self.free = subtract_sizes(self.free, waiting.size)
+        self.room = subtract_sizes(self.room, waiting.size)
         used = self.use.get(waiting.team, Size())
         self.use[waiting.team] = add_sizes(used, waiting.size)
         wait = (self.now - waiting.submitted).total_seconds()
@@ -66,30 +66,30 @@
         """End the job that ends next."""
         job = heapq.heappop(self.running)[2]
         size = job.waiting.size
-        self.free = add_sizes(self.free, size)
+        self.room = add_sizes(self.room, size)
         used = self.use[job.waiting.team]
         self.use[job.waiting.team] = subtract_sizes(used, size)
         return job
 
 
 class PoolQueue(Protocol):
-    """A queue that is compared."""
+    """What is compared."""
 
     def push(self, job: PoolJob) -> None:
         """Let a job wait."""
 
     def end(self, job: PoolJob) -> None:
-        """Handle the end of a job."""
+        """Note that a job has ended."""
 
     def step(self, pool: Pool) -> None:
-        """Start the jobs that fit."""
+        """Start what there is room for."""
 
     def list_waiting(self) -> Iterator[WaitingJob]:
         """Yield the jobs that wait."""
 
 
 class ArrivalOrder:
-    """Starts jobs in order of arrival; the first one waits for capacity."""
+    """Starts jobs in order of arrival; the first one waits for room."""
 
     def __init__(self, pool: Pool, quotas: Quotas) -> None:
         self._jobs: deque[PoolJob] = deque()
@@ -102,8 +102,8 @@
         """Do nothing."""
 
     def step(self, pool: Pool) -> None:
-        """Start the first jobs while they fit."""
-        while self._jobs and fits(self._jobs[0].waiting.size, pool.free):
+        """Start the first jobs as long as they fit."""
+        while self._jobs and fits(self._jobs[0].waiting.size, pool.room):
             pool.start(self._jobs.popleft())
 
     def list_waiting(self) -> Iterator[WaitingJob]:
@@ -125,16 +125,16 @@
         self._queue.push(job.waiting)
 
     def end(self, job: PoolJob) -> None:
-        """Release the capacity that the job used."""
+        """Give back what the job used."""
         waiting = job.waiting
         self._quotas.release(waiting.team, waiting.need, RANKS[waiting.urgency])
 
     def step(self, pool: Pool) -> None:
         """Make one pass."""
-        self._queue.unblock_fitting(pool.free)
+        self._queue.unblock_fitting(pool.room)
         offers = Pass(self._queue)
         while (waiting := offers.next()) is not None:
-            if fits(waiting.size, pool.free):
+            if fits(waiting.size, pool.room):
                 offers.take(waiting)
                 pool.start(self._jobs.pop(waiting.name))
             else:
@@ -158,10 +158,10 @@
 def make_jobs(
     seed: int, duration: float, load: float, one_class: bool
 ) -> list[PoolJob]:
-    """Draw jobs of teams whose requests differ widely.
+    """Draw jobs of teams that ask for very different amounts.
 
-    :param load: arriving work, as a share of the capacity of the pool.
-    :param one_class: whether all jobs get the class ``normal``.
+    :param load: work that arrives, as a share of what the pool can do.
+    :param one_class: give all jobs the class ``normal``.
     """
     rng = random.Random(seed)
     jobs, time, number = [], 0.0, 0
@@ -184,7 +184,7 @@
 
 
 class Service:
-    """The share of each team, compared with a max-min fair allocation.
+    """What each team got, against what filling up all evenly would give it.
 
     :param greatest_lack: of any team at any time, as a share of the capacity.
     """
@@ -196,7 +196,7 @@
         self._got: dict[str, float] = {}
 
     def sample(self, pool: Pool, queue: PoolQueue) -> None:
-        """Compare the current dominant shares of all teams with their fair shares."""
+        """Compare the dominant shares of all teams with their fair ones now."""
         demand = dict(pool.use)
         for job in queue.list_waiting():
             demand[job.team] = add_sizes(demand.get(job.team, Size()), job.size)
@@ -209,12 +209,12 @@
             self.greatest_lack = max(self.greatest_lack, due - got)
 
     def list_shares(self) -> list[float]:
-        """List the part of its fair share that each team got over time, sorted."""
+        """List which part of its fair share each team got over time, sorted."""
         return sorted(self._got[team] / due for team, due in self._due.items() if due)
 
 
 def replay(jobs: list[PoolJob], pool: Pool, queue: PoolQueue, service: Service) -> None:
-    """Run all arrivals; jobs that still wait at the end count with their waits."""
+    """Run all arrivals, then count those that still wait as having waited."""
     sample = timedelta(seconds=60)
     end = jobs[-1].waiting.submitted
     arrivals = iter(jobs)
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -1,4 +1,4 @@
-"""Measures quarantine: time to isolate failing workers, and false positives."""
+"""Measures quarantine: how soon failing workers are held, and good ones by mistake."""
 
 import heapq
 import random
@@ -12,7 +12,7 @@
 
 Figures = dict[str, Any]
 SEED = 1
-# A failing worker ends every task at once, so it has free capacity more often.
+# A failing worker ends everything at once, so it has room more often.
 DRAW = 6
 RUN_TIME = (20, 120)
 
@@ -20,8 +20,8 @@
 class Cell:
     """Workers that get random tasks of random workloads.
 
-    :param failing: number of workers that fail every task.
-    :param broken: number of workloads that fail on every worker.
+    :param failing: how many workers fail whatever they start.
+    :param broken: how many workloads fail wherever they run.
     """
 
     def __init__(self, workers: int, failing: int, loads: int, broken: int) -> None:
@@ -42,15 +42,15 @@
     def run(self, duration: int, rate: int) -> Figures:
         """Start ``rate`` tasks a second for ``duration`` seconds."""
         weights = [DRAW if name in self.failing else 1 for name in self.workers]
-        started_at = time.process_time()
+        began = time.process_time()
         for second in range(duration):
             self.clock.move(timedelta(seconds=1))
             self._end(second)
-            self._record_isolated(second)
+            self._note_held(second)
             for worker in self.rng.choices(self.workers, weights, k=rate):
                 if self.quarantine.may_start(worker, True):
                     self._start(second, worker)
-        processor_seconds = time.process_time() - started_at
+        spent = time.process_time() - began
         isolated = self.quarantine.isolated
         times = sorted(self.first_held.values())
         return {
@@ -62,7 +62,7 @@
             "cap": self.quarantine.cap,
             "starts": self.started,
             "starts_on_failing": self.wasted,
-            "us_per_task": round(1e6 * processor_seconds / self.started, 1),
+            "us_per_task": round(1e6 * spent / self.started, 1),
         }
 
     def _start(self, second: int, worker: str) -> None:
@@ -82,7 +82,7 @@
             task = f"task-{number}"
             self.quarantine.record_end(worker, load, task, task, ended_well)
 
-    def _record_isolated(self, second: int) -> None:
+    def _note_held(self, second: int) -> None:
         for worker in self.quarantine.isolated:
             if worker in self.failing:
                 self.first_held.setdefault(worker, second)
@@ -93,7 +93,7 @@
 def run(quick: bool) -> Figures:
     """Measure the target size and a cell of today.
 
-    :param quick: whether to simulate a shorter time.
+    :param quick: a shorter time.
     """
     duration = 200 if quick else 600
     figures: Figures = {}
--- a/benchmarks/queueing.py
+++ b/benchmarks/queueing.py
@@ -31,9 +31,9 @@
 
 
 def run(quick: bool) -> Figures:
-    """Run all measurements.
+    """Measure everything.
 
-    :param quick: whether to make shorter replays.
+    :param quick: shorter replays.
     """
     return {
         "operations": measure_operations(),
@@ -44,7 +44,7 @@
 
 
 def measure_operations() -> Figures:
-    """Measure single operations and the required waves of jobs."""
+    """Measure single operations and the waves of the brief."""
     figures: Figures = {}
     for count in (WAITING, CANCELLED):
         queue = JobQueue(Pool(), make_quotas(SEED))
@@ -80,7 +80,7 @@
         first = _time(lambda: _fail_all(queue))  # noqa: B023
         next_one = min(_time(lambda: _fail_all(queue)) for _ in range(20))  # noqa: B023
         queue.unblock_fitting(Size(2000, 4096, 0))
-        after_release = _time(lambda: _fail_all(queue))  # noqa: B023
+        after_room = _time(lambda: _fail_all(queue))  # noqa: B023
         queue.unblock_fitting(Size(1 << 40, 1 << 40, 1 << 20))
         _take_all(queue, WAITING)
         at_quota = min(_time(lambda: _take_all(queue, WAITING)) for _ in range(5))  # noqa: B023
@@ -92,7 +92,7 @@
         figures[f"{shapes}_shapes"] = {
             "first_full_pass_us": round(1e6 * first),
             "repeated_pass_us": round(1e6 * next_one),
-            "pass_after_room_us": round(1e6 * after_release),
+            "pass_after_room_us": round(1e6 * after_room),
             "pass_at_quota_us": round(1e6 * at_quota),
             "take_us": round(1e6 * taking / max(taken, 1), 1),
             "takes_per_s": round(taken / taking),
@@ -119,7 +119,7 @@
 
 
 def compare_fairness(duration: float) -> Figures:
-    """Compare the parts of their fair shares that teams get without binding quotas."""
+    """Compare what the teams got of their fair shares, without quotas that bind."""
     jobs = make_jobs(SEED, duration, 1.5, one_class=True)
     figures: Figures = {"teams": TEAMS, "jobs": len(jobs)}
     weights = {
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,4 +1,4 @@
-"""Measures a takeover: reads of the store, replay of the jobs, memory."""
+"""Measures a takeover: reading the store, replaying the jobs, memory."""
 
 import asyncio
 import gc
@@ -28,7 +28,7 @@
 def run(quick: bool) -> Figures:
     """Measure the takeover of one ledger with all jobs, and of one of four.
 
-    :param quick: whether to use only a tenth of the jobs.
+    :param quick: a tenth of the jobs.
     """
     share = 10 if quick else 1
     return {
@@ -38,9 +38,9 @@
 
 
 def measure_takeover(jobs: int, tasks: int) -> Figures:
-    """Fill a ledger, then open it as a new owner and rebuild the table.
+    """Fill a ledger, then open it as a new keeper and rebuild the table.
 
-    Calls and their latency are measured in virtual time, processing in real time.
+    Calls and their latency are counted in virtual time, work in real time.
     """
     store = run_virtual(_fill(jobs, tasks))
     size = sum(len(entry.value) for entry in store.list("ledger/").entries)
@@ -55,7 +55,7 @@
     begun = time.perf_counter()
     tuple(table.snapshot())
     taken = time.perf_counter() - begun
-    table, retained, peak = _measure_memory(store)
+    table, kept, peak = _measure_memory(store)
     running = sum(t.state is TaskState.RUNNING for t in table.tasks.values())
     assert (len(table.jobs), running) == (jobs, tasks), (len(table.jobs), running)
     return {
@@ -70,7 +70,7 @@
         "replaying ms": round(replayed * 1000, 1),
         "total s": round(waited.total_seconds() + read + replayed, 3),
         "taking a snapshot ms": round(taken * 1000, 1),
-        "kept MB": round(retained / 1e6, 1),
+        "kept MB": round(kept / 1e6, 1),
         "peak MB": round(peak / 1e6, 1),
     }
 
@@ -164,10 +164,10 @@
     tracemalloc.start()
     table = _replay(run_virtual(_open(store, EPOCH + 3)))
     gc.collect()
-    retained, peak = tracemalloc.get_traced_memory()
+    kept, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return table, retained, peak
+    return table, kept, peak
 
 
 def _ignore(records: tuple[bytes, ...]) -> None:
-    """Do nothing, as nothing is committed."""
+    """Take no part in commits."""
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -1,7 +1,7 @@
-"""Replays recorded arrivals against a scheduler in a discrete-event simulation.
+"""Replays recorded arrivals against a scheduler on a clock that jumps.
 
-A loop over arrivals and ends of tasks: it knows what is hidden from the scheduler
-(actual run times, failing workers) and sums waiting times and usage.
+A loop over arrivals and ends of tasks: it knows what the scheduler may not
+(real run times, failing workers) and adds up waiting time and use.
 """
 
 import heapq
@@ -46,7 +46,7 @@
         self.avoid: frozenset[str] = frozenset()
 
     def make_need(self, size: Size | None = None) -> TaskNeed:
-        """Make the description of the task for a scheduler."""
+        """Make what a scheduler is told of the task."""
         arrival = self.arrival
         is_service = arrival.type == "service"
         return TaskNeed(
@@ -63,25 +63,25 @@
 
 
 class Scheduler(Protocol):
-    """A scheduler that is measured.
+    """What is measured.
 
-    :param interval: minimum time between two calls of :meth:`step`.
+    :param interval: the least time between two calls of :meth:`step`.
     """
 
     interval: timedelta
 
     def submit(self, cell: "Cell", tasks: list[Task]) -> None:
-        """Queue the tasks of one job."""
+        """Take the tasks of one job."""
 
     def end(self, cell: "Cell", task: Task, has_failed: bool) -> None:
-        """Handle a task that no longer runs; it may wait again, see ``task.state``."""
+        """Note that a task no longer runs; ``task.state`` says whether it waits."""
 
     def step(self, cell: "Cell") -> None:
-        """Start and stop tasks through the methods of ``cell``."""
+        """Start and stop what should be, by the methods of ``cell``."""
 
 
-class ContendedTime(NamedTuple):
-    """Sums over the time in which work waited, in seconds."""
+class Stretch(NamedTuple):
+    """Sums over the time while work waited, in seconds."""
 
     time: float = 0.0
     binding: float = 0.0
@@ -91,9 +91,9 @@
 class Cell:
     """Runs tasks on the workers of a mix for a scheduler.
 
-    :param waits: by class, the wait of each task for its first start, or until the
-        end if it never started.
-    :param delivered: size times run time of useful work, by dimension.
+    :param waits: by class, how long each task waited for its first start; for
+        those that never started, until the end.
+    :param delivered: size times run time that was of use, by dimension.
     """
 
     def __init__(self, mix: Mix, scheduler: Scheduler | None = None) -> None:
@@ -105,11 +105,11 @@
         self.counts: Counter[str] = Counter()
         self.lost = 0.0
         self.delivered = [0.0, 0.0, 0.0]
-        self.contended_time = ContendedTime()
+        self.stretch = Stretch()
         self.stranded: list[float] = []
         self.scheduler = scheduler
         self._events: list[tuple[timedelta, int, Task, int]] = []
-        self._has_changes = False
+        self._has_news = False
         self._left = 0
         self._stepped = -TICK
         self._order = itertools.count()
@@ -131,7 +131,7 @@
             moment = min(moment, self.mix.duration, sample)
             if self.waiting:
                 moment = min(moment, self._stepped + TICK)
-            if self._has_changes:
+            if self._has_news:
                 moment = min(moment, self._stepped + self.scheduler.interval)
                 moment = max(moment, self.now)
             self._advance(moment)
@@ -163,7 +163,7 @@
         self._schedule(task, FAILURE_TIME if fails else task.left)
 
     def stop(self, task: Task) -> None:
-        """Stop a running task after a checkpoint, if it makes any."""
+        """Let a running task save its progress, if it can, and stop it."""
         if task.state != "running":
             return
         done = self.now - task.started
@@ -179,7 +179,7 @@
         self._schedule(task, CHECKPOINT_TIME if is_saved else STOP_TIME)
 
     def refuse(self, task: Task) -> None:
-        """Record that a task can never run according to the scheduler."""
+        """Note that the scheduler says that a task can never run."""
         task.state = "refused"
         self.waiting -= 1
         self.counts["refused"] += 1
@@ -196,18 +196,18 @@
         return sorted(waits)
 
     def _step(self) -> None:
-        """Let the scheduler decide if something has changed or its tick is due."""
+        """Let the scheduler decide, if something is new or its tick has come."""
         passed = self.now - self._stepped
-        is_due = self._has_changes and passed >= self.scheduler.interval
+        is_due = self._has_news and passed >= self.scheduler.interval
         if is_due or (self.waiting and passed >= TICK):
-            self._has_changes = False
+            self._has_news = False
             self._stepped = self.now
             self.scheduler.step(self)
             self._left = self.waiting
 
     def _submit(self, arrival: Arrival) -> None:
         tasks = [Task(arrival, number) for number in range(arrival.tasks)]
-        self._has_changes = True
+        self._has_news = True
         self.tasks.update((task.name, task) for task in tasks)
         self.waiting += len(tasks)
         self.scheduler.submit(self, tasks)
@@ -221,7 +221,7 @@
         while self._events and self._events[0][0] <= self.now:
             _, _, task, version = heapq.heappop(self._events)
             if version == task.version:
-                self._has_changes = True
+                self._has_news = True
                 self._end(task)
 
     def _end(self, task: Task) -> None:
@@ -269,18 +269,18 @@
             used / whole if whole else 0.0
             for used, whole in zip(self._used, self._capacity, strict=True)
         ]
-        contended_time = self.contended_time
-        self.contended_time = ContendedTime(
-            contended_time.time + duration,
-            contended_time.binding + duration * max(shares),
+        stretch = self.stretch
+        self.stretch = Stretch(
+            stretch.time + duration,
+            stretch.binding + duration * max(shares),
             tuple(
                 total + duration * share
-                for total, share in zip(contended_time.shares, shares, strict=True)
+                for total, share in zip(stretch.shares, shares, strict=True)
             ),
         )
 
     def _sample(self) -> None:
-        """Record the share of accelerators that are free but can't be used."""
+        """Note the share of accelerators that are free but can't be used."""
         if not self.waiting or not self._capacity[2]:
             return
         stranded = sum(
@@ -297,10 +297,10 @@
 
 
 def compute_fluid_bound(mix: Mix) -> list[float]:
-    """Return an upper bound of the work that can be delivered, by dimension.
+    """Return the most work that could be delivered, by dimension.
 
-    A relaxation: the healthy workers form one machine, work is divisible, each
-    dimension is considered alone, and a job may use the whole machine at a time.
+    A relaxation: the good workers are one, work is divisible, each dimension
+    is looked at alone, and a job may use as much at a time as there is.
     """
     end = mix.duration.total_seconds()
     good = [worker for worker in mix.workers if worker.name not in mix.failing]
--- a/benchmarks/requests.py
+++ b/benchmarks/requests.py
@@ -1,4 +1,4 @@
-"""Measures the request plane: ours, naive, direct and a single queue."""
+"""Measures the request plane: ours, naive, direct and a single queue, in one run."""
 
 import asyncio
 import time
@@ -32,7 +32,7 @@
 OVERLOAD = 3.0
 WARM_UP = 0.2
 
-# Seconds until overload is steady, and maximum delay of an immediate refusal.
+# Seconds until overload is steady, and within which a refusal comes at once.
 BUILD_UP = 1.0
 AT_ONCE = 0.01
 
@@ -40,7 +40,7 @@
 def run(quick: bool) -> Figures:
     """Measure waiting, overload and processor time.
 
-    :param quick: whether to replay fewer requests.
+    :param quick: fewer requests.
     """
     count = 10_000 if quick else 25_000
     figures: Figures = {"waiting_ms": {}, "decision_us": {}}
@@ -55,7 +55,7 @@
 
 
 def compare_waiting(load: float, count: int) -> tuple[Figures, Figures]:
-    """Replay one load with each router; waits count after the warm-up."""
+    """Replay one load with each router; waits count from the warm-up on."""
     arrivals = make_arrivals(load, count, SEED, timeout=30.0)
     late = arrivals[int(count * WARM_UP) :]
     ours, decisions = replay_ours(arrivals)
@@ -69,9 +69,7 @@
         "single_queue": summarize([single[a.name] * 1000 for a in late]),
         "fixed_shares": summarize([fixed[a.name] * 1000 for a in late]),
         "lent_credits": summarize([lent.waits[a.name] * 1000 for a in late]),
-        "lent_asks_per_request": round(
-            sum(e.borrow_requests for e in lent.lenders) / count, 3
-        ),
+        "lent_asks_per_request": round(sum(e.asks for e in lent.lenders) / count, 3),
         "messages_per_request": round(ours.calls["messages"] / count, 3),
         "naive_sends_per_request": round(naive.calls["sends"] / count, 3),
         "refused_by_targets": ours.calls["refused"],
@@ -86,7 +84,7 @@
 
 
 def compare_overload(count: int) -> Figures:
-    """Replay three times the load; the best goodput is that of all slots busy."""
+    """Replay three times the load; the best goodput is that of busy slots."""
     arrivals = make_arrivals(OVERLOAD, count, SEED)
     ours, _ = replay_ours(arrivals)
     naive = run_virtual(replay(arrivals, start_lazy))
@@ -113,7 +111,7 @@
 
 
 def count_steady(arrivals: list[Arrival], result: Run) -> int:
-    """Count the requests completed between the build-up and the last arrival."""
+    """Count what was completed between the build-up and the last arrival."""
     first, last = BUILD_UP, arrivals[-1].time
     return sum(
         isinstance(result.outcomes[a.name], Completed)
@@ -123,7 +121,7 @@
 
 
 def summarize_urgent(arrivals: list[Arrival], result: Run) -> Figures:
-    """Summarize waits of urgent requests; one that never ran waited until its end."""
+    """Summarize the waits of the urgent; who never ran waited all its time."""
     waits = [
         result.waits.get(a.name, a.timeout.total_seconds()) * 1000
         for a in arrivals
@@ -158,7 +156,7 @@
 
 
 def measure_processor(count: int) -> Figures:
-    """Measure the processor time per request at half load, with the simulation."""
+    """Measure processor time for a request at half load, simulation included."""
     arrivals = make_arrivals(0.5, count, SEED)
     deployed = Deployed()
 
@@ -169,8 +167,8 @@
     async def play_direct() -> None:
         await replay(arrivals, start_direct)
 
-    ours = measure_processor_seconds(play_ours) / count
-    direct = measure_processor_seconds(play_direct) / count
+    ours = spend(play_ours) / count
+    direct = spend(play_direct) / count
     return {
         "ours_us_per_request": round(ours * 1e6, 1),
         "direct_us_per_request": round(direct * 1e6, 1),
@@ -180,7 +178,7 @@
 
 
 def measure_latency(count: int) -> Figures:
-    """Measure in real time the latency that an entry adds at its part of half load."""
+    """Measure in real time what one entry adds at its share of half load."""
     load = 0.5 / (NAIROBI.zones * NAIROBI.entries)
     arrivals = make_arrivals(load, count, SEED)
     deployed = Deployed()
@@ -204,7 +202,7 @@
     }
 
 
-def measure_processor_seconds(play: Callable[[], Any]) -> float:
+def spend(play: Callable[[], Any]) -> float:
     """Return the processor seconds of a run."""
     start = time.process_time()
     run_virtual(play())
@@ -224,7 +222,7 @@
 
 
 def divide(value: float, other: float) -> float | None:
-    """Return a ratio, ``None`` if there is nothing to compare with.
+    """Return a ratio, or nothing where there is nothing to compare with.
 
     A run that ends within its build-up has no steady time, so no best goodput.
     """
--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -43,7 +43,7 @@
     """A request of the workload.
 
     :param time: seconds from the start.
-    :param duration: seconds that it takes in any slot.
+    :param duration: seconds that it takes in a slot, wherever it runs.
     """
 
     name: str
@@ -56,7 +56,7 @@
 
 
 class Run(NamedTuple):
-    """The results of a workload.
+    """What became of a workload.
 
     :param waits: seconds from arrival to the start in a slot, by request.
     :param calls: sends to targets, and messages between daemons.
@@ -76,16 +76,16 @@
 
 
 def compute_capacity() -> float:
-    """Return the number of requests that all slots complete per second."""
+    """Return how many requests all slots complete in a second."""
     return NAIROBI.zones * NAIROBI.targets * NAIROBI.slots / MEAN_TIME
 
 
 def make_arrivals(
     load: float, count: int, seed: int, timeout: float = 1.0
 ) -> list[Arrival]:
-    """Draw Poisson arrivals with exponential service times.
+    """Draw Poisson arrivals with exponential times in a slot.
 
-    :param load: share of the capacity of all slots.
+    :param load: share of what all slots can do.
     """
     source = Random(seed)
     rate = load * compute_capacity()
@@ -117,7 +117,7 @@
         self.calls: Counter[str] = Counter()
 
     def connect(self, zone: str) -> "TargetsOfZone":
-        """Return the port to all targets from one availability zone."""
+        """Return the way to all targets from one availability zone."""
         return TargetsOfZone(self, zone)
 
 
@@ -152,12 +152,12 @@
     async def probe(
         self, target: Instance, timeout: timedelta
     ) -> Written | Rejected | Lost:
-        """Report the target as alive."""
+        """Tell that the target lives."""
         return Written(0)
 
 
 class Deployed:
-    """Starts our routers, and stops them afterwards."""
+    """Starts our routers; may be asked for them afterwards."""
 
     def __init__(self) -> None:
         self.deployment: RequestDeployment | None = None
@@ -174,7 +174,7 @@
         return list(deployment.routers.values())
 
     def stop(self) -> Counter[str]:
-        """Stop the routers; return the number of messages they exchanged."""
+        """End the routers' loops; returns how many messages they exchanged."""
         if self.deployment is None:
             return Counter()
         for name in self.deployment.routers:
@@ -188,7 +188,7 @@
 
 
 async def start_lazy(targets: SimulatedTargets) -> list[RequestHandler]:
-    """Return naive routers that retry less often, as overload would take hours."""
+    """Return naive routers that try less often, as overload would take hours."""
     return make_naive(targets, LAZY_PAUSE)
 
 
@@ -206,7 +206,7 @@
 
 
 async def start_direct(targets: SimulatedTargets) -> list[RequestHandler]:
-    """Return handlers that only send to a target of their zone."""
+    """Return handlers that do nothing but send to a target of their zone."""
     deployment = RequestDeployment(LoopClock(), NAIROBI)
     return [
         DirectPath(
@@ -225,7 +225,7 @@
         self._targets = targets
 
     async def handle_request(self, request: ServiceRequest) -> Outcome:
-        """Send a request and return its outcome."""
+        """Send a request and return what came back."""
         call = TargetCall(request.identifier, 1, request.body)
         answer = await self._targets.send(next(self._instances), call, request.timeout)
         if isinstance(answer, TargetAnswer):
@@ -238,10 +238,10 @@
     targets = SimulatedTargets(arrivals)
     handlers = await start(targets)
     loop = asyncio.get_running_loop()
-    started_at = loop.time()
+    begin = loop.time()
     run = Run({}, {}, {}, targets.calls)
 
-    async def send_request(arrival: Arrival) -> None:
+    async def ask(arrival: Arrival) -> None:
         request = ServiceRequest(
             arrival.name,
             SERVICE,
@@ -260,8 +260,8 @@
 
     tasks = []
     for arrival in arrivals:
-        await asyncio.sleep(started_at + arrival.time - loop.time())
-        tasks.append(asyncio.ensure_future(send_request(arrival)))
+        await asyncio.sleep(begin + arrival.time - loop.time())
+        tasks.append(asyncio.ensure_future(ask(arrival)))
     await asyncio.gather(*tasks)
     return run
 
@@ -279,7 +279,7 @@
 
 
 def count_completed(run: Run, accepts: Callable[[str], bool]) -> int:
-    """Count the completed requests among those that ``accepts`` selects."""
+    """Count the requests that were completed, of those that ``accepts`` names."""
     return sum(
         isinstance(outcome, Completed) and accepts(name)
         for name, outcome in run.outcomes.items()
--- a/benchmarks/sizing.py
+++ b/benchmarks/sizing.py
@@ -1,4 +1,4 @@
-"""Computes the usage of daemons at a given size from measured slopes."""
+"""Works out from measured slopes what daemons spend at a given size."""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
@@ -11,18 +11,18 @@
 MEASURED_DAEMONS_PER_ZONE = 3
 # Failures and replacements of an ordinary day, each of which changes the list.
 LIST_CHANGES_PER_DAY = 8 + 51
-# Bytes of an instance in the platform's list; see docs/design/ports.md.
+# Of an instance in the platform's list; see docs/design/ports.md.
 BYTES_PER_LISTED = 99
 
 
 class Scale(NamedTuple):
     """The size of a deployment.
 
-    :param daemons: number in all zones together; all are alike.
-    :param tasks: number running at a time.
-    :param starts: starts of tasks per second at the peak.
-    :param changes: changes of configuration per day.
-    :param ledgers: number of ledgers, which share the jobs evenly.
+    :param daemons: on all zones together, all alike.
+    :param tasks: running at once.
+    :param starts: of tasks, a second, at the peak.
+    :param changes: of configuration, a day.
+    :param ledgers: share the jobs evenly.
     """
 
     name: str
@@ -58,14 +58,14 @@
 
 
 class Cost(NamedTuple):
-    """Usage of a daemon, per second unless stated otherwise.
+    """What a daemon spends, a second where nothing else is said.
 
     :param processor: milliseconds; ten are 1 % of a core.
     :param memory: resident megabytes.
-    :param messages: number sent to peers.
+    :param messages: sent to peers.
     :param peer_bytes: sent to and received from peers, without framing.
-    :param platform_bytes: both directions, for the store and the instance list.
-    :param worker_bytes: both directions.
+    :param platform_bytes: both ways, of the store and the instance list.
+    :param worker_bytes: both ways.
     """
 
     processor: float = 0.0
@@ -100,7 +100,7 @@
         self._lines = figures["lines"]
 
     def get_slope(self, name: str) -> float:
-        """Return a slope; 0 if the figure was always 0."""
+        """Return a slope; 0 where the figure never was other than 0."""
         line = self._lines.get(name)
         return line["slope"] if line else 0.0
 
@@ -110,7 +110,7 @@
         return line["intercept"] + line["slope"] * driver if line else 0.0
 
     def measure_growth(self, experiment: str, role: str) -> Cost:
-        """Return the cost to a daemon of one more unit of an experiment's driver."""
+        """Return what one more unit of an experiment's driver costs a daemon."""
         get = self.get_slope
         prefix = f"{experiment}/{role}"
         return Cost(
@@ -121,7 +121,7 @@
         )
 
     def measure_peer(self, zones: int) -> Cost:
-        """Return the base cost of a daemon in a deployment of ``zones`` zones."""
+        """Return what a daemon spends on being one, in so many zones."""
         daemons = zones * MEASURED_DAEMONS_PER_ZONE
         prefix = "zones/peer"
         get = self.get_value
@@ -135,15 +135,15 @@
         )
 
     def measure_owner(self, experiment: str) -> Cost:
-        """Return the cost to its owner of one more worker, task or start per second."""
+        """Return what one more worker, task or start a second costs its owner."""
         growth = self.measure_growth(experiment, "owner")
         worker_bytes = self.get_slope(f"{experiment}/platform/worker bytes")
         return growth._replace(worker_bytes=worker_bytes)
 
-    def measure_ledger_owner(self, experiment: str) -> Cost:
-        """Return the cost of one more task or start per second to its ledger owner.
+    def measure_keeper(self, experiment: str) -> Cost:
+        """Return what one more task or start a second costs its keeper.
 
-        The measured ledger owner may have owned a share of the workers as well.
+        The measured keeper may have owned a share of the workers as well.
         """
         growth = self.measure_growth(experiment, "keeper")
         if self.figures["measured"]["keeper owns workers"]:
@@ -154,9 +154,9 @@
         return growth._replace(platform_bytes=platform_bytes)
 
     def measure_writer(self, daemons: int) -> Cost:
-        """Return the cost of one change per second to the daemon that gets the calls.
+        """Return what a change a second costs the daemon that takes the calls.
 
-        It notifies every other daemon; the slope is that of six daemons.
+        It tells every other daemon; the slope is of six.
         """
         growth = self.measure_growth("changes", "writer")
         measured = 2 * MEASURED_DAEMONS_PER_ZONE
@@ -164,7 +164,7 @@
 
 
 class Roles(NamedTuple):
-    """Cost of each role for one daemon, in addition to its cost as a peer."""
+    """What each role costs one daemon, beside what it spends as a peer."""
 
     peer: Cost
     workers: Cost
@@ -178,33 +178,31 @@
 
     @property
     def idle(self) -> Cost:
-        """Cost of a daemon that owns workers while no task runs."""
+        """A daemon that owns its workers while no task runs."""
         return self.peer.plus(self.workers)
 
     @property
     def owner(self) -> Cost:
-        """Cost of a daemon without a ledger, at the peak."""
+        """A daemon without a ledger, at the peak."""
         return self.idle.plus(self.tasks, self.starts, self.watcher)
 
     @property
-    def ledger_owner(self) -> Cost:
-        """Cost of a daemon that owns a ledger as well, at the peak."""
+    def keeper(self) -> Cost:
+        """A daemon that keeps a ledger as well, at the peak."""
         return self.owner.plus(self.kept_tasks, self.kept_starts)
 
 
 def work_out(slopes: Slopes, scale: Scale) -> Roles:
-    """Return the costs of the roles at a size."""
+    """Return the roles' costs at a size."""
     changes = scale.changes / SECONDS_PER_DAY
-    each, per_ledger = 1 / scale.daemons, 1 / scale.ledgers
+    each, kept = 1 / scale.daemons, 1 / scale.ledgers
     return Roles(
         peer=slopes.measure_peer(scale.zones),
         workers=slopes.measure_owner("workers").times(scale.workers * each),
         tasks=slopes.measure_owner("tasks").times(scale.tasks * each),
         starts=slopes.measure_owner("starts").times(scale.starts * each),
-        kept_tasks=slopes.measure_ledger_owner("tasks").times(scale.tasks * per_ledger),
-        kept_starts=slopes.measure_ledger_owner("starts").times(
-            scale.starts * per_ledger
-        ),
+        kept_tasks=slopes.measure_keeper("tasks").times(scale.tasks * kept),
+        kept_starts=slopes.measure_keeper("starts").times(scale.starts * kept),
         watcher=slopes.measure_growth("changes", "watcher").times(changes),
         follower=slopes.measure_growth("changes", "follower").times(changes),
         writer=slopes.measure_writer(scale.daemons).times(changes),
@@ -212,7 +210,7 @@
 
 
 class StoreCalls(NamedTuple):
-    """Calls to the store per second, by the whole deployment."""
+    """Calls to the store in a second, of the whole deployment."""
 
     renewals: float
     refreshes: float
@@ -222,22 +220,22 @@
 
     @property
     def writes(self) -> float:
-        """Calls that count towards the limit of several hundred writes per second."""
+        """Calls that count against several hundred writes a second."""
         return self.renewals + self.task_writes + self.change_writes
 
     @property
     def reads(self) -> float:
-        """Calls that count towards the limit of two thousand reads per second."""
+        """Calls that count against two thousand reads a second."""
         return self.refreshes + self.waiting
 
 
 def count_store_calls(
     slopes: Slopes, scale: Scale, watchers_per_zone: int = 2
 ) -> StoreCalls:
-    """Return the calls to the store at a size and the peak of starts.
+    """Return the store's calls at a size and the peak of starts.
 
-    Renewals and refreshes grow with the daemons; writes of tasks grow with the
-    commits of the ledgers, of which there are fewer the larger they are.
+    Renewals and refreshes follow the daemons; writes of tasks follow the
+    ledgers' commits, of which the slope counts fewer the larger they are.
     """
     measured = scale.zones * MEASURED_DAEMONS_PER_ZONE
     share = scale.daemons / measured
@@ -253,12 +251,12 @@
 
 
 class Growth(NamedTuple):
-    """The growth of an amount.
+    """How much there is of something, by how it grows.
 
-    :param law: what the amount grows with, in words.
-    :param amounts: the amount at each size.
-    :param is_product: whether the amount of all daemons together grows with workers
-        times daemons.
+    :param law: what it grows with, in words.
+    :param amounts: at each size.
+    :param is_product: whether all daemons together have it as workers times
+        daemons.
     """
 
     law: str
@@ -279,10 +277,7 @@
 
 
 def count_links(scale: Scale) -> tuple[float, float]:
-    """Return the numbers of peers that get heartbeats of a daemon, by zone.
-
-    :returns: the numbers in its own zone and in other zones.
-    """
+    """Return how many peers a daemon beats to, in its zone and in others."""
     each = scale.daemons // scale.zones
     zones = {
         f"zone-{zone}": [f"entry-{zone}-{number}" for number in range(each)]
@@ -297,10 +292,10 @@
 
 
 def list_growth(scale: Scale) -> dict[str, Growth]:
-    """Return the growth of all amounts from a size to twice that size."""
+    """Return what grows how, at a size and twice that."""
     scales = (scale, *double(scale))
     links = [count_links(each) for each in scales]
-    interval = defaults.HEARTBEAT_INTERVAL.total_seconds()
+    beat = defaults.HEARTBEAT_INTERVAL.total_seconds()
     renewal = defaults.TASK_RENEWAL.total_seconds()
 
     def compute(law: str, get: Any, is_product: bool = False) -> Growth:
@@ -308,11 +303,11 @@
 
     return {
         "heartbeats a daemon sends to its zone, a second": Growth(
-            "daemons of the zone", tuple(near / interval for near, _ in links)
+            "daemons of the zone", tuple(near / beat for near, _ in links)
         ),
         "heartbeats a daemon sends to other zones, a second": Growth(
             "zones / daemons of a zone",
-            tuple(far / interval / CROSS_ZONE_ROUNDS for _, far in links),
+            tuple(far / beat / CROSS_ZONE_ROUNDS for _, far in links),
         ),
         "renewals of members' leases, a second, all": compute(
             "daemons",
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -8,10 +8,10 @@
 class Line(NamedTuple):
     """A fitted line.
 
-    :param slope: growth per unit of the driver.
-    :param intercept: value where the driver is zero.
-    :param residual: root mean square of the residuals.
-    :param points: the points that it was fitted to.
+    :param slope: growth for each unit of the driver.
+    :param intercept: value at zero of the driver.
+    :param residual: root of the mean square of what the line leaves over.
+    :param points: the points that it was fitted through.
     """
 
     slope: float
--- a/benchmarks/split.py
+++ b/benchmarks/split.py
@@ -1,4 +1,4 @@
-"""Placement split between owners that each know only their own workers."""
+"""Placement split over owners that each see their own workers only."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -26,7 +26,7 @@
 
 
 class OwnedAccounts:
-    """The part of the accounts that one owner knows."""
+    """The part of the accounts that one owner sees."""
 
     def __init__(self, accounts: WorkerAccounts, names: tuple[str, ...]) -> None:
         self._accounts = accounts
@@ -40,7 +40,7 @@
         return {name: workers[name] for name in self._names if name in workers}
 
     def subscribe(self, handler: AccountHandler) -> None:
-        """Forward changes of the owner's workers to a handler."""
+        """Pass on changes of the owner's workers."""
 
         def handle(account: WorkerAccount, is_present: bool) -> None:
             if account.name in self._owned:
@@ -49,12 +49,12 @@
         self._accounts.subscribe(handle)
 
     def count_group(self, group: str) -> Mapping[str, int]:
-        """Count the tasks of a group; a ledger owner knows where its tasks are."""
+        """Count a group's tasks; a keeper knows where its tasks are."""
         return self._accounts.count_group(group)
 
 
 class SplitPlacer(Placer):
-    """Chooses an owner by its summary, then calls the placer of that owner.
+    """Picks an owner by its summary, then asks its own placer.
 
     :param owners: names of workers by owner.
     """
@@ -85,7 +85,7 @@
             placer.add_filter(name, prepare)
 
     def place(self, need: TaskNeed) -> Placed | InsufficientCapacity | Impossible:
-        """Try a few owners, one after another."""
+        """Ask a few owners, one after another."""
         now = self._read_clock()
         for _ in range(ASKED):
             view = choose_owner(self._read_views(now), need, self._rng, now)
@@ -102,7 +102,7 @@
         return Impossible(dimension) if dimension else InsufficientCapacity("summaries")
 
     def _read_views(self, now: timedelta) -> list[OwnerView]:
-        """Read the summaries that are due; each owner has its own schedule."""
+        """Take over the summaries that are due, each owner's at its own time."""
         for number, (name, owned) in enumerate(self._owned.items()):
             view = self._views.get(name)
             if view is not None and now - view.received < REPORT_INTERVAL:
--- a/benchmarks/tasks.py
+++ b/benchmarks/tasks.py
@@ -1,4 +1,4 @@
-"""Waves of jobs on the task plane: their cost in commits and messages.
+"""Waves against the task plane: what they cost in commits and messages.
 
 Three daemons, one ledger, 24 workers of 16 cores and a store that answers in
 5 ms, in virtual time; processor time is that of the whole process.
@@ -36,15 +36,15 @@
 
 
 async def measure(plane: Plane, wave: Awaitable[Any]) -> dict[str, Any]:
-    """Await a wave and count its cost."""
+    """Await a wave and count what it cost."""
     store, switch = plane.platform.store, plane.switch
     puts = store.calls["put"]
     messages, size = sum(switch.messages.values()), sum(switch.bytes.values())
     calls = count_worker_calls(plane)
-    started_at, used = plane.clock.monotonic(), time.process_time()
+    began, used = plane.clock.monotonic(), time.process_time()
     await wave
     return {
-        "seconds": round((plane.clock.monotonic() - started_at) / SECOND, 2),
+        "seconds": round((plane.clock.monotonic() - began) / SECOND, 2),
         "store_writes": store.calls["put"] - puts,
         "peer_messages": sum(switch.messages.values()) - messages,
         "peer_kilobytes": round((sum(switch.bytes.values()) - size) / 1000),
@@ -66,7 +66,7 @@
 async def submit_all(
     plane: Plane, workload: str, count: int, payload: bytes
 ) -> list[JobView]:
-    """Submit many jobs at once through an entry that doesn't own the ledger."""
+    """Submit many jobs at once, from an entry that doesn't keep the ledger."""
     ledger_owner = plane.find("d2").ledger_owner
     submission = Submission(workload, "team", payload)
     answers = await asyncio.gather(
@@ -76,14 +76,14 @@
 
 
 async def wait_for_running(plane: Plane, count: int, limit: int = 300) -> None:
-    """Wait until ``count`` tasks run."""
+    """Wait until so many tasks run."""
     deadline = plane.clock.monotonic() + limit * SECOND
     while count_running(plane) < count and plane.clock.monotonic() < deadline:
         await plane.clock.sleep(SECOND / 10)
 
 
 async def run_submissions(count: int) -> dict[str, Any]:
-    """Measure ``count`` submissions at once, until their tasks run."""
+    """Measure ``count`` submissions at once, and their way to the workers."""
     plane = await start_plane()
     views: list[JobView] = []
 
@@ -136,7 +136,7 @@
 
 
 async def run_return() -> dict[str, Any]:
-    """Measure the return of all workers after a minute out of reach."""
+    """Measure all workers coming back after a minute out of reach."""
     plane = await start_plane()
     tasks = WORKERS * 16 // 2
     await submit_all(plane, "job", tasks, ENDLESS)
@@ -154,7 +154,7 @@
 def run(quick: bool) -> dict[str, Any]:
     """Measure all waves.
 
-    :param quick: whether to use only a tenth of the jobs.
+    :param quick: a tenth of the jobs.
     """
     part = 10 if quick else 1
     return {
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the demo: three daemons, two zones, a service, a batch and a gang."""
+"""Runs the main job: three daemons, two zones, a service, a batch and a gang."""
 
 import asyncio
 import sys
@@ -33,7 +33,7 @@
 
 
 async def run_demo(folder: Path) -> Checks:
-    """Start the deployment, run each step and stop all that was started."""
+    """Start the deployment, run each step and end what was started."""
     checks = Checks()
     platform = await build_platform()
     deployment = Deployment(platform, folder, TEAM_TOKENS)
@@ -68,7 +68,7 @@
 
 
 def main() -> None:
-    """Run the demo; the exit code is 0 only if all checks passed."""
+    """Run the demo; the exit code is 0 only when all checks held."""
     with tempfile.TemporaryDirectory() as folder:
         checks = asyncio.run(run_demo(Path(folder)))
     print(f"\n{checks.count - len(checks.failed)} of {checks.count} checks held")
--- a/demo/checks.py
+++ b/demo/checks.py
@@ -1,10 +1,10 @@
-"""The expectations of the demo, counted and printed."""
+"""What the demo expects, counted and printed."""
 
 from typing import Any
 
 
 class Checks:
-    """Prints each check and collects those that failed."""
+    """Prints each check; remembers those that failed."""
 
     def __init__(self) -> None:
         self.failed: list[str] = []
--- a/demo/steps.py
+++ b/demo/steps.py
@@ -15,7 +15,7 @@
 class Context(NamedTuple):
     """What the steps work with.
 
-    :param checks: collects the result of each check.
+    :param checks: takes the result of each check.
     :param operator: calls the first daemon with the operator's token.
     :param riders: calls the second daemon with the token of team ``riders``.
     :param invoices: calls the third daemon with the token of team ``invoices``.
@@ -33,7 +33,7 @@
 
 
 def step(function: Step) -> Step:
-    """Register a step; steps run in order of definition."""
+    """Register a step; they run in order of definition."""
     STEPS.append(function)
     return function
 
@@ -204,9 +204,9 @@
     await context.riders.call("DELETE", name)
     ended = await _wait_for_job(context.riders, name)
     code = ended["status"].get("code")
-    is_reported = _state(ended) in ("failed", "unknown") and code == "cancelled"
+    is_told = _state(ended) in ("failed", "unknown") and code == "cancelled"
     context.checks.check(
-        "it ended as failed or unknown, code cancelled", is_reported, ended
+        "it ended as failed or unknown, code cancelled", is_told, ended
     )
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -61,7 +61,7 @@
 class TestSizing(unittest.TestCase):
     """Costs computed from known slopes."""
 
-    def make_slopes(self, ledger_owner_owns_workers: bool = False) -> Slopes:
+    def make_slopes(self, keeper_owns: bool = False) -> Slopes:
         lines = {
             "zones/peer/processor ms": make_line(1.0, 5.0),
             "workers/owner/processor ms": make_line(0.1),
@@ -73,7 +73,7 @@
             "zones/platform/store renew_lease": make_line(3.0),
             "zones/platform/store watch": make_line(4.0),
         }
-        measured = {"keeper owns workers": ledger_owner_owns_workers, "owners": 2}
+        measured = {"keeper owns workers": keeper_owns, "owners": 2}
         return Slopes({"lines": lines, "measured": measured})
 
     def test_roles_add_up_to_a_daemon(self):
@@ -83,13 +83,11 @@
         self.assertAlmostEqual(roles.idle.processor, 7 + 10 * 0.1)
         self.assertAlmostEqual(roles.owner.processor, 8 + 200 * 0.01 + 2 * 0.5)
         ledger_cost = 400 * 0.001 + 4 * 0.4
-        self.assertAlmostEqual(roles.ledger_owner.processor, 11 + ledger_cost)
+        self.assertAlmostEqual(roles.keeper.processor, 11 + ledger_cost)
 
     def test_workers_of_a_ledger_owner_are_not_counted_twice(self):
-        slopes = self.make_slopes(ledger_owner_owns_workers=True)
-        self.assertAlmostEqual(
-            slopes.measure_ledger_owner("starts").processor, 0.4 - 0.25
-        )
+        slopes = self.make_slopes(keeper_owns=True)
+        self.assertAlmostEqual(slopes.measure_keeper("starts").processor, 0.4 - 0.25)
 
     def test_store_calls_follow_daemons_and_starts(self):
         scale = sizing.Scale("small", 2, 4, 40, 800, 8, 0, 2)
@@ -126,8 +124,8 @@
                 self.assertAlmostEqual(line[part], expected, delta=limit, msg=name)
 
     def test_values_over_budget_are_marked(self):
-        row = pages._compare_with_budget(1.3, 1.0)
+        row = pages._judge(1.3, 1.0)
         self.assertIn("**1.30**", row)
         self.assertIn("over", row)
-        self.assertEqual(pages._compare_with_budget(1.0, 1.0), "1.00")
-        self.assertIn("over", pages._compare_with_budget(1.001, 1.0))
+        self.assertEqual(pages._judge(1.0, 1.0), "1.00")
+        self.assertIn("over", pages._judge(1.001, 1.0))
