--- a/src/damaskdeck/cli/jobs.py
+++ b/src/damaskdeck/cli/jobs.py
@@ -53,14 +53,14 @@
     :return: the job in its final state.
     :raises typer.Exit: when the job can't be read.
     """
-    started = time.monotonic()
+    started_at = time.monotonic()
     path = get_path("job", name)
     while True:
         async for line in client.watch(f"{path}?watch=true"):
             if "resource" not in line:
                 continue
             job = line["resource"]
-            _print_progress(job, time.monotonic() - started)
+            _print_progress(job, time.monotonic() - started_at)
             if job["status"]["state"] in EXIT_BY_OUTCOME:
                 return job
         # The watch was refused or ended early, as when its daemon shuts down.
--- a/src/damaskdeck/coordination/configuration/relay.py
+++ b/src/damaskdeck/coordination/configuration/relay.py
@@ -137,12 +137,12 @@
             group.create_task(self._remove_tombstones())
 
     async def _follow_peers(self) -> None:
-        started = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         while True:
             self._reports.publish()
             await self._catch_up()
             if not self._is_ready:
-                self._is_ready = self._has_caught_up(started)
+                self._is_ready = self._has_caught_up(started_at)
             await self._clock.sleep(self._interval)
 
     async def _catch_up(self) -> None:
@@ -155,10 +155,10 @@
             await pull(self._peers, source, self._configuration)
         self._last_lagging_report = own
 
-    def _has_caught_up(self, started: timedelta) -> bool:
+    def _has_caught_up(self, started_at: timedelta) -> bool:
         if not self._configuration.is_loaded:
             return False
-        waited = self._clock.monotonic() - started
+        waited = self._clock.monotonic() - started_at
         if not self._reports.has_peer_reports() and waited < self._startup_wait:
             return False
         return self._reports.find_pull_source() is None
--- a/src/damaskdeck/coordination/jobs/ledgerowner.py
+++ b/src/damaskdeck/coordination/jobs/ledgerowner.py
@@ -84,12 +84,12 @@
         self._configuration = configuration
         self._fleet = fleet
         self._clock = clock
-        self._count = ledger_count
+        self._ledger_count = ledger_count
         self._supervisor = Supervisor()
         ownership.on_gain("ledger", self._gain)
         ownership.on_loss("ledger", self._lose)
-        fleet.on_change(self._handle_fleet)
-        configuration.subscribe(self._handle_resource)
+        fleet.on_change(self._handle_fleet_change)
+        configuration.subscribe(self._handle_resource_change)
         self._message_handlers = LedgerMessageHandlers(
             peers, self._find_controller, ledger_count
         )
@@ -109,7 +109,7 @@
             self._store,
             self._clock,
             lambda: self._ownership.get_epoch(shard) == epoch,
-            self._count,
+            self._ledger_count,
         )
         controller = LedgerController(
             ledger,
@@ -119,7 +119,7 @@
             self._configuration,
             self._clock,
             self._supervisor.watch,
-            self._count,
+            self._ledger_count,
         )
         self.controllers[name] = controller
         await controller.open(self._fleet.list(InstanceRole.WORKER))
@@ -139,12 +139,12 @@
         """Close all ledgers after their commits in progress."""
         await asyncio.gather(*(self._close(name) for name in list(self.controllers)))
 
-    def _handle_fleet(self, changes: object) -> None:
+    def _handle_fleet_change(self, changes: object) -> None:
         workers = self._fleet.list(InstanceRole.WORKER)
         for controller in self.controllers.values():
             controller.set_workers(workers)
 
-    def _handle_resource(
+    def _handle_resource_change(
         self, kind: Kind, name: str, resource: Resource | None
     ) -> None:
         for controller in self.controllers.values():
@@ -165,7 +165,7 @@
 
     async def submit_job(self, submission: Submission) -> JobView | Refused | Unknown:
         """Submit a job; it is durable once a view is returned."""
-        ledger = select_ledger(submission.team, self._count)
+        ledger = select_ledger(submission.team, self._ledger_count)
         message = jobs.SubmitJob(
             workload=submission.workload,
             team=submission.team,
@@ -192,12 +192,12 @@
         """
         if team:
             return await self._list_one(
-                select_ledger(team, self._count), team, after, limit
+                select_ledger(team, self._ledger_count), team, after, limit
             )
         pages = await asyncio.gather(
             *(
                 self._list_one(format_ledger_name(number), team, after, limit)
-                for number in range(self._count)
+                for number in range(self._ledger_count)
             )
         )
         for page in pages:
@@ -217,7 +217,7 @@
             digest=digest,
             timeout=timeout.total_seconds(),
         )
-        ledger = select_ledger(team, self._count)
+        ledger = select_ledger(team, self._ledger_count)
         reply = await self._call(ledger, message, jobs.ClaimKey)
         if isinstance(reply, Refused | Unknown):
             return reply
@@ -234,7 +234,7 @@
         message = jobs.SettleKey(
             team=team, service=service, key=key, outcome=build_outcome_data(outcome)
         )
-        ledger = select_ledger(team, self._count)
+        ledger = select_ledger(team, self._ledger_count)
         reply = await self._call(ledger, message, jobs.SettleKey)
         return not isinstance(reply, Refused | Unknown) and reply["state"] == "settled"
 
@@ -253,7 +253,7 @@
         self, job: str, message: Any, kind: type
     ) -> JobView | Refused | Unknown:
         ledger = parse_ledger_name(job)
-        if ledger is None or int(ledger) >= self._count:
+        if ledger is None or int(ledger) >= self._ledger_count:
             return Refused("no_such_job")
         return await self._call_for_job(ledger, message, kind)
 
--- a/src/damaskdeck/coordination/jobs/tracker.py
+++ b/src/damaskdeck/coordination/jobs/tracker.py
@@ -56,7 +56,7 @@
         self._stops: dict[str, None] = {}
         self._epochs: dict[str, int] = {}
         self._next_owner_check = timedelta()
-        self._on_worker: dict[str, dict[str, None]] = {}
+        self._worker_tasks: dict[str, dict[str, None]] = {}
         self._task_workers: dict[str, str] = {}
         self._result_sizes: ResultSizes = {}
         self._changed = asyncio.Event()
@@ -111,7 +111,7 @@
         while True:
             self._check_owner_changes()
             self._mark_silent()
-            await self._lose_unlisted()
+            await self._report_unlisted_as_lost()
             await self.check_all()
             await self._stop_all()
             self._changed.clear()
@@ -164,13 +164,13 @@
         if previous == worker:
             return
         if previous:
-            self._on_worker[previous].pop(name, None)
+            self._worker_tasks[previous].pop(name, None)
             self._task_workers.pop(name)
             self._unconfirmed.pop(name, None)
             self._stops.pop(name, None)
         if worker:
             self._task_workers[name] = worker
-            self._on_worker.setdefault(worker, {})[name] = None
+            self._worker_tasks.setdefault(worker, {})[name] = None
 
     def _check_owner_changes(self) -> None:
         """Mark the tasks of workers that have a new owner as unconfirmed."""
@@ -178,7 +178,7 @@
         if now < self._next_owner_check:
             return
         self._next_owner_check = now + OWNER_CHECK_INTERVAL
-        for worker, tasks in self._on_worker.items():
+        for worker, tasks in self._worker_tasks.items():
             owner = self._ownership.find_owner(f"worker/{worker}")
             if owner is None or not tasks:
                 continue
@@ -186,13 +186,13 @@
                 self._epochs[worker] = owner.epoch
                 self._unconfirmed.update(tasks)
 
-    async def _lose_unlisted(self) -> None:
+    async def _report_unlisted_as_lost(self) -> None:
         """Report the tasks of workers as lost that the platform no longer lists.
 
         The time limit lets a remaining owner report them first.
         """
         now = self._clock.monotonic()
-        for worker, tasks in list(self._on_worker.items()):
+        for worker, tasks in list(self._worker_tasks.items()):
             if self._is_listed(worker):
                 self._unlisted_since.pop(worker, None)
             elif not tasks:
@@ -202,16 +202,17 @@
                 >= REMOVED_WORKER_TIMEOUT
             ):
                 updates = [
-                    self._make_loss(self._ledger.table.tasks[name]) for name in tasks
+                    self._make_lost_update(self._ledger.table.tasks[name])
+                    for name in tasks
                 ]
                 await self.handle_updates(updates)
 
     def _remove_worker(self, worker: str) -> None:
-        del self._on_worker[worker]
+        del self._worker_tasks[worker]
         self._epochs.pop(worker, None)
         self._unlisted_since.pop(worker, None)
 
-    def _make_loss(self, task: Task) -> jobs.TaskUpdate:
+    def _make_lost_update(self, task: Task) -> jobs.TaskUpdate:
         return jobs.TaskUpdate(
             task=task.name,
             attempt=task.attempt,
--- a/src/damaskdeck/coordination/members/membership.py
+++ b/src/damaskdeck/coordination/members/membership.py
@@ -107,11 +107,11 @@
 
     def list_live(self, zone: str = "") -> tuple[Member, ...]:
         """List live members in order of name, this daemon among them."""
-        names = sorted(name for name in self._list_names() if self.is_live(name))
+        names = sorted(name for name in self._list_names() if self.is_alive(name))
         members = (self._get(name).member for name in names)
         return tuple(member for member in members if zone in ("", member.zone))
 
-    def is_live(self, name: str) -> bool:
+    def is_alive(self, name: str) -> bool:
         """Return whether heartbeats of ``name`` arrive, and own ones reach it."""
         if name == self._member.name:
             return True
@@ -148,7 +148,7 @@
         found = {}
         for name in self._list_names():
             report = self._get(name).reports.get(topic)
-            if report is not None and self.is_live(name):
+            if report is not None and self.is_alive(name):
                 found[name] = report
         return found
 
@@ -364,12 +364,12 @@
         self._extend_owner_leases(now)
 
     def _handle_echo(self, peer: PeerState, echo: Echo, now: timedelta) -> None:
-        sent = self._sent_at.get(echo["number"], NEVER)
-        peer.echo_sent_at = max(peer.echo_sent_at, sent)
+        sent_at = self._sent_at.get(echo["number"], NEVER)
+        peer.echo_sent_at = max(peer.echo_sent_at, sent_at)
         self._record_acknowledgement(peer.member.name, echo, now)
-        if "promise" in echo and sent != NEVER:
+        if "promise" in echo and sent_at != NEVER:
             duration = timedelta(milliseconds=echo["promise"])
-            until = sent + duration * (1 - CLOCK_DRIFT)
+            until = sent_at + duration * (1 - CLOCK_DRIFT)
             peer.granted_until = max(peer.granted_until, until)
 
     def _record_acknowledgement(self, name: str, echo: Echo, now: timedelta) -> None:
--- a/src/damaskdeck/coordination/members/ownership.py
+++ b/src/damaskdeck/coordination/members/ownership.py
@@ -220,7 +220,7 @@
                 epoch = self._choose_epoch(f"{scope}/{name}", entry, owner_lease)
             elif not self._is_unregistered(entry, table):
                 self._eligible_since.pop((scope, name), None)
-                is_waiting = is_waiting or not self._members.is_live(entry.instance)
+                is_waiting = is_waiting or not self._members.is_alive(entry.instance)
             elif self._can_take_over(scope, name, entry, is_assigned):
                 epoch = entry.epoch + 1
             else:
@@ -330,7 +330,7 @@
         if owner == entry.instance or successor is None:
             return None
         return (
-            _make_handover(entry, successor) if self._members.is_live(owner) else None
+            _make_handover(entry, successor) if self._members.is_alive(owner) else None
         )
 
     async def _hand_over_all(self, scope: str) -> None:
@@ -343,7 +343,7 @@
         names = [
             name
             for name in self._list_candidate_names(scope)
-            if name != self._members.self.name and self._members.is_live(name)
+            if name != self._members.self.name and self._members.is_alive(name)
         ]
         moves = {}
         for name, owner in assign_shards(owned, names).items():
--- a/src/damaskdeck/coordination/pools/accountlimits.py
+++ b/src/damaskdeck/coordination/pools/accountlimits.py
@@ -128,7 +128,7 @@
         """Apply the quotas of the document in force.
 
         An account that is no longer declared keeps its last quota, so that its
-        accepted jobs go on as before.
+        accepted jobs continue as before.
         """
         table = self._owner.get_table()
         if table is None or table.version == self._version:
--- a/src/damaskdeck/coordination/pools/advice.py
+++ b/src/damaskdeck/coordination/pools/advice.py
@@ -212,12 +212,12 @@
             "workers": list(query.workers),
             "timeout": round(timeout / timedelta(milliseconds=1)),
         }
-        sent = self._clock.monotonic().total_seconds()
+        sent_at = self._clock.monotonic().total_seconds()
         reply = await self._peers.call(daemon, message, GetAdvice, timeout)
         del self._busy[daemon]
         self.get(step).requested.difference_update(query.workers)
         now = self._clock.monotonic().total_seconds()
-        observe_latency("advice", "ask", now - sent)
+        observe_latency("advice", "ask", now - sent_at)
         if isinstance(reply, Answered) and not reply.message["code"]:
             if self._paused_until.pop(daemon, None) is not None:
                 _log.info("Advisor queries succeed again.", asker=daemon)
--- a/src/damaskdeck/coordination/pools/ceilings.py
+++ b/src/damaskdeck/coordination/pools/ceilings.py
@@ -134,7 +134,7 @@
     """Return the usage plus a share of the quota.
 
     The result may exceed the quota: after a quota was lowered, more than it allows
-    goes on running for a while.
+    continues to run for a while.
     """
     return Size(
         *(use + int(share * most) for use, most in zip(used, quota, strict=True))
--- a/src/damaskdeck/coordination/pools/contacts.py
+++ b/src/damaskdeck/coordination/pools/contacts.py
@@ -369,8 +369,8 @@
         now = self._now()
         if run.stopping_since is None:
             run.stopping_since = now
-        sent = run.stop_sent_at
-        is_recent = sent is not None and now - sent < STOP_RETRY_SECONDS
+        sent_at = run.stop_sent_at
+        is_recent = sent_at is not None and now - sent_at < STOP_RETRY_SECONDS
         is_start_prevented = (
             run.phase is RunPhase.DOUBTFUL and run.stopped_at is not None
         )
@@ -429,21 +429,21 @@
         return not self._is_reconciled and not self._has_expired
 
     async def _poll(self) -> None:
-        sent = self._now()
-        deadline = self._find_deadline(sent)
+        sent_at = self._now()
+        deadline = self._find_deadline(sent_at)
         is_idle = deadline is None and not (self.is_synchronized and self.is_cordoned)
         wait = timedelta() if is_idle else self._times.poll_wait
         if self._poll_soon.is_set():
             self._poll_soon.clear()
             wait = timedelta()
-        self._answer_due = sent + wait.total_seconds() + LATE_ANSWER_SECONDS
+        self._answer_due = sent_at + wait.total_seconds() + LATE_ANSWER_SECONDS
         answer = await self._call_poll(deadline, wait)
         if answer is None:
             return
         now = self._now()
         if isinstance(answer, WorkerTasks):
             self._answer_due = float("inf")
-            await self._handle_tasks(answer, sent, now)
+            await self._handle_tasks(answer, sent_at, now)
         elif isinstance(answer, Replaced):
             self._end_incarnation()
         else:
@@ -480,7 +480,9 @@
             soon.cancel()
             call.cancel()
 
-    async def _handle_tasks(self, answer: WorkerTasks, sent: float, now: float) -> None:
+    async def _handle_tasks(
+        self, answer: WorkerTasks, sent_at: float, now: float
+    ) -> None:
         if not self._lease.is_synchronized:
             # From now on the worker refuses previous owners, but the leases that they
             # have granted have to expire first.
@@ -491,7 +493,7 @@
         before = self.last_received_end
         self.polled_at = now
         self._failed_polls = 0
-        apply_inventory(self, self._owner, answer, sent, now)
+        apply_inventory(self, self._owner, answer, sent_at, now)
         self.is_synchronized = self._is_reconciled = True
         self._owner.handle_contact_change(self)
         if (
--- a/src/damaskdeck/coordination/pools/declarations.py
+++ b/src/damaskdeck/coordination/pools/declarations.py
@@ -105,7 +105,7 @@
         """Whether any calls may be authorized by the document.
 
         A daemon that the store doesn't answer can't learn of a newer document, so it
-        goes on with the one that it has.
+        keeps using the one that it has.
         """
         if self._in_force is None or self.is_fresh(self._in_force):
             return True
@@ -137,16 +137,16 @@
             return ()
         return ((self._source.key, self._document),)
 
-    def confirm(self, expected: tuple[tuple[str, int], ...], sent: float) -> None:
+    def confirm(self, expected: tuple[tuple[str, int], ...], sent_at: float) -> None:
         """Record that the store found what a commit expected.
 
         :param expected: The value of :attr:`expected` for that commit.
-        :param sent: The monotonic time in seconds when the commit was sent.
+        :param sent_at: The monotonic time in seconds when the commit was sent.
         """
         if expected and expected == self.expected:
-            self._confirmed_at = max(self._confirmed_at, sent)
+            self._confirmed_at = max(self._confirmed_at, sent_at)
 
-    def handle_mismatch(self, done: Mismatch, sent: float) -> bool:
+    def handle_mismatch(self, done: Mismatch, sent_at: float) -> bool:
         """Apply the document that the reply to a refused commit contains.
 
         :returns: Whether it differs from the known one.
@@ -154,7 +154,7 @@
         entry = done.find(self._source.key)
         if entry is None or entry.revision == self._document:
             return False
-        self._apply(self._source.decode(entry), sent)
+        self._apply(self._source.decode(entry), sent_at)
         return True
 
     def handle_unread_document(self) -> None:
@@ -197,19 +197,18 @@
 
     async def _read(self) -> DeclaredQueues | Rejected | Lost:
         async with self._reading:
-            sent = self._now()
+            sent_at = self._now()
             answer = await self._source.read_queues(self._document)
             if isinstance(answer, DeclaredQueues):
                 self._is_behind = False
-                self._apply(answer, sent)
+                self._apply(answer, sent_at)
             return answer
 
-    def _apply(self, declared: DeclaredQueues, sent: float | None) -> None:
+    def _apply(self, declared: DeclaredQueues, sent_at: float | None) -> None:
         """Put a newer document in force.
 
-        :param sent: The monotonic time in seconds when the request was sent that this
-            answers, ``None`` if the answer doesn't prove that the document is the
-            newest.
+        :param sent_at: The monotonic time in seconds when the answered request was
+            sent, ``None`` if the answer doesn't prove that the document is the newest.
         """
         if declared.document < self._document:
             return
@@ -229,5 +228,5 @@
             self._document = declared.document
             self._is_usable = table is not None and table.version == self.table.version
             self._is_wide = declared.size > WIDE_DOCUMENT_BYTES
-        if declared.document and self._is_usable and sent is not None:
-            self._confirmed_at = max(self._confirmed_at, sent)
+        if declared.document and self._is_usable and sent_at is not None:
+            self._confirmed_at = max(self._confirmed_at, sent_at)
--- a/src/damaskdeck/coordination/pools/inventories.py
+++ b/src/damaskdeck/coordination/pools/inventories.py
@@ -59,12 +59,12 @@
     contact: "WorkerContact",
     owner: ContactOwner,
     answer: WorkerTasks,
-    sent: float,
+    sent_at: float,
     now: float,
 ) -> None:
     """Apply a worker's answer to a poll, including the ends that are new in it.
 
-    :param sent: The monotonic time in seconds when the poll was sent.
+    :param sent_at: The monotonic time in seconds when the poll was sent.
     """
     listed = {(row.task, row.attempt) for row in answer.running}
     for row in answer.running:
@@ -76,7 +76,7 @@
     contact.unknown_runs &= listed
     for key, run in list(contact.runs.items()):
         if key not in listed:
-            _handle_missing_run(contact, owner, run, sent)
+            _handle_missing_run(contact, owner, run, sent_at)
 
 
 def _apply_running_task(
@@ -106,12 +106,12 @@
 
 
 def _handle_missing_run(
-    contact: "WorkerContact", owner: ContactOwner, run: Run, sent: float
+    contact: "WorkerContact", owner: ContactOwner, run: Run, sent_at: float
 ) -> None:
-    """Handle a run that the answer to a poll sent at ``sent`` doesn't list."""
-    if run.phase is RunPhase.ORDERED or run.settled_at >= sent:
+    """Handle a run that the answer to a poll sent at ``sent_at`` doesn't list."""
+    if run.phase is RunPhase.ORDERED or run.settled_at >= sent_at:
         return
-    is_stopped = run.stopped_at is not None and run.stopped_at < sent
+    is_stopped = run.stopped_at is not None and run.stopped_at < sent_at
     if run.phase is RunPhase.DOUBTFUL and not is_stopped:
         # The run may still start until the worker has confirmed a stop.
         contact.stop(run)
--- a/src/damaskdeck/coordination/pools/jobfrontend.py
+++ b/src/damaskdeck/coordination/pools/jobfrontend.py
@@ -126,7 +126,7 @@
         peers.register(CountWaitingJobs, self._handle_count_waiting)
         peers.register(GetAdvice, self._handle_get_advice)
         peers.register(DelegateJobOperation, self._handle_delegated_operation)
-        peers.register(ReportCapacity, self._handle_capacity)
+        peers.register(ReportCapacity, self._handle_capacity_report)
 
     def _now(self) -> float:
         return self._clock.monotonic().total_seconds()
@@ -142,7 +142,7 @@
         """
         return await self._submitter.submit(queue, identifier, spec, caller)
 
-    async def _handle_capacity(self, peer: str, message: ReportCapacity) -> None:
+    async def _handle_capacity_report(self, peer: str, message: ReportCapacity) -> None:
         self._zone_capacities.update(message)
         self._on_owner_epoch(message["epoch"])
 
--- a/src/damaskdeck/coordination/pools/journal.py
+++ b/src/damaskdeck/coordination/pools/journal.py
@@ -132,7 +132,7 @@
         while True:
             self._number += 1
             numbers.add(self._number)
-            sent = self._clock.monotonic().total_seconds()
+            sent_at = self._clock.monotonic().total_seconds()
             done = await self._store.commit(self._build(changes))
             if isinstance(done, Mismatch):
                 done = self._resolve_mismatch(done.find(FENCE_KEY), numbers)
@@ -140,10 +140,10 @@
                     self._leadership.step_down("the fence has moved")
                     return False
             if isinstance(done, Written):
-                duration = self._clock.monotonic().total_seconds() - sent
+                duration = self._clock.monotonic().total_seconds() - sent_at
                 observe_latency("journal", "commit", duration)
                 self.revision = done.revision
-                self._leadership.confirm(sent)
+                self._leadership.confirm(sent_at)
                 return True
             count_retry("journal", getattr(done, "code", "lapsed"))
             await self._clock.sleep(RETRY_DELAY)
--- a/src/damaskdeck/coordination/pools/leadership.py
+++ b/src/damaskdeck/coordination/pools/leadership.py
@@ -199,12 +199,12 @@
         return self._term is not None and self._confirmed_at >= earliest
 
     async def _read_owner(self) -> None:
-        sent = self._clock.monotonic().total_seconds()
+        sent_at = self._clock.monotonic().total_seconds()
         found = await self._store.read(OWNER_KEY)
         if isinstance(found, Found):
             self.refresh(found.entry)
             if self._term is not None and self._is_this_process(self._owner):
-                self.confirm(sent)
+                self.confirm(sent_at)
 
     def refresh(self, entry: Entry | None) -> None:
         """Apply the owner's record as a store call returned it."""
@@ -239,9 +239,9 @@
     async def _follow_control_keys(self) -> None:
         revision = 0
         while True:
-            sent = self._clock.monotonic().total_seconds()
+            sent_at = self._clock.monotonic().total_seconds()
             if not revision:
-                revision = await self._list_control_keys(sent)
+                revision = await self._list_control_keys(sent_at)
                 continue
             events = await self._store.watch(
                 CONTROL_PREFIX, revision, self._times.control_wait
@@ -250,14 +250,14 @@
                 for event in events.events:
                     self._apply(event.key, event.value, event.revision)
                 revision = events.revision
-                self._record_contact(sent)
+                self._record_contact(sent_at)
             elif isinstance(events, RevisionTooOld):
                 revision = 0
             else:
                 self._store_failed_at = self._clock.monotonic().total_seconds()
                 await self._clock.sleep(RETRY_DELAY)
 
-    async def _list_control_keys(self, sent: float) -> int:
+    async def _list_control_keys(self, sent_at: float) -> int:
         found = await read_all(self._store, CONTROL_PREFIX)
         if not isinstance(found, tuple) or not isinstance(found[0], tuple):
             self._store_failed_at = self._clock.monotonic().total_seconds()
@@ -272,12 +272,12 @@
             self._apply(entry.key, entry.value, entry.revision)
         self._has_lead = LEAD_KEY in present
         self._is_synced = True
-        self._record_contact(sent)
+        self._record_contact(sent_at)
         return revision
 
-    def _record_contact(self, sent: float) -> None:
+    def _record_contact(self, sent_at: float) -> None:
         if self._term is not None:
-            self.confirm(sent)
+            self.confirm(sent_at)
         self._wakeup.set()
 
     def _apply(self, key: str, value: bytes | None, revision: int) -> None:
@@ -405,12 +405,12 @@
         epoch = (old.epoch if old else 0) + 1
         record = OwnerRecord(epoch, self._member.instance, self._member.incarnation)
         for _ in range(MAX_TAKEOVER_ATTEMPTS):
-            sent = self._clock.monotonic().total_seconds()
+            sent_at = self._clock.monotonic().total_seconds()
             result = await self._store.commit(
                 build_takeover(record, revision, fence, self._member_lease.lease)
             )
             if isinstance(result, Written):
-                self._begin_term(record, result.revision, sent, old)
+                self._begin_term(record, result.revision, sent_at, old)
                 return
             if not isinstance(result, Mismatch):
                 break
@@ -428,13 +428,13 @@
         self, record: OwnerRecord, old: OwnerRecord | None
     ) -> None:
         """Read whether a takeover without an answer took effect."""
-        sent = self._clock.monotonic().total_seconds()
+        sent_at = self._clock.monotonic().total_seconds()
         found = await self._store.read(OWNER_KEY)
         if isinstance(found, Found):
             entry: Entry = found.entry
             self._apply(OWNER_KEY, entry.value, entry.revision)
             if self._owner == record:
-                self._begin_term(record, entry.revision, sent, old)
+                self._begin_term(record, entry.revision, sent_at, old)
                 return
         await self._clock.sleep(RETRY_DELAY)
         self._wakeup.set()
@@ -443,7 +443,7 @@
         self,
         record: OwnerRecord,
         revision: int,
-        sent: float,
+        sent_at: float,
         old: OwnerRecord | None,
     ) -> None:
         if self._owner_revision > revision:
@@ -454,7 +454,7 @@
         )
         self._owner, self._owner_revision = record, revision
         self._has_lead = True
-        self.confirm(sent)
+        self.confirm(sent_at)
         self._term = OwnerTerm(record.epoch, revision, revision, old)
         _log.info("Owner of the pools.", epoch=record.epoch, revision=revision)
         self._on_elected(self._term)
--- a/src/damaskdeck/coordination/pools/liveness.py
+++ b/src/damaskdeck/coordination/pools/liveness.py
@@ -79,14 +79,14 @@
             self.follow(epoch)
             self._alive_at = self._message_at = self._now()
 
-    def record_reply(self, epoch: int, sent: float) -> None:
+    def record_reply(self, epoch: int, sent_at: float) -> None:
         """Record the reply to a heartbeat request.
 
-        :param sent: when the request was sent, in monotonic seconds.
+        :param sent_at: when the request was sent, in monotonic seconds.
         """
         self.record_heartbeat(epoch)
         if epoch == self.epoch:
-            self._round_trips = self._round_trips.add_sample(self._now() - sent)
+            self._round_trips = self._round_trips.add_sample(self._now() - sent_at)
 
     def record_progress(self) -> None:
         """Record that the owner has stored something.
--- a/src/damaskdeck/coordination/pools/monitoredstore.py
+++ b/src/damaskdeck/coordination/pools/monitoredstore.py
@@ -101,24 +101,24 @@
     def _now(self) -> float:
         return self._clock.monotonic().total_seconds()
 
-    def _record(self, answer: T, sent: float) -> T:
-        """Record the answer to a call that was sent at ``sent``.
+    def _record(self, answer: T, sent_at: float) -> T:
+        """Record the answer to a call that was sent at ``sent_at``.
 
         A failed call says nothing about the store if another call, which was sent later
         or was in flight at the same time, has been answered since.
         """
         if isinstance(answer, Written | Unchanged):
-            self.write_times.record(answer.revision, sent)
+            self.write_times.record(answer.revision, sent_at)
         if not isinstance(answer, Rejected | Lost):
             self._record_answer()
-        elif sent >= self._answered_at:
+        elif sent_at >= self._answered_at:
             self._record_failure(answer)
         return answer
 
     async def _observe(self, call: Awaitable[T]) -> T:
         """Make a call and record its result."""
-        sent = self._now()
-        return self._record(await call, sent)
+        sent_at = self._now()
+        return self._record(await call, sent_at)
 
     def _record_answer(self) -> None:
         self._answered_at = self._now()
@@ -165,12 +165,12 @@
     ) -> CommitResult | ReplyTooLarge:
         """Make changes that take effect together or not at all."""
         limit = min(timeout or MAX_TIMEOUT, self.commit_timeout)
-        sent = self._now()
+        sent_at = self._now()
         done = await self._observe(
             self._store.commit(transaction, limit, max_reply_bytes)
         )
         self._usual_seconds += LATEST_WEIGHT * (
-            self._now() - sent - self._usual_seconds
+            self._now() - sent_at - self._usual_seconds
         )
         return done
 
@@ -186,7 +186,7 @@
         A watch that was sent before or during an outage may never be answered, so it is
         abandoned as soon as the store answers another call.
         """
-        sent = self._now()
+        sent_at = self._now()
         call = asyncio.ensure_future(
             self._store.watch(prefix, revision, wait, max_reply_bytes)
         )
@@ -195,7 +195,7 @@
             await asyncio.wait({call, recovered}, return_when=asyncio.FIRST_COMPLETED)
             if not call.done():
                 return Lost("outage_over")
-            return self._record(call.result(), sent)
+            return self._record(call.result(), sent_at)
         finally:
             recovered.cancel()
             call.cancel()
--- a/src/damaskdeck/coordination/pools/orderspacing.py
+++ b/src/damaskdeck/coordination/pools/orderspacing.py
@@ -1,8 +1,8 @@
 """Spacing between orders to one worker, so that a crash can be attributed to one job.
 
-The runs on a worker that crashes are lost at the same moment. They would be started
-again together and packed together once more, so runs that merely stood beside the cause
-would crash as often as the cause itself.
+The runs on a worker that crashes are lost at the same moment. Without spacing they
+would be started together and on one worker again, so that runs beside the cause would
+crash as often as the cause itself.
 """
 
 from damaskdeck.state.pooljobs import Step
--- a/src/damaskdeck/coordination/pools/owner.py
+++ b/src/damaskdeck/coordination/pools/owner.py
@@ -451,8 +451,8 @@
         while True:
             await self._clock.sleep(CAPACITY_REPORT_INTERVAL)
             if self._shared.leadership.is_cut_off():
-                # A capacity report also counts as a heartbeat of an owner that may go
-                # on deciding.
+                # A capacity report also counts as a heartbeat of an owner that may
+                # continue to decide.
                 continue
             capacities = measure_zone_capacities(self.contacts.values(), self.now())
             message: ReportCapacity = {"epoch": self.term.epoch, "zones": capacities}
--- a/src/damaskdeck/coordination/pools/ownermonitor.py
+++ b/src/damaskdeck/coordination/pools/ownermonitor.py
@@ -124,8 +124,8 @@
         return not is_connection_refused and self._liveness.measure_silence() < window
 
     def _find_timeout(self) -> float:
-        alive = self._leadership.count_deposed(DEPOSED_WINDOW)
-        return self._liveness.find_timeout(alive)
+        deposed = self._leadership.count_deposed(DEPOSED_WINDOW)
+        return self._liveness.find_timeout(deposed)
 
     def _is_silent(self, owner: str) -> bool:
         if self._peers.is_connection_refused(owner):
@@ -151,7 +151,7 @@
             self._fence_revision = await self._leadership.read_fence_revision()
 
     async def _has_progressed(self) -> bool:
-        """Whether the owner has stored something since it fell silent."""
+        """Whether the owner has stored something since it became silent."""
         before, self._fence_revision = (
             self._fence_revision,
             await self._leadership.read_fence_revision(),
@@ -168,7 +168,7 @@
 
     async def _await_heartbeat(self, owner: OwnerRecord) -> None:
         message: RequestHeartbeat = {"epoch": owner.epoch}
-        sent = self._clock.monotonic().total_seconds()
+        sent_at = self._clock.monotonic().total_seconds()
         reply = await self._peers.call(
             owner.instance, message, RequestHeartbeat, MAX_SILENCE
         )
@@ -178,7 +178,7 @@
         # is cut off as well, the store may be down for all daemons, and none should
         # take over.
         if not reply.message["is_cut_off"] or self._leadership.is_cut_off():
-            self._liveness.record_reply(reply.message["epoch"], sent)
+            self._liveness.record_reply(reply.message["epoch"], sent_at)
 
     def _choose_witnesses(self, owner: str) -> list[str]:
         others = [owner, self._instance]
--- a/src/damaskdeck/coordination/pools/revisions.py
+++ b/src/damaskdeck/coordination/pools/revisions.py
@@ -19,14 +19,14 @@
     def __init__(self) -> None:
         self._entries: deque[tuple[int, float]] = deque(maxlen=MAX_ENTRIES)
 
-    def record(self, revision: int, sent: float) -> None:
-        """Record that the store's revision was at most ``revision`` at ``sent``."""
+    def record(self, revision: int, sent_at: float) -> None:
+        """Record that the store's revision was at most ``revision`` at ``sent_at``."""
         if not self._entries:
-            self._entries.append((revision, sent))
+            self._entries.append((revision, sent_at))
             return
         newest, recorded_at = self._entries[-1]
-        if revision >= newest and sent >= recorded_at + MIN_SPACING_SECONDS:
-            self._entries.append((revision, sent))
+        if revision >= newest and sent_at >= recorded_at + MIN_SPACING_SECONDS:
+            self._entries.append((revision, sent_at))
 
     def find_write_time(self, revision: int) -> float:
         """Return the earliest time at which a revision may have been written.
--- a/src/damaskdeck/coordination/pools/submitter.py
+++ b/src/damaskdeck/coordination/pools/submitter.py
@@ -135,18 +135,18 @@
                 epoch=owner.epoch if owner else 0,
                 accepted_at=self._clock.now().timestamp(),
             )
-            sent, expected = self._now(), self._declarations.expected
+            sent_at, expected = self._now(), self._declarations.expected
             answer = await self._store.commit(
                 self._build_transaction(record, expected),
                 self._times.accept_timeout,
                 MAX_COMMIT_REPLY_BYTES if expected else None,
             )
             if isinstance(answer, Written):
-                self._declarations.confirm(expected, sent)
+                self._declarations.confirm(expected, sent_at)
                 self._announce(record)
                 return JobAccepted()
             if isinstance(answer, Mismatch):
-                resolved = self._resolve_mismatch(record, caller, answer, sent)
+                resolved = self._resolve_mismatch(record, caller, answer, sent_at)
                 if not isinstance(resolved, JobRecord):
                     return resolved
                 record = resolved
@@ -167,7 +167,7 @@
         return JobUnconfirmed(code) if may_be_stored else JobNotAccepted(code)
 
     def _resolve_mismatch(
-        self, record: JobRecord, caller: Caller, answer: Mismatch, sent: float
+        self, record: JobRecord, caller: Caller, answer: Mismatch, sent_at: float
     ) -> JobRecord | JobAccepted | CallRejected:
         """Return the record to store in place of one whose commit was refused.
 
@@ -175,7 +175,7 @@
         under the previous document, so that it runs. No attempt can store it under
         another document any more.
         """
-        has_changed = self._declarations.handle_mismatch(answer, sent)
+        has_changed = self._declarations.handle_mismatch(answer, sent_at)
         stored = answer.find(JOBS_PREFIX + record.identifier)
         if stored is not None:
             is_same = is_visible(stored.value, caller)
--- a/src/damaskdeck/coordination/pools/workerfleet.py
+++ b/src/damaskdeck/coordination/pools/workerfleet.py
@@ -236,12 +236,12 @@
     def _mark_reconciled(self, identifier: str) -> None:
         if identifier in self._unreconciled:
             zone = self._unreconciled.pop(identifier)
-            left = (
+            remaining_zones = (
                 other
                 for worker, other in self._unreconciled.items()
                 if self.cordons.find(worker) is None
             )
-            if zone not in left or self.cordons.find(identifier) is not None:
+            if zone not in remaining_zones or self.cordons.find(identifier) is not None:
                 self._callbacks.on_reconciled()
 
     def build_roster_write(self) -> tuple[Write, Callable[[], bool]]:
--- a/src/damaskdeck/coordination/requests/lanes.py
+++ b/src/damaskdeck/coordination/requests/lanes.py
@@ -65,7 +65,7 @@
         self._update_slots()
 
     def remove_pool(self, target: str) -> None:
-        """Fill no more slots of a target; its open calls go on."""
+        """Fill no more slots of a target; its open calls continue."""
         self._health.pop(target, None)
         if self.pools.pop(target, None) is not None:
             self._update_slots()
--- a/src/damaskdeck/coordination/requests/routing.py
+++ b/src/damaskdeck/coordination/requests/routing.py
@@ -166,8 +166,8 @@
     async def handle_request(self, request: ServiceRequest) -> Outcome:
         """Serve a request; there is exactly one outcome.
 
-        A cancelled request leaves the queue. A call that is already open goes on, as
-        its slot stays filled until the target answers.
+        A cancelled request leaves the queue. A call that is already open
+        continues, as its slot stays filled until the target answers.
         """
         context = RequestContext(request, self._clock)
         self._open_requests += 1
--- a/src/damaskdeck/coordination/requests/sending.py
+++ b/src/damaskdeck/coordination/requests/sending.py
@@ -43,7 +43,7 @@
 class TargetSender:
     """Sends requests to owned targets.
 
-    A call goes on when its caller is gone or its deadline has passed: the slot is
+    A call continues when its caller is gone or its deadline has passed: the slot is
     free only once the target has answered, and is not used for anything else before.
 
     :param max_call_time: the longest time a call can be open and a request can run.
@@ -76,7 +76,7 @@
         return frozenset(self._calls)
 
     async def wait(self, call: "asyncio.Task[Result]", until: timedelta) -> Result:
-        """Wait for a call, which goes on when its caller is gone or time is up.
+        """Wait for a call, which continues if its caller leaves or the time is over.
 
         :param until: on the monotonic clock.
         """
--- a/src/damaskdeck/coordination/workers/orders.py
+++ b/src/damaskdeck/coordination/workers/orders.py
@@ -106,7 +106,7 @@
         """Read an inventory soon because the state of an attempt is unconfirmed."""
         if not self._is_inventory_requested:
             self._is_inventory_requested = True
-            self._queue.put_nowait(self._take_inventory)
+            self._queue.put_nowait(self._read_inventory)
 
     def acknowledge(self, task: str, attempt: int) -> None:
         """Let the worker discard an ended task that its ledger owner has recorded."""
@@ -175,7 +175,7 @@
         if hosted is not None and hosted.state == "running" and session.may_act():
             await session.port.throttle(session.worker, session.epoch, task, millicores)
 
-    async def _take_inventory(self) -> None:
+    async def _read_inventory(self) -> None:
         await self._session.read_inventory()
         self._is_inventory_requested = False
 
--- a/src/damaskdeck/coordination/workers/rosters.py
+++ b/src/damaskdeck/coordination/workers/rosters.py
@@ -139,12 +139,12 @@
             hosted, state, result=report.result, checkpoint=report.checkpoint
         )
 
-    def list_missing(self, present: set[str], sent: timedelta) -> list[HostedTask]:
-        """List what a full inventory, requested at ``sent``, should have listed."""
+    def list_missing(self, present: set[str], sent_at: timedelta) -> list[HostedTask]:
+        """List what a full inventory, requested at ``sent_at``, should have listed."""
         return [
             hosted
             for hosted in self.list_open()
-            if hosted.task not in present and hosted.expected_from <= sent
+            if hosted.task not in present and hosted.expected_from <= sent_at
         ]
 
     def report_expired(self, margin: timedelta = defaults.LEASE_MARGIN) -> None:
--- a/src/damaskdeck/coordination/workers/sessions.py
+++ b/src/damaskdeck/coordination/workers/sessions.py
@@ -137,11 +137,11 @@
         """Read a full inventory; return whether it arrived."""
         if not self.may_act():
             return False
-        sent = self._clock.monotonic()
+        sent_at = self._clock.monotonic()
         found = await self.port.read_inventory(self.worker, self.epoch)
-        if not self._merge_inventory(found, sent, True):
+        if not self._merge_inventory(found, sent_at, True):
             return False
-        self.inventory_sent_at = sent
+        self.inventory_sent_at = sent_at
         return True
 
     # Updates and renewals --------------------------------------------------------
@@ -150,11 +150,11 @@
         while True:
             is_answered = False
             if self.may_act():
-                sent = self._clock.monotonic()
+                sent_at = self._clock.monotonic()
                 found = await self.port.follow(
                     self.worker, self.epoch, self._sequence, FOLLOW_WAIT
                 )
-                is_answered = self._merge_inventory(found, sent, False)
+                is_answered = self._merge_inventory(found, sent_at, False)
             if not is_answered:
                 await self._clock.sleep(RETRY_INTERVAL)
 
@@ -172,7 +172,7 @@
         names = self.roster.list_running()
         if not names:
             return
-        sent = self._clock.monotonic()
+        sent_at = self._clock.monotonic()
         try:
             found = await self.port.renew(self.worker, self.epoch, names, self._lease)
         except asyncio.CancelledError:
@@ -180,10 +180,10 @@
             raise
         if not isinstance(found, Rejected):
             self.roster.record_renewal(names, isinstance(found, Inventory))
-        self.set_unconfirmed(not self._merge_inventory(found, sent, True))
+        self.set_unconfirmed(not self._merge_inventory(found, sent_at, True))
 
     def _merge_inventory(
-        self, found: Inventory | Rejected | Lost, sent: timedelta, is_whole: bool
+        self, found: Inventory | Rejected | Lost, sent_at: timedelta, is_whole: bool
     ) -> bool:
         if not isinstance(found, Inventory):
             count_retry("workers", found.code)
@@ -197,7 +197,7 @@
             self.roster.merge_report(report)
         if is_whole:
             present = {report.task for report in found.tasks}
-            for hosted in self.roster.list_missing(present, sent):
+            for hosted in self.roster.list_missing(present, sent_at):
                 self._resolve_missing(hosted)
         return True
 
--- a/src/damaskdeck/protocol/members.py
+++ b/src/damaskdeck/protocol/members.py
@@ -42,7 +42,7 @@
     def list_live(self, zone: str = "") -> tuple[Member, ...]:
         """List live members, including this daemon, in order of name."""
 
-    def is_live(self, name: str) -> bool:
+    def is_alive(self, name: str) -> bool:
         """Whether ``name`` still sends heartbeats."""
 
     def publish(self, topic: str, value: bytes) -> None:
--- a/src/standins/plane.py
+++ b/src/standins/plane.py
@@ -118,7 +118,7 @@
         found = [d.members.self for d in self.plane.registry.daemons.values()]
         return tuple(m for m in found if zone in ("", m.zone))
 
-    def is_live(self, name: str) -> bool:
+    def is_alive(self, name: str) -> bool:
         """Whether a daemon has not been killed."""
         return name in self.plane.registry.daemons
 
--- a/src/standins/requests.py
+++ b/src/standins/requests.py
@@ -380,9 +380,9 @@
 
     def list_live(self, zone: str = "") -> tuple[Member, ...]:
         """List live members in order of name."""
-        return tuple(m for m in self._table.list_live(zone) if self.is_live(m.name))
+        return tuple(m for m in self._table.list_live(zone) if self.is_alive(m.name))
 
-    def is_live(self, name: str) -> bool:
+    def is_alive(self, name: str) -> bool:
         """Whether a member is alive and reachable from this daemon."""
         return self._table.is_reachable(name, self._name)
 
@@ -395,5 +395,5 @@
         return {
             name: report
             for (kind, name), report in self.reports.items()
-            if kind == topic and self.is_live(name)
+            if kind == topic and self.is_alive(name)
         }
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -61,9 +61,9 @@
 
     def list_live(self, zone: str = "") -> tuple[Member, ...]:
         members = sorted(self._board.members.items())
-        return tuple(m for n, m in members if self.is_live(n) and zone in ("", m.zone))
+        return tuple(m for n, m in members if self.is_alive(n) and zone in ("", m.zone))
 
-    def is_live(self, name: str) -> bool:
+    def is_alive(self, name: str) -> bool:
         return name == self._name or (
             name in self._board.members and self._board.reaches(name, self._name)
         )
@@ -76,7 +76,7 @@
 
     def read_reports(self, topic: str) -> Mapping[str, Report]:
         reports = self._board.reports[self._name][topic]
-        return {name: r for name, r in reports.items() if self.is_live(name)}
+        return {name: r for name, r in reports.items() if self.is_alive(name)}
 
 
 class LaggingStore:
--- a/tests/test_fuzzing.py
+++ b/tests/test_fuzzing.py
@@ -148,7 +148,7 @@
         member=member, number=number, session="d2-1.1", echo=echo, reports=fields
     )
     await deliver(daemon, Heartbeat, heartbeat)
-    assert daemon.members.is_live("d2")
+    assert daemon.members.is_alive("d2")
 
 
 class TestReports(unittest.TestCase):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -60,11 +60,11 @@
     async def test_one_way_cut_is_recognised_on_both_sides(self):
         self.deployment.switch.cut("a1", "a2")
         await self.deployment.advance(5)
-        self.assertFalse(self.members["a1"].is_live("a2"))
-        self.assertFalse(self.members["a2"].is_live("a1"))
+        self.assertFalse(self.members["a1"].is_alive("a2"))
+        self.assertFalse(self.members["a2"].is_alive("a1"))
         self.deployment.switch.heal_all()
         await self.deployment.advance(2)
-        self.assertTrue(self.members["a1"].is_live("a2"))
+        self.assertTrue(self.members["a1"].is_alive("a2"))
 
     async def test_zones_stay_visible_when_one_of_their_links_is_cut(self):
         near = self.members["a1"]._list_heartbeat_peers() - {"a2"}
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -69,10 +69,10 @@
         view = await plane.find("d1").ledger_owner.submit_job(submission)
         await plane.wait_for_end(view.name)
         tracker = plane.find("d1").ledger_owner.controllers["00"].tracker
-        self.assertEqual(set(tracker._on_worker), {"w1", "w2"})
+        self.assertEqual(set(tracker._worker_tasks), {"w1", "w2"})
         plane.platform.remove("w1")
         await asyncio.sleep(60)
-        known = (tracker._on_worker, tracker._epochs, tracker._unlisted_since)
+        known = (tracker._worker_tasks, tracker._epochs, tracker._unlisted_since)
         self.assertEqual([set(names) for names in known], [{"w2"}, {"w2"}, set()])
 
 
