--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks; run with ``python -m benchmarks NAME --json``."""
+"""Benchmarks of the scheduler; run with ``python -m benchmarks NAME --json``."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,8 @@
-"""Runs one benchmark by name: ``python -m benchmarks NAME [--json] [--quick]``."""
+"""Command line of the benchmarks.
+
+Usage: ``python -m benchmarks NAME [--json] [--quick]``, where ``NAME`` is a module
+of this package.
+"""
 
 import argparse
 import importlib
@@ -9,7 +13,7 @@
 
 
 def main() -> None:
-    """Run the named benchmark and print its figures."""
+    """Run the benchmark that the command line names and print its figures."""
     names = sorted(m.name for m in pkgutil.iter_modules(benchmarks.__path__))
     parser = argparse.ArgumentParser(prog="python -m benchmarks")
     parser.add_argument("name", choices=[n for n in names if n != "__main__"])
