--- a/benchmarks/alternatives.py
+++ b/benchmarks/alternatives.py
@@ -1,4 +1,7 @@
-"""Other ways to share slots between entries, in virtual time, for comparison."""
+"""Alternative ways to share slots between entries, simulated in virtual time.
+
+The benchmark of requests compares the router with them.
+"""
 
 import asyncio
 import heapq
@@ -11,15 +14,18 @@
 from standins.loops import run_virtual
 from standins.requests import FAR_DELAY, NEAR_DELAY
 
-ASK_PAUSE = 0.005
+MAX_BORROW_PAUSE_SECONDS = 0.005
 
-_ENTRIES = NAIROBI.zones * NAIROBI.entries
-_SHARE = NAIROBI.zones * NAIROBI.targets * NAIROBI.slots // _ENTRIES
+_ENTRY_COUNT = NAIROBI.zones * NAIROBI.entries
+_SLOTS_PER_ENTRY = NAIROBI.zones * NAIROBI.targets * NAIROBI.slots // _ENTRY_COUNT
 
 
 def share_fixed(arrivals: list[Arrival]) -> dict[str, float]:
-    """Return the waits when each entry has a fixed share of all slots."""
-    shares = [[0.0] * _SHARE for _ in range(_ENTRIES)]
+    """Simulate entries that each have a fixed share of all slots.
+
+    :returns: seconds that each request waits, by name.
+    """
+    shares = [[0.0] * _SLOTS_PER_ENTRY for _ in range(_ENTRY_COUNT)]
     waits = {}
     for arrival in arrivals:
         free = shares[arrival.entry]
@@ -29,18 +35,21 @@
     return waits
 
 
-class Lender:
-    """An entry that has credits for slots and borrows those that it lacks."""
+class LendingEntry:
+    """An entry that holds credits for slots and borrows more when it has none."""
 
     def __init__(self, number: int) -> None:
         self.number = number
-        self.credits = _SHARE
+        self.credits = _SLOTS_PER_ENTRY
         self.queue: deque[tuple[Arrival, float]] = deque()
-        self.asks = 0
-        self.is_asking = False
+        self.borrow_requests = 0
+        self.is_borrowing = False
 
     def lend(self) -> int:
-        """Give away half of the credits that nobody needs here, at least one."""
+        """Give away half of the unused credits, at least one.
+
+        :returns: the number of credits; 0 if requests wait here or none are left.
+        """
         if self.queue or not self.credits:
             return 0
         amount = (self.credits + 1) // 2
@@ -48,62 +57,65 @@
         return amount
 
 
-class LentCredits:
-    """Waits when entries borrow credits from two others drawn at random."""
+class CreditLending:
+    """Simulates entries that borrow credits from two others drawn at random.
+
+    :ivar waits: seconds that each request waited, by name.
+    """
 
     def __init__(self, seed: int) -> None:
         self.waits: dict[str, float] = {}
-        self.lenders = [Lender(number) for number in range(_ENTRIES)]
+        self.entries = [LendingEntry(number) for number in range(_ENTRY_COUNT)]
         self._random = Random(seed)
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def replay(self, arrivals: list[Arrival]) -> None:
-        """Send all arrivals and wait until the last one has ended."""
+        """Replay all arrivals and wait until the last request has ended."""
         loop = asyncio.get_running_loop()
         begin = loop.time()
         for arrival in arrivals:
             await asyncio.sleep(begin + arrival.time - loop.time())
-            lender = self.lenders[arrival.entry]
-            lender.queue.append((arrival, loop.time()))
-            self._serve(lender)
+            entry = self.entries[arrival.entry]
+            entry.queue.append((arrival, loop.time()))
+            self._serve(entry)
         while self._tasks:
             await asyncio.wait(self._tasks)
 
-    def _serve(self, lender: Lender) -> None:
+    def _serve(self, entry: LendingEntry) -> None:
         now = asyncio.get_running_loop().time()
-        while lender.queue and lender.credits:
-            arrival, came = lender.queue.popleft()
-            lender.credits -= 1
-            self.waits[arrival.name] = now - came
-            self._start(self._run(lender, arrival))
-        if lender.queue and not lender.is_asking:
-            lender.is_asking = True
-            self._start(self._borrow(lender))
-
-    async def _run(self, lender: Lender, arrival: Arrival) -> None:
+        while entry.queue and entry.credits:
+            arrival, arrived_at = entry.queue.popleft()
+            entry.credits -= 1
+            self.waits[arrival.name] = now - arrived_at
+            self._start(self._run(entry, arrival))
+        if entry.queue and not entry.is_borrowing:
+            entry.is_borrowing = True
+            self._start(self._borrow(entry))
+
+    async def _run(self, entry: LendingEntry, arrival: Arrival) -> None:
         await asyncio.sleep(arrival.duration)
-        lender.credits += 1
-        self._serve(lender)
+        entry.credits += 1
+        self._serve(entry)
 
-    async def _borrow(self, lender: Lender) -> None:
-        while lender.queue and not lender.credits:
-            others = [other for other in self.lenders if other is not lender]
-            for other in self._random.sample(others, 2):
+    async def _borrow(self, entry: LendingEntry) -> None:
+        while entry.queue and not entry.credits:
+            other_entries = [other for other in self.entries if other is not entry]
+            for other in self._random.sample(other_entries, 2):
                 is_near = (
-                    other.number // NAIROBI.entries == lender.number // NAIROBI.entries
+                    other.number // NAIROBI.entries == entry.number // NAIROBI.entries
                 )
                 delay = (NEAR_DELAY if is_near else FAR_DELAY).total_seconds()
                 await asyncio.sleep(delay)
                 amount = other.lend()
                 await asyncio.sleep(delay)
-                lender.credits += amount
-                lender.asks += 1
+                entry.credits += amount
+                entry.borrow_requests += 1
                 if amount:
                     break
-            if not lender.credits:
-                await asyncio.sleep(ASK_PAUSE * self._random.random())
-        lender.is_asking = False
-        self._serve(lender)
+            if not entry.credits:
+                await asyncio.sleep(MAX_BORROW_PAUSE_SECONDS * self._random.random())
+        entry.is_borrowing = False
+        self._serve(entry)
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
@@ -111,8 +123,8 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def lend_credits(arrivals: list[Arrival], seed: int) -> LentCredits:
-    """Replay arrivals with credits that are lent on demand."""
-    model = LentCredits(seed)
+def lend_credits(arrivals: list[Arrival], seed: int) -> CreditLending:
+    """Replay arrivals with entries that lend credits on demand."""
+    model = CreditLending(seed)
     run_virtual(model.replay(arrivals))
     return model
--- a/benchmarks/requests.py
+++ b/benchmarks/requests.py
@@ -1,4 +1,8 @@
-"""Measures the request plane: ours, naive, direct and a single queue, in one run."""
+"""Measures the request plane.
+
+One run compares the router with a naive one, direct calls, a single queue, fixed
+shares and lent credits.
+"""
 
 import asyncio
 import time
@@ -10,16 +14,16 @@
 from benchmarks.services import (
     NAIROBI,
     Arrival,
-    Deployed,
-    Run,
+    ReplayResult,
+    StartRouters,
     compute_capacity,
     count_completed,
     make_arrivals,
-    queue_once,
     replay,
+    simulate_single_queue,
     start_direct,
-    start_lazy,
     start_naive,
+    start_naive_with_long_pause,
 )
 from damaskdeck.coordination.requests.routing import Router
 from damaskdeck.protocol.outcomes import Completed, Refused
@@ -30,17 +34,18 @@
 SEED = 1
 LOADS = (0.5, 0.8, 0.95)
 OVERLOAD = 3.0
-WARM_UP = 0.2
+WARM_UP_SHARE = 0.2
 
-# Seconds until overload is steady, and within which a refusal comes at once.
-BUILD_UP = 1.0
-AT_ONCE = 0.01
+# Seconds until overload has reached a steady state, and the time within which a
+# refusal counts as immediate.
+BUILD_UP_SECONDS = 1.0
+IMMEDIATE_SECONDS = 0.01
 
 
 def run(quick: bool) -> Figures:
-    """Measure waiting, overload and processor time.
+    """Measure waiting times, overload, processor time and added latency.
 
-    :param quick: fewer requests.
+    :param quick: whether to send fewer requests.
     """
     count = 10_000 if quick else 25_000
     figures: Figures = {"waiting_ms": {}, "decision_us": {}}
@@ -55,12 +60,15 @@
 
 
 def compare_waiting(load: float, count: int) -> tuple[Figures, Figures]:
-    """Replay one load with each router; waits count from the warm-up on."""
+    """Replay one load with each router, leaving out the waits during the warm-up.
+
+    :returns: waiting times, and the microseconds of the router's decisions.
+    """
     arrivals = make_arrivals(load, count, SEED, timeout=30.0)
-    late = arrivals[int(count * WARM_UP) :]
+    late = arrivals[int(count * WARM_UP_SHARE) :]
     ours, decisions = replay_ours(arrivals)
     naive = run_virtual(replay(arrivals, start_naive))
-    single = queue_once(arrivals)
+    single = simulate_single_queue(arrivals)
     fixed = share_fixed(arrivals)
     lent = lend_credits(arrivals, SEED)
     figures = {
@@ -69,7 +77,9 @@
         "single_queue": summarize([single[a.name] * 1000 for a in late]),
         "fixed_shares": summarize([fixed[a.name] * 1000 for a in late]),
         "lent_credits": summarize([lent.waits[a.name] * 1000 for a in late]),
-        "lent_asks_per_request": round(sum(e.asks for e in lent.lenders) / count, 3),
+        "lent_asks_per_request": round(
+            sum(entry.borrow_requests for entry in lent.entries) / count, 3
+        ),
         "messages_per_request": round(ours.calls["messages"] / count, 3),
         "naive_sends_per_request": round(naive.calls["sends"] / count, 3),
         "refused_by_targets": ours.calls["refused"],
@@ -84,11 +94,14 @@
 
 
 def compare_overload(count: int) -> Figures:
-    """Replay three times the load; the best goodput is that of busy slots."""
+    """Replay a load of three times the capacity.
+
+    Goodput is compared with that of slots that are busy all the time.
+    """
     arrivals = make_arrivals(OVERLOAD, count, SEED)
     ours, _ = replay_ours(arrivals)
-    naive = run_virtual(replay(arrivals, start_lazy))
-    best = compute_capacity() * (arrivals[-1].time - BUILD_UP)
+    naive = run_virtual(replay(arrivals, start_naive_with_long_pause))
+    best = compute_capacity() * (arrivals[-1].time - BUILD_UP_SECONDS)
     figures: Figures = {}
     for name, result in (("ours", ours), ("naive", naive)):
         refused = [n for n, o in result.outcomes.items() if isinstance(o, Refused)]
@@ -96,12 +109,13 @@
             "goodput_of_best": divide(count_steady(arrivals, result), best),
             "urgent_waiting_ms": summarize_urgent(arrivals, result),
             "urgent_completed": divide(
-                count_completed(result, _pick_urgent(arrivals)),
+                count_completed(result, _make_urgent_filter(arrivals)),
                 sum(a.urgency is Urgency.URGENT for a in arrivals),
             ),
             "outcomes": Counter(type(o).__name__ for o in result.outcomes.values()),
             "refused_at_once": divide(
-                sum(result.answered[name] < AT_ONCE for name in refused), len(refused)
+                sum(result.answered[name] < IMMEDIATE_SECONDS for name in refused),
+                len(refused),
             ),
             "refused_after_ms": summarize(
                 [result.answered[name] * 1000 for name in refused]
@@ -110,9 +124,9 @@
     return figures
 
 
-def count_steady(arrivals: list[Arrival], result: Run) -> int:
-    """Count what was completed between the build-up and the last arrival."""
-    first, last = BUILD_UP, arrivals[-1].time
+def count_steady(arrivals: list[Arrival], result: ReplayResult) -> int:
+    """Count the requests completed between the build-up and the last arrival."""
+    first, last = BUILD_UP_SECONDS, arrivals[-1].time
     return sum(
         isinstance(result.outcomes[a.name], Completed)
         and first <= a.time + result.answered[a.name] < last
@@ -120,8 +134,11 @@
     )
 
 
-def summarize_urgent(arrivals: list[Arrival], result: Run) -> Figures:
-    """Summarize the waits of the urgent; who never ran waited all its time."""
+def summarize_urgent(arrivals: list[Arrival], result: ReplayResult) -> Figures:
+    """Summarize the waits of urgent requests in milliseconds.
+
+    A request that never ran counts as having waited for its whole timeout.
+    """
     waits = [
         result.waits.get(a.name, a.timeout.total_seconds()) * 1000
         for a in arrivals
@@ -130,25 +147,28 @@
     return summarize(waits)
 
 
-def replay_ours(arrivals: list[Arrival]) -> tuple[Run, list[float]]:
-    """Replay with our routers; also return each decision's microseconds."""
+def replay_ours(arrivals: list[Arrival]) -> tuple[ReplayResult, list[float]]:
+    """Replay with the routers of damaskdeck.
+
+    :returns: the result, and the microseconds of each decision.
+    """
     decisions: list[float] = []
     original = Router._choose_route
 
-    def measured(router: Router, course: Any) -> Any:
+    def measure_choice(router: Router, request: Any) -> Any:
         start = time.thread_time_ns()
-        place = original(router, course)
+        route = original(router, request)
         decisions.append((time.thread_time_ns() - start) / 1000)
-        return place
+        return route
 
-    deployed = Deployed()
+    start_routers = StartRouters()
 
-    async def play() -> Run:
-        result = await replay(arrivals, deployed)
-        result.calls.update(deployed.stop())
+    async def play() -> ReplayResult:
+        result = await replay(arrivals, start_routers)
+        result.calls.update(start_routers.stop())
         return result
 
-    Router._choose_route = measured
+    Router._choose_route = measure_choice
     try:
         return run_virtual(play()), decisions
     finally:
@@ -156,19 +176,22 @@
 
 
 def measure_processor(count: int) -> Figures:
-    """Measure processor time for a request at half load, simulation included."""
+    """Measure the processor time of a request at half load.
+
+    The simulation's own share is included, and subtracted as that of direct calls.
+    """
     arrivals = make_arrivals(0.5, count, SEED)
-    deployed = Deployed()
+    start_routers = StartRouters()
 
     async def play_ours() -> None:
-        await replay(arrivals, deployed)
-        deployed.stop()
+        await replay(arrivals, start_routers)
+        start_routers.stop()
 
     async def play_direct() -> None:
         await replay(arrivals, start_direct)
 
-    ours = spend(play_ours) / count
-    direct = spend(play_direct) / count
+    ours = measure_processor_seconds(play_ours) / count
+    direct = measure_processor_seconds(play_direct) / count
     return {
         "ours_us_per_request": round(ours * 1e6, 1),
         "direct_us_per_request": round(direct * 1e6, 1),
@@ -178,14 +201,14 @@
 
 
 def measure_latency(count: int) -> Figures:
-    """Measure in real time what one entry adds at its share of half load."""
+    """Measure in real time the latency that one entry adds at half load."""
     load = 0.5 / (NAIROBI.zones * NAIROBI.entries)
     arrivals = make_arrivals(load, count, SEED)
-    deployed = Deployed()
+    start_routers = StartRouters()
 
-    async def play_ours() -> Run:
-        result = await replay(arrivals, deployed)
-        deployed.stop()
+    async def play_ours() -> ReplayResult:
+        result = await replay(arrivals, start_routers)
+        start_routers.stop()
         return result
 
     ours = asyncio.run(play_ours())
@@ -198,19 +221,19 @@
     return {
         "ours": summarize(extra["ours"]),
         "direct": summarize(extra["direct"]),
-        "added": summarize([mine - other for mine, other in pairs]),
+        "added": summarize([own - other for own, other in pairs]),
     }
 
 
-def spend(play: Callable[[], Any]) -> float:
-    """Return the processor seconds of a run."""
+def measure_processor_seconds(play: Callable[[], Any]) -> float:
+    """Return the processor seconds of a run in virtual time."""
     start = time.process_time()
     run_virtual(play())
     return time.process_time() - start
 
 
 def summarize(values: list[float]) -> Figures:
-    """Return quantiles of ``values``."""
+    """Return quantiles of ``values`` by name; empty without values."""
     ordered = sorted(values)
     if not ordered:
         return {}
@@ -222,13 +245,13 @@
 
 
 def divide(value: float, other: float) -> float | None:
-    """Return a ratio, or nothing where there is nothing to compare with.
+    """Return a ratio, or None if ``other`` isn't positive.
 
-    A run that ends within its build-up has no steady time, so no best goodput.
+    A run that ends during the build-up has no steady state and so no best goodput.
     """
     return round(value / other, 3) if other > 0 else None
 
 
-def _pick_urgent(arrivals: list[Arrival]) -> Callable[[str], bool]:
+def _make_urgent_filter(arrivals: list[Arrival]) -> Callable[[str], bool]:
     urgent = {a.name for a in arrivals if a.urgency is Urgency.URGENT}
     return urgent.__contains__
--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -1,4 +1,4 @@
-"""Targets, arrivals and routers in virtual time, for the requests benchmark."""
+"""Simulated targets, arrivals and routers for the benchmark of requests."""
 
 import asyncio
 import heapq
@@ -33,17 +33,18 @@
 from tests.naive_router import RETRY_PAUSE, NaiveRouter
 
 NAIROBI = Layout(zones=3, entries=2, targets=8, slots=8, connections=64)
-MEAN_TIME = 0.05
+MEAN_SERVICE_SECONDS = 0.05
 TEAMS = 8
 URGENT_SHARE = 0.1
-LAZY_PAUSE = timedelta(milliseconds=200)
+LONG_RETRY_PAUSE = timedelta(milliseconds=200)
 
 
 class Arrival(NamedTuple):
-    """A request of the workload.
+    """A request of the generated load.
 
-    :param time: seconds from the start.
-    :param duration: seconds that it takes in a slot, wherever it runs.
+    :param time: arrival in seconds since the start.
+    :param duration: seconds that the request occupies a slot, on any target.
+    :param entry: index of the entry that receives the request.
     """
 
     name: str
@@ -55,11 +56,13 @@
     timeout: timedelta
 
 
-class Run(NamedTuple):
-    """What became of a workload.
+class ReplayResult(NamedTuple):
+    """The outcome of a replay.
 
     :param waits: seconds from arrival to the start in a slot, by request.
-    :param calls: sends to targets, and messages between daemons.
+    :param answered: seconds from arrival to the answer, by request.
+    :param calls: numbers of sends to targets, refusals by targets, and messages
+        between daemons.
     """
 
     waits: dict[str, float]
@@ -68,38 +71,39 @@
     calls: Counter[str]
 
 
-class Start(Protocol):
-    """Makes the request handlers of all entries."""
+class StartHandlers(Protocol):
+    """Creates the request handlers of all entries."""
 
     async def __call__(self, targets: "SimulatedTargets") -> list[RequestHandler]:
-        """Return a handler for each entry."""
+        """Create and start a handler for each entry."""
 
 
 def compute_capacity() -> float:
-    """Return how many requests all slots complete in a second."""
-    return NAIROBI.zones * NAIROBI.targets * NAIROBI.slots / MEAN_TIME
+    """Return the requests per second that all slots can complete."""
+    return NAIROBI.zones * NAIROBI.targets * NAIROBI.slots / MEAN_SERVICE_SECONDS
 
 
 def make_arrivals(
     load: float, count: int, seed: int, timeout: float = 1.0
 ) -> list[Arrival]:
-    """Draw Poisson arrivals with exponential times in a slot.
+    """Draw Poisson arrivals with exponential service times.
 
-    :param load: share of what all slots can do.
+    :param load: arrival rate as a share of the capacity of all slots.
+    :param timeout: timeout of each request in seconds.
     """
-    source = Random(seed)
+    rng = Random(seed)
     rate = load * compute_capacity()
     arrivals, time = [], 0.0
     for number in range(count):
-        time += source.expovariate(rate)
-        is_urgent = source.random() < URGENT_SHARE
+        time += rng.expovariate(rate)
+        is_urgent = rng.random() < URGENT_SHARE
         arrivals.append(
             Arrival(
                 f"r{number}",
                 time,
-                source.expovariate(1 / MEAN_TIME),
-                source.randrange(NAIROBI.zones * NAIROBI.entries),
-                f"team-{source.randrange(TEAMS)}",
+                rng.expovariate(1 / MEAN_SERVICE_SECONDS),
+                rng.randrange(NAIROBI.zones * NAIROBI.entries),
+                f"team-{rng.randrange(TEAMS)}",
                 Urgency.URGENT if is_urgent else Urgency.NORMAL,
                 timedelta(seconds=timeout),
             )
@@ -108,7 +112,7 @@
 
 
 class SimulatedTargets:
-    """All targets of a deployment; a full one refuses."""
+    """All targets of a deployment; a full target refuses requests."""
 
     def __init__(self, arrivals: list[Arrival]) -> None:
         self.durations = {arrival.name: arrival.duration for arrival in arrivals}
@@ -116,13 +120,13 @@
         self.starts: dict[str, float] = {}
         self.calls: Counter[str] = Counter()
 
-    def connect(self, zone: str) -> "TargetsOfZone":
-        """Return the way to all targets from one availability zone."""
-        return TargetsOfZone(self, zone)
+    def connect(self, zone: str) -> "ZoneTargets":
+        """Return a client of all targets for callers in one availability zone."""
+        return ZoneTargets(self, zone)
 
 
-class TargetsOfZone:
-    """Implements ``TargetPort`` with the delays between availability zones."""
+class ZoneTargets:
+    """Implements ``TargetPort`` with the network delays between availability zones."""
 
     def __init__(self, targets: SimulatedTargets, zone: str) -> None:
         self._targets = targets
@@ -131,7 +135,7 @@
     async def send(
         self, target: Instance, call: TargetCall, timeout: timedelta
     ) -> TargetAnswer | Rejected | Lost:
-        """Run a request for its duration."""
+        """Run a request for its duration, or refuse it if all slots are taken."""
         targets = self._targets
         targets.calls["sends"] += 1
         is_near = target.zone == self._zone
@@ -152,20 +156,20 @@
     async def probe(
         self, target: Instance, timeout: timedelta
     ) -> Written | Rejected | Lost:
-        """Tell that the target lives."""
+        """Report that the target is up."""
         return Written(0)
 
 
-class Deployed:
-    """Starts our routers; may be asked for them afterwards."""
+class StartRouters:
+    """Starts the routers of damaskdeck and keeps them to be stopped later."""
 
     def __init__(self) -> None:
         self.deployment: RequestDeployment | None = None
 
     async def __call__(self, targets: SimulatedTargets) -> list[RequestHandler]:
-        """Return a router for each entry."""
+        """Start a router for each entry and return the routers."""
 
-        def connect(name: str) -> TargetsOfZone:
+        def connect(name: str) -> ZoneTargets:
             return targets.connect("zone-" + name.split("-")[1])
 
         deployment = RequestDeployment(LoopClock(), NAIROBI, connect=connect)
@@ -174,7 +178,10 @@
         return list(deployment.routers.values())
 
     def stop(self) -> Counter[str]:
-        """End the routers' loops; returns how many messages they exchanged."""
+        """Stop the routers' loops.
+
+        :returns: the number of messages that the routers exchanged.
+        """
         if self.deployment is None:
             return Counter()
         for name in self.deployment.routers:
@@ -187,13 +194,18 @@
     return make_naive(targets, RETRY_PAUSE)
 
 
-async def start_lazy(targets: SimulatedTargets) -> list[RequestHandler]:
-    """Return naive routers that try less often, as overload would take hours."""
-    return make_naive(targets, LAZY_PAUSE)
+async def start_naive_with_long_pause(
+    targets: SimulatedTargets,
+) -> list[RequestHandler]:
+    """Return naive routers that retry less often.
+
+    With the usual pause, the benchmark of overload would take hours.
+    """
+    return make_naive(targets, LONG_RETRY_PAUSE)
 
 
 def make_naive(targets: SimulatedTargets, pause: timedelta) -> list[RequestHandler]:
-    """Make a naive router for each entry."""
+    """Create a naive router for each entry."""
     clock = LoopClock()
     instances = RequestDeployment(clock, NAIROBI).fleet.list(InstanceRole.TARGET)
     return [
@@ -206,7 +218,7 @@
 
 
 async def start_direct(targets: SimulatedTargets) -> list[RequestHandler]:
-    """Return handlers that do nothing but send to a target of their zone."""
+    """Return handlers that only send to a target of their own zone."""
     deployment = RequestDeployment(LoopClock(), NAIROBI)
     return [
         DirectPath(
@@ -218,14 +230,14 @@
 
 
 class DirectPath:
-    """Sends each request to the next target, however full it is."""
+    """Sends each request to the next target in turn, even if that is full."""
 
     def __init__(self, instances: tuple[Instance, ...], targets: TargetPort) -> None:
         self._instances = itertools.cycle(instances)
         self._targets = targets
 
     async def handle_request(self, request: ServiceRequest) -> Outcome:
-        """Send a request and return what came back."""
+        """Send a request and return its outcome."""
         call = TargetCall(request.identifier, 1, request.body)
         answer = await self._targets.send(next(self._instances), call, request.timeout)
         if isinstance(answer, TargetAnswer):
@@ -233,15 +245,17 @@
         return Refused(answer.code)
 
 
-async def replay(arrivals: list[Arrival], start: Start) -> Run:
+async def replay(
+    arrivals: list[Arrival], start_handlers: StartHandlers
+) -> ReplayResult:
     """Send all arrivals to the handlers and wait for every outcome."""
     targets = SimulatedTargets(arrivals)
-    handlers = await start(targets)
+    handlers = await start_handlers(targets)
     loop = asyncio.get_running_loop()
     begin = loop.time()
-    run = Run({}, {}, {}, targets.calls)
+    result = ReplayResult({}, {}, {}, targets.calls)
 
-    async def ask(arrival: Arrival) -> None:
+    async def send_request(arrival: Arrival) -> None:
         request = ServiceRequest(
             arrival.name,
             SERVICE,
@@ -250,24 +264,27 @@
             arrival.timeout,
             urgency=arrival.urgency,
         )
-        came = loop.time()
-        run.outcomes[arrival.name] = await handlers[arrival.entry].handle_request(
+        arrived_at = loop.time()
+        result.outcomes[arrival.name] = await handlers[arrival.entry].handle_request(
             request
         )
-        run.answered[arrival.name] = loop.time() - came
+        result.answered[arrival.name] = loop.time() - arrived_at
         if arrival.name in targets.starts:
-            run.waits[arrival.name] = targets.starts[arrival.name] - came
+            result.waits[arrival.name] = targets.starts[arrival.name] - arrived_at
 
     tasks = []
     for arrival in arrivals:
         await asyncio.sleep(begin + arrival.time - loop.time())
-        tasks.append(asyncio.ensure_future(ask(arrival)))
+        tasks.append(asyncio.ensure_future(send_request(arrival)))
     await asyncio.gather(*tasks)
-    return run
+    return result
 
 
-def queue_once(arrivals: list[Arrival]) -> dict[str, float]:
-    """Return the waits in a single queue over all slots, without any delay."""
+def simulate_single_queue(arrivals: list[Arrival]) -> dict[str, float]:
+    """Simulate a single queue for all slots, without network delays.
+
+    :returns: seconds that each request waits, by name.
+    """
     slots = NAIROBI.zones * NAIROBI.targets * NAIROBI.slots
     free = [0.0] * slots
     waits = {}
@@ -278,9 +295,9 @@
     return waits
 
 
-def count_completed(run: Run, accepts: Callable[[str], bool]) -> int:
-    """Count the requests that were completed, of those that ``accepts`` names."""
+def count_completed(result: ReplayResult, is_included: Callable[[str], bool]) -> int:
+    """Count the completed requests for which ``is_included`` holds."""
     return sum(
-        isinstance(outcome, Completed) and accepts(name)
-        for name, outcome in run.outcomes.items()
+        isinstance(outcome, Completed) and is_included(name)
+        for name, outcome in result.outcomes.items()
     )
