--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,4 +1,4 @@
-"""Measures single decisions on a full fleet: place, reserve, release."""
+"""Measures single decisions on a fully loaded fleet: place, reserve, release."""
 
 import gc
 import random
@@ -16,7 +16,10 @@
 
 
 def run(quick: bool) -> Figures:
-    """Measure at 790 and 88 workers, with 13,000 tasks for each 790."""
+    """Measure with 790 and with 88 workers, at 13,000 tasks per 790 workers.
+
+    :param quick: whether to make fewer decisions.
+    """
     rounds = 5_000 if quick else 20_000
     large = measure(make_target_size(1), RUNNING, rounds)
     small = measure(make_target_size(1, workers=88), RUNNING * 88 // 790, rounds)
@@ -30,7 +33,7 @@
 
 
 def measure_memory(mix: Mix, running: int) -> float:
-    """Return what accounts, index and reservations of a full fleet take, in MiB."""
+    """Return the memory of a full fleet's accounts, index and reservations in MiB."""
     sizes = [arrival.declared for arrival in mix.arrivals]
     tracemalloc.start()
     accounts = WorkerAccounts()
@@ -44,9 +47,10 @@
 
 
 def measure(mix: Mix, running: int, rounds: int) -> Figures:
-    """End a task, place another and reserve, over and over.
+    """Repeatedly release a task, place another and reserve its resources.
 
-    :param running: tasks that run, as near as the mix of sizes allows.
+    :param running: number of running tasks, as near as the mix of sizes allows.
+    :param rounds: number of decisions.
     """
     rng = random.Random(1)
     sizes = [
@@ -66,12 +70,12 @@
     for number in range(rounds):
         index = rng.randrange(len(tasks))
         need = TaskNeed(f"r{number}", rng.choice(sizes))
-        moment = time.perf_counter()
+        began = time.perf_counter()
         accounts.release(tasks[index])
         outcome = placer.place(need)
         if isinstance(outcome, Placed):
             accounts.reserve(need, outcome.worker)
-        times.append(time.perf_counter() - moment)
+        times.append(time.perf_counter() - began)
         if isinstance(outcome, Placed):
             tasks[index] = need.task
             placed += 1
@@ -100,15 +104,15 @@
     count: int,
     prefix: str = "t",
 ) -> list[str]:
-    """Start tasks until there are ``count`` more, or many found no room."""
+    """Start up to ``count`` tasks; stop after 50 that fit nowhere."""
     tasks: list[str] = []
-    failures = 0
-    while len(tasks) < count and failures < 50:
-        need = TaskNeed(f"{prefix}-{len(tasks)}-{failures}", rng.choice(sizes))
+    attempts_failed = 0
+    while len(tasks) < count and attempts_failed < 50:
+        need = TaskNeed(f"{prefix}-{len(tasks)}-{attempts_failed}", rng.choice(sizes))
         outcome = placer.place(need)
         if isinstance(outcome, Placed):
             accounts.reserve(need, outcome.worker)
             tasks.append(need.task)
         else:
-            failures += 1
+            attempts_failed += 1
     return tasks
--- a/benchmarks/naive.py
+++ b/benchmarks/naive.py
@@ -1,4 +1,4 @@
-"""The naive scheduler under the replay: in arrival order, first fit."""
+"""The naive scheduler as a baseline in the replay: arrival order, first fit."""
 
 from collections import deque
 from datetime import timedelta
@@ -10,9 +10,9 @@
 
 
 class NaiveQueue:
-    """Starts work strictly in order of arrival; the head waits for room.
+    """Starts jobs strictly in order of arrival; the first one blocks the rest.
 
-    :param skips: whether work that doesn't fit lets later work go first.
+    :param skips: whether later jobs may start before one that doesn't fit.
     """
 
     interval = timedelta()
@@ -21,10 +21,10 @@
         self._naive = NaiveScheduler(cell.mix.workers)
         self._skips = skips
         self._queue: deque[list[Task]] = deque()
-        self._has_room = True
+        self._may_fit = True
 
     def submit(self, cell: Cell, tasks: list[Task]) -> None:
-        """Append a job; a gang stays together."""
+        """Append a job to the queue; the tasks of a gang stay together."""
         if not any(
             fits(tasks[0].size, worker.size)
             and (not tasks[0].arrival.zones or worker.zone in tasks[0].arrival.zones)
@@ -37,37 +37,37 @@
             self._queue.append(tasks)
         else:
             self._queue.extend([task] for task in tasks)
-        self._has_room = True
+        self._may_fit = True
 
     def end(self, cell: Cell, task: Task, has_failed: bool) -> None:
-        """Free what a task held; a failed one goes to the end of the queue."""
+        """Release a task's resources; a failed task goes to the end of the queue."""
         self._naive.stop(task.name)
         if task.state == "waiting":
             self._queue.append([task])
-        self._has_room = True
+        self._may_fit = True
 
     def step(self, cell: Cell) -> None:
-        """Start the head of the queue as long as there is room for it."""
+        """Start jobs from the head of the queue while they fit."""
         if self._skips:
-            self._try_all(cell)
+            self._start_all_fitting(cell)
             return
-        while self._queue and self._try(cell, self._queue[0]):
+        while self._queue and self._start_if_fits(cell, self._queue[0]):
             self._queue.popleft()
 
-    def _try_all(self, cell: Cell) -> None:
-        if not self._has_room:
+    def _start_all_fitting(self, cell: Cell) -> None:
+        if not self._may_fit:
             return
-        self._has_room = False
+        self._may_fit = False
         waiting: deque[list[Task]] = deque()
         for _, jobs in groupby(self._queue, lambda tasks: tasks[0].arrival.job):
             is_full = False
             for tasks in jobs:
-                is_full = is_full or not self._try(cell, tasks)
+                is_full = is_full or not self._start_if_fits(cell, tasks)
                 if is_full:
                     waiting.append(tasks)
         self._queue = waiting
 
-    def _try(self, cell: Cell, tasks: list[Task]) -> bool:
+    def _start_if_fits(self, cell: Cell, tasks: list[Task]) -> bool:
         placed = self._naive.place_all([task.make_need() for task in tasks])
         if placed is None:
             return False
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,4 +1,7 @@
-"""Measures placement over recorded arrivals: ours, naive and a bound, in one run."""
+"""Measures placement over generated arrivals.
+
+One run compares the policy with a naive scheduler and with an upper bound.
+"""
 
 import gc
 import time
@@ -18,7 +21,7 @@
 from benchmarks.split import SplitPlacer, make_split
 from damaskdeck.protocol.resources import Urgency
 
-Make = Callable[[Cell], Scheduler]
+SchedulerFactory = Callable[[Cell], Scheduler]
 Figures = dict[str, Any]
 SEED = 1
 
@@ -26,7 +29,7 @@
 def run(quick: bool) -> Figures:
     """Replay all mixes.
 
-    :param quick: a shorter time of each mix.
+    :param quick: whether to replay a quarter of each mix's duration only.
     """
     factor = 0.25 if quick else 1.0
     figures: Figures = {}
@@ -38,7 +41,7 @@
 
 
 def compare(mix: Mix) -> Figures:
-    """Replay one mix with each scheduler and print their ratios."""
+    """Replay one mix with each scheduler and return the figures and their ratios."""
     bound = compute_fluid_bound(mix)
     ours = measure(mix, Policy, bound)
     naive = measure(mix, NaiveQueue, bound)
@@ -63,8 +66,11 @@
     return figures
 
 
-def measure(mix: Mix, make: Make, bound: list[float]) -> Figures:
-    """Replay one mix with one scheduler."""
+def measure(mix: Mix, make: SchedulerFactory, bound: list[float]) -> Figures:
+    """Replay one mix with one scheduler and return its figures.
+
+    :param bound: the work that can be delivered at most, by dimension.
+    """
     cell = Cell(mix)
     scheduler = make(cell)
     cell.scheduler = scheduler
@@ -76,46 +82,47 @@
         _divide(done, most)
         for done, most in zip(cell.delivered, bound, strict=True)
     ]  # fmt: skip
-    binding = max(range(3), key=lambda index: _find_load(mix, index))
-    stretch = cell.stretch
+    binding = max(range(3), key=lambda index: _compute_offered_load(mix, index))
+    contention = cell.contention
     figures: Figures = {
         "delivered": shares[binding],
         "delivered_by_dimension": shares,
-        "packing": _divide(stretch.binding, stretch.time),
+        "packing": _divide(contention.binding, contention.time),
         "packing_by_dimension": [
-            _divide(share, stretch.time) for share in stretch.shares
+            _divide(share, contention.time) for share in contention.shares
         ],
-        "time_with_work_waiting_s": round(stretch.time),
+        "time_with_work_waiting_s": round(contention.time),
         "stranded_accelerators": _divide(sum(cell.stranded), len(cell.stranded)),
-        "lost_core_seconds": round(cell.lost),
+        "lost_core_seconds": round(cell.lost_core_seconds),
         "counts": dict(cell.counts),
         "waiting": {
-            urgency.value: _describe(cell.list_waits(urgency)) for urgency in Urgency
+            urgency.value: _summarize_waits(cell.list_waits(urgency))
+            for urgency in Urgency
         },
         "elapsed_s": round(elapsed, 1),
     }
     if isinstance(scheduler, Policy):
-        figures.update(_describe_cost(scheduler))
+        figures.update(_summarize_cost(scheduler))
     return figures
 
 
-def _describe_cost(policy: Policy) -> Figures:
-    times = sorted(policy.decisions)
+def _summarize_cost(policy: Policy) -> Figures:
+    times = sorted(policy.decision_seconds)
     figures: Figures = {}
     if isinstance(policy.placer, SplitPlacer):
         placer = policy.placer
-        figures["refused_by_owners"] = _divide(placer.refused, placer.asked)
+        figures["refused_by_owners"] = _divide(placer.refusals, placer.requests)
     return figures | {
         "decisions": len(times),
-        "decisions_per_s": round(len(times) / policy.spent),
-        "decision_us": round(1e6 * policy.spent / len(times), 1),
+        "decisions_per_s": round(len(times) / policy.spent_seconds),
+        "decision_us": round(1e6 * policy.spent_seconds / len(times), 1),
         "decision_p50_us": round(1e6 * _quantile(times, 0.5), 1),
         "decision_p99_us": round(1e6 * _quantile(times, 0.99), 1),
         "running_at_end": policy.accounts.totals.tasks,
     }
 
 
-def _describe(waits: list[float]) -> Figures:
+def _summarize_waits(waits: list[float]) -> Figures:
     return {
         "tasks": len(waits),
         "p50": round(_quantile(waits, 0.5), 3),
@@ -132,7 +139,7 @@
     return round(a / b, 4) if b else 0.0
 
 
-def _find_load(mix: Mix, index: int) -> float:
+def _compute_offered_load(mix: Mix, index: int) -> float:
     end = mix.duration
     capacity = sum(worker.size[index] for worker in mix.workers)
     work = sum(
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,4 +1,7 @@
-"""The whole policy under the replay: queue, placement, preemption and gangs."""
+"""The complete scheduling policy in the replay.
+
+It combines the queue, placement, preemption, gangs, quarantine and backfill.
+"""
 
 import time
 from collections import deque
@@ -32,11 +35,11 @@
     WorkerAccounts,
 )
 
-PREEMPTING = (Urgency.URGENT, Urgency.HIGH)
+PREEMPTING_URGENCIES = (Urgency.URGENT, Urgency.HIGH)
 
 
 class CellClock:
-    """The clock of a cell, for those who only read it."""
+    """The clock of a cell, for components that only read the time."""
 
     def __init__(self, cell: Cell) -> None:
         self._cell = cell
@@ -47,10 +50,10 @@
 
 
 class Policy:
-    """One decider that sees all workers.
+    """A scheduler that sees all workers.
 
-    :param spent: processor seconds used by the policy.
-    :param decisions: processor seconds of each decision about a task or gang.
+    :ivar spent_seconds: seconds that all calls of the policy took.
+    :ivar decision_seconds: seconds of each decision about a task or gang.
     """
 
     interval = timedelta(milliseconds=10)
@@ -83,27 +86,27 @@
             self.accounts, clock, self._estimate, self.placer.find_refusal
         )
         self.placer.add_filter("planned", self.backfill.prepare)
-        self.spent = 0.0
-        self.decisions: list[float] = []
+        self.spent_seconds = 0.0
+        self.decision_seconds: list[float] = []
         self._tasks = cell.tasks
         self._jobs: dict[str, deque[Task]] = {}
-        self._cleared: dict[str, tuple[WaitingJob, set[str]]] = {}
-        self._clearing: dict[str, str] = {}
+        self._preempting_jobs: dict[str, tuple[WaitingJob, set[str]]] = {}
+        self._jobs_by_victim: dict[str, str] = {}
 
     def submit(self, cell: Cell, tasks: list[Task]) -> None:
-        """Queue a job."""
+        """Add a job to the queue."""
         started = time.perf_counter()
         arrival = tasks[0].arrival
         self._push(arrival.job, tasks)
-        self.spent += time.perf_counter() - started
+        self.spent_seconds += time.perf_counter() - started
 
     def end(self, cell: Cell, task: Task, has_failed: bool) -> None:
-        """Free what a task held and queue it again if it has to run again."""
+        """Release a task's resources, and queue the task if it has to run again."""
         started = time.perf_counter()
         self.accounts.release(task.name)
-        self._note_cleared(task.name)
-        self._note_run_time(cell, task)
-        self._note_quarantine(task, has_failed)
+        self._record_victim_end(task.name)
+        self._record_run_time(cell, task)
+        self._record_outcome(task, has_failed)
         rank = RANKS[task.arrival.urgency]
         self.quotas.release(task.arrival.team, task.size, rank)
         if has_failed:
@@ -111,34 +114,34 @@
         self.queue.unblock_fitting(self.accounts.workers[task.worker].free)
         if task.state == "waiting":
             self._push(task.name, [task])
-        self.spent += time.perf_counter() - started
+        self.spent_seconds += time.perf_counter() - started
 
     def step(self, cell: Cell) -> None:
-        """Decide about waiting jobs until nothing more fits."""
+        """Decide about the waiting jobs until no more of them fit."""
         started = time.perf_counter()
-        self._start_cleared(cell)
-        self._start_planned(cell)
-        self._pass_over(cell)
-        self.spent += time.perf_counter() - started
-
-    def _pass_over(self, cell: Cell) -> None:
-        turn = Pass(self.queue)
-        while (job := turn.next()) is not None:
-            moment = time.perf_counter()
-            self._decide(cell, turn, job)
-            self.decisions.append(time.perf_counter() - moment)
-
-    def _decide(self, cell: Cell, turn: Pass, job: WaitingJob) -> None:
+        self._start_preempting_jobs(cell)
+        self._start_planned_job(cell)
+        self._run_pass(cell)
+        self.spent_seconds += time.perf_counter() - started
+
+    def _run_pass(self, cell: Cell) -> None:
+        offers = Pass(self.queue)
+        while (job := offers.next()) is not None:
+            decision_started = time.perf_counter()
+            self._decide(cell, offers, job)
+            self.decision_seconds.append(time.perf_counter() - decision_started)
+
+    def _decide(self, cell: Cell, offers: Pass, job: WaitingJob) -> None:
         outcome = self._place_all(cell, job)
         if isinstance(outcome, Impossible):
             self._refuse(cell, job)
         elif isinstance(outcome, dict):
-            turn.take(job)
+            offers.take(job)
             self._start_all(cell, job, outcome)
-        elif job.urgency in PREEMPTING and self._preempt(cell, job):
-            turn.skip(job, "room is being cleared")
+        elif job.urgency in PREEMPTING_URGENCIES and self._preempt(cell, job):
+            offers.skip(job, "room is being cleared")
         else:
-            turn.fail(job, outcome.dimension)
+            offers.fail(job, outcome.dimension)
             if job.gang:
                 self._plan(cell, job)
 
@@ -147,26 +150,28 @@
         chosen = self.preemptor.choose_all([task.make_need() for task in tasks])
         if isinstance(chosen, NoVictims):
             return False
-        names = {
-            n for victims in chosen for n in victims.checkpointed + victims.stopped
+        victims = {
+            name
+            for chosen_victims in chosen
+            for name in chosen_victims.checkpointed + chosen_victims.stopped
         }
-        self._cleared[job.name] = job, names
-        for name in sorted(names):
-            self._clearing[name] = job.name
+        self._preempting_jobs[job.name] = job, victims
+        for name in sorted(victims):
+            self._jobs_by_victim[name] = job.name
             cell.stop(cell.tasks[name])
         return True
 
-    def _note_cleared(self, name: str) -> None:
+    def _record_victim_end(self, name: str) -> None:
         self.preemptor.record_end(name)
-        job_name = self._clearing.pop(name, None)
-        if job_name in self._cleared:
-            self._cleared[job_name][1].discard(name)
+        job_name = self._jobs_by_victim.pop(name, None)
+        if job_name in self._preempting_jobs:
+            self._preempting_jobs[job_name][1].discard(name)
 
-    def _start_cleared(self, cell: Cell) -> None:
-        """Start the tasks whose victims are all gone."""
-        ready = [job for job, names in self._cleared.values() if not names]
+    def _start_preempting_jobs(self, cell: Cell) -> None:
+        """Start the jobs all of whose preemption victims have ended."""
+        ready = [job for job, victims in self._preempting_jobs.values() if not victims]
         for job in ready:
-            del self._cleared[job.name]
+            del self._preempting_jobs[job.name]
             if job.name not in self.queue:
                 continue
             outcome = self._place_all(cell, job)
@@ -177,23 +182,23 @@
                 for task in islice(self._jobs[job.name], job.offered):
                     self.preemptor.drop_claim(task.name)
 
-    def _note_run_time(self, cell: Cell, task: Task) -> None:
-        is_whole = task.state == "completed" and task.left == task.arrival.run_time
+    def _record_run_time(self, cell: Cell, task: Task) -> None:
+        is_whole = task.state == "completed" and task.remaining == task.arrival.run_time
         run_time = cell.now - task.started if is_whole else None
         self.estimates.observe_end(task.arrival.workload, task.name, run_time)
 
-    def _note_quarantine(self, task: Task, has_failed: bool) -> None:
+    def _record_outcome(self, task: Task, has_failed: bool) -> None:
         succeeded = False if has_failed else task.state == "completed" or None
         arrival = task.arrival
         self.quarantine.record_end(
             task.worker, arrival.workload, arrival.job, task.name, succeeded
         )
-        self._close(task.worker)
+        self._update_quarantine(task.worker)
 
-    def _close(self, worker: str) -> None:
+    def _update_quarantine(self, worker: str) -> None:
         state = self.quarantine.find_state(worker)
-        is_closed = state is WorkerState.QUARANTINED
-        self.accounts.close_worker(worker, "quarantined" if is_closed else "")
+        is_quarantined = state is WorkerState.QUARANTINED
+        self.accounts.close_worker(worker, "quarantined" if is_quarantined else "")
 
     def _prepare_probes(self, need: TaskNeed) -> Predicate | None:
         isolated = self.quarantine.isolated
@@ -204,8 +209,8 @@
             account.name not in isolated or may_start(account.name, need.idempotent)
         )
 
-    def _start_planned(self, cell: Cell) -> None:
-        """Start the job that room is planned for as soon as it fits."""
+    def _start_planned_job(self, cell: Cell) -> None:
+        """Start the job with the planned reservation once its time has come."""
         self.backfill.refresh()
         plan = self.backfill.plan
         if plan is None or plan.start > cell.now:
@@ -234,7 +239,10 @@
         return placed
 
     def _place(self, need: TaskNeed) -> str | InsufficientCapacity | Impossible:
-        """Reserve room for a task, where it was cleared for it, or elsewhere."""
+        """Reserve capacity for a task, preferably where tasks were preempted for it.
+
+        :returns: the name of the worker, or why the task wasn't placed.
+        """
         claimed = self.preemptor.find_claim(need.task)
         if claimed and isinstance(self.accounts.reserve(need, claimed), Reserved):
             return claimed
@@ -245,7 +253,7 @@
         return outcome
 
     def _start_all(self, cell: Cell, job: WaitingJob, placed: dict[str, str]) -> None:
-        self._take(job)
+        self._remove_offered(job)
         self.backfill.drop_plan(job.name)
         for name, worker in placed.items():
             self.preemptor.drop_claim(name)
@@ -254,7 +262,7 @@
             cell.start(cell.tasks[name], worker)
 
     def _plan(self, cell: Cell, job: WaitingJob) -> None:
-        """Plan room for a job that needs much at once, if none is planned."""
+        """Plan a reservation for a gang, unless there is a plan already."""
         if self.backfill.plan is not None:
             return
         tasks = islice(self._jobs[job.name], job.offered)
@@ -290,7 +298,7 @@
             )
         )
 
-    def _take(self, job: WaitingJob) -> None:
+    def _remove_offered(self, job: WaitingJob) -> None:
         tasks = self._jobs[job.name]
         for _ in range(job.offered):
             tasks.popleft()
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -1,7 +1,8 @@
-"""Replays recorded arrivals against a scheduler on a clock that jumps.
+"""Replays arrivals against a scheduler as a discrete-event simulation.
 
-A loop over arrivals and ends of tasks: it knows what the scheduler may not
-(real run times, failing workers) and adds up waiting time and use.
+The events are arrivals of jobs and ends of tasks. The simulation knows what the
+scheduler can't know (actual run times, failing workers), and sums up waiting times
+and the use of workers.
 """
 
 import heapq
@@ -19,23 +20,29 @@
 FAILURE_TIME = timedelta(seconds=1)
 CHECKPOINT_TIME = timedelta(milliseconds=500)
 STOP_TIME = timedelta(milliseconds=100)
-ATTEMPTS = 10
-TICK = timedelta(seconds=2)
+MAX_ATTEMPTS = 10
+STEP_INTERVAL = timedelta(seconds=2)
 _SAMPLES = 200
 
 
 class Task:
-    """One task of an arrived job."""
+    """One task of a submitted job.
+
+    :ivar remaining: run time that is left.
+    :ivar waited: time from the arrival to the first start; None before it.
+    :ivar version: changes with each new event, so that older ones are ignored.
+    :ivar avoid: names of workers on which the task has failed.
+    """
 
     __slots__ = (
-        "arrival", "attempts", "avoid", "left", "name", "size", "started", "state",
-        "version", "waited", "worker",
+        "arrival", "attempts", "avoid", "remaining", "name", "size", "started",
+        "state", "version", "waited", "worker",
     )  # fmt: skip
 
     def __init__(self, arrival: Arrival, number: int) -> None:
         self.arrival = arrival
         self.name = f"{arrival.job}/{number}"
-        self.left = arrival.run_time
+        self.remaining = arrival.run_time
         self.size = arrival.declared
         self.state = "waiting"
         self.worker = ""
@@ -46,7 +53,7 @@
         self.avoid: frozenset[str] = frozenset()
 
     def make_need(self, size: Size | None = None) -> TaskNeed:
-        """Make what a scheduler is told of the task."""
+        """Return the task's requirements as the scheduler sees them."""
         arrival = self.arrival
         is_service = arrival.type == "service"
         return TaskNeed(
@@ -63,25 +70,30 @@
 
 
 class Scheduler(Protocol):
-    """What is measured.
+    """The scheduler under test.
 
-    :param interval: the least time between two calls of :meth:`step`.
+    :ivar interval: minimum time between two calls of :meth:`step`.
     """
 
     interval: timedelta
 
     def submit(self, cell: "Cell", tasks: list[Task]) -> None:
-        """Take the tasks of one job."""
+        """Accept the tasks of one job."""
 
     def end(self, cell: "Cell", task: Task, has_failed: bool) -> None:
-        """Note that a task no longer runs; ``task.state`` says whether it waits."""
+        """Handle the end of a task's run; ``task.state`` says whether it waits."""
 
     def step(self, cell: "Cell") -> None:
-        """Start and stop what should be, by the methods of ``cell``."""
+        """Start and stop tasks by calling the methods of ``cell``."""
+
 
+class ContentionTotals(NamedTuple):
+    """Totals over the time during which tasks waited.
 
-class Stretch(NamedTuple):
-    """Sums over the time while work waited, in seconds."""
+    :param time: seconds.
+    :param binding: integral of the share in use of the most used dimension.
+    :param shares: integrals of the share in use, by dimension.
+    """
 
     time: float = 0.0
     binding: float = 0.0
@@ -89,11 +101,13 @@
 
 
 class Cell:
-    """Runs tasks on the workers of a mix for a scheduler.
+    """Simulates the workers of a mix, and the tasks that a scheduler starts there.
 
-    :param waits: by class, how long each task waited for its first start; for
-        those that never started, until the end.
-    :param delivered: size times run time that was of use, by dimension.
+    :ivar waiting: number of waiting tasks.
+    :ivar lost_core_seconds: core seconds of work that was stopped without a
+        checkpoint.
+    :ivar delivered: size times run time of useful work, by dimension.
+    :ivar stranded: samples of the share of accelerators that are free but unusable.
     """
 
     def __init__(self, mix: Mix, scheduler: Scheduler | None = None) -> None:
@@ -103,24 +117,24 @@
         self.running: dict[str, Task] = {}
         self.waiting = 0
         self.counts: Counter[str] = Counter()
-        self.lost = 0.0
+        self.lost_core_seconds = 0.0
         self.delivered = [0.0, 0.0, 0.0]
-        self.stretch = Stretch()
+        self.contention = ContentionTotals()
         self.stranded: list[float] = []
         self.scheduler = scheduler
         self._events: list[tuple[timedelta, int, Task, int]] = []
-        self._has_news = False
-        self._left = 0
-        self._stepped = -TICK
-        self._order = itertools.count()
+        self._has_changes = False
+        self._waiting_after_step = 0
+        self._last_step = -STEP_INTERVAL
+        self._sequence = itertools.count()
         self._used = ZERO_SIZE
         self._free = {worker.name: worker.size for worker in mix.workers}
         sizes = zip(*(worker.size for worker in mix.workers), strict=True)
         self._capacity = Size(*map(sum, sizes))
-        self._reference = _find_reference(mix)
+        self._reference_size = _compute_reference_size(mix)
 
     def run(self) -> None:
-        """Replay all arrivals up to the end of the mix."""
+        """Replay all arrivals until the duration of the mix is over."""
         arrivals = iter([*self.mix.arrivals, None])
         arrival = next(arrivals)
         interval = self.mix.duration / _SAMPLES
@@ -130,9 +144,9 @@
             moment = min(event, arrival.time if arrival else self.mix.duration)
             moment = min(moment, self.mix.duration, sample)
             if self.waiting:
-                moment = min(moment, self._stepped + TICK)
-            if self._has_news:
-                moment = min(moment, self._stepped + self.scheduler.interval)
+                moment = min(moment, self._last_step + STEP_INTERVAL)
+            if self._has_changes:
+                moment = min(moment, self._last_step + self.scheduler.interval)
                 moment = max(moment, self.now)
             self._advance(moment)
             if moment >= self.mix.duration:
@@ -145,7 +159,7 @@
                 arrival = next(arrivals)
             self._end_tasks()
             self._step()
-        self._close()
+        self._finish()
 
     def start(self, task: Task, worker: str) -> None:
         """Start a waiting task on a worker."""
@@ -158,34 +172,37 @@
         if task.waited is None:
             task.waited = self.now - task.arrival.time
         self.running[task.name] = task
-        self._use(worker, task.size, 1)
+        self._update_usage(worker, task.size, 1)
         fails = worker in self.mix.failing
-        self._schedule(task, FAILURE_TIME if fails else task.left)
+        self._schedule(task, FAILURE_TIME if fails else task.remaining)
 
     def stop(self, task: Task) -> None:
-        """Let a running task save its progress, if it can, and stop it."""
+        """Stop a running task, after a checkpoint if the task supports it."""
         if task.state != "running":
             return
         done = self.now - task.started
         if task.arrival.checkpoint and task.worker not in self.mix.failing:
             self._deliver(task, done)
-            task.left -= done
+            task.remaining -= done
             self.counts["checkpointed"] += 1
         else:
-            self.lost += done.total_seconds() * task.size.millicores / 1000
+            self.lost_core_seconds += done.total_seconds() * task.size.millicores / 1000
             self.counts["stopped"] += 1
         task.state = "stopping"
-        is_saved = task.arrival.checkpoint
-        self._schedule(task, CHECKPOINT_TIME if is_saved else STOP_TIME)
+        can_checkpoint = task.arrival.checkpoint
+        self._schedule(task, CHECKPOINT_TIME if can_checkpoint else STOP_TIME)
 
     def refuse(self, task: Task) -> None:
-        """Note that the scheduler says that a task can never run."""
+        """Record that the scheduler refused a task that can never run."""
         task.state = "refused"
         self.waiting -= 1
         self.counts["refused"] += 1
 
     def list_waits(self, urgency: Urgency) -> list[float]:
-        """List how long the tasks of a class waited, in seconds, sorted."""
+        """Return the sorted waiting times of the tasks of an urgency, in seconds.
+
+        A task waits until its first start; one that never starts, until the end.
+        """
         waits = []
         for task in self.tasks.values():
             if task.arrival.urgency == urgency and task.state != "refused":
@@ -196,41 +213,41 @@
         return sorted(waits)
 
     def _step(self) -> None:
-        """Let the scheduler decide, if something is new or its tick has come."""
-        passed = self.now - self._stepped
-        is_due = self._has_news and passed >= self.scheduler.interval
-        if is_due or (self.waiting and passed >= TICK):
-            self._has_news = False
-            self._stepped = self.now
+        """Call the scheduler if something has changed or its interval is over."""
+        passed = self.now - self._last_step
+        is_due = self._has_changes and passed >= self.scheduler.interval
+        if is_due or (self.waiting and passed >= STEP_INTERVAL):
+            self._has_changes = False
+            self._last_step = self.now
             self.scheduler.step(self)
-            self._left = self.waiting
+            self._waiting_after_step = self.waiting
 
     def _submit(self, arrival: Arrival) -> None:
         tasks = [Task(arrival, number) for number in range(arrival.tasks)]
-        self._has_news = True
+        self._has_changes = True
         self.tasks.update((task.name, task) for task in tasks)
         self.waiting += len(tasks)
         self.scheduler.submit(self, tasks)
 
     def _schedule(self, task: Task, delay: timedelta) -> None:
         task.version += 1
-        event = (self.now + delay, next(self._order), task, task.version)
+        event = (self.now + delay, next(self._sequence), task, task.version)
         heapq.heappush(self._events, event)
 
     def _end_tasks(self) -> None:
         while self._events and self._events[0][0] <= self.now:
             _, _, task, version = heapq.heappop(self._events)
             if version == task.version:
-                self._has_news = True
+                self._has_changes = True
                 self._end(task)
 
     def _end(self, task: Task) -> None:
         del self.running[task.name]
-        self._use(task.worker, task.size, -1)
+        self._update_usage(task.worker, task.size, -1)
         has_failed = task.state == "running" and task.worker in self.mix.failing
         if task.state == "stopping":
             self._requeue(task)
-        elif has_failed and task.arrival.idempotent and task.attempts < ATTEMPTS:
+        elif has_failed and task.arrival.idempotent and task.attempts < MAX_ATTEMPTS:
             self.counts["retried"] += 1
             self._requeue(task)
         elif has_failed:
@@ -246,7 +263,7 @@
         task.state = "waiting"
         self.waiting += 1
 
-    def _use(self, worker: str, size: Size, sign: int) -> None:
+    def _update_usage(self, worker: str, size: Size, sign: int) -> None:
         change = add_sizes if sign > 0 else subtract_sizes
         free = subtract_sizes if sign > 0 else add_sizes
         self._used = change(self._used, size)
@@ -263,50 +280,53 @@
     def _advance(self, moment: timedelta) -> None:
         duration = (moment - self.now).total_seconds()
         self.now = moment
-        if not self._left or not duration:
+        if not self._waiting_after_step or not duration:
             return
         shares = [
             used / whole if whole else 0.0
             for used, whole in zip(self._used, self._capacity, strict=True)
         ]
-        stretch = self.stretch
-        self.stretch = Stretch(
-            stretch.time + duration,
-            stretch.binding + duration * max(shares),
+        contention = self.contention
+        self.contention = ContentionTotals(
+            contention.time + duration,
+            contention.binding + duration * max(shares),
             tuple(
                 total + duration * share
-                for total, share in zip(stretch.shares, shares, strict=True)
+                for total, share in zip(contention.shares, shares, strict=True)
             ),
         )
 
     def _sample(self) -> None:
-        """Note the share of accelerators that are free but can't be used."""
+        """Record the share of accelerators that are free but can't be used.
+
+        Those are on workers without the cores or memory for the reference size.
+        """
         if not self.waiting or not self._capacity[2]:
             return
         stranded = sum(
             free[2]
             for free in self._free.values()
-            if free[0] < self._reference[0] or free[1] < self._reference[1]
+            if free[0] < self._reference_size[0] or free[1] < self._reference_size[1]
         )
         self.stranded.append(stranded / self._capacity[2])
 
-    def _close(self) -> None:
+    def _finish(self) -> None:
         for task in self.running.values():
             if task.state == "running":
                 self._deliver(task, self.now - task.started)
 
 
 def compute_fluid_bound(mix: Mix) -> list[float]:
-    """Return the most work that could be delivered, by dimension.
+    """Return an upper bound of the work that can be delivered, by dimension.
 
-    A relaxation: the good workers are one, work is divisible, each dimension
-    is looked at alone, and a job may use as much at a time as there is.
+    It solves a relaxed problem: all healthy workers count as one, work is divisible,
+    each dimension is considered alone, and a job may use all capacity at once.
     """
     end = mix.duration.total_seconds()
-    good = [worker for worker in mix.workers if worker.name not in mix.failing]
+    healthy = [worker for worker in mix.workers if worker.name not in mix.failing]
     bound = []
     for index in range(3):
-        capacity = sum(worker.size[index] for worker in good)
+        capacity = sum(worker.size[index] for worker in healthy)
         backlog = served = now = 0.0
         for arrival in mix.arrivals:
             moment = arrival.time.total_seconds()
@@ -319,7 +339,7 @@
     return bound
 
 
-def _find_reference(mix: Mix) -> Size:
+def _compute_reference_size(mix: Mix) -> Size:
     """Return the median declared size of the tasks that need one accelerator."""
     sizes = [arrival.declared for arrival in mix.arrivals if arrival.declared[2] == 1]
     if not sizes:
