--- a/benchmarks/pool.py
+++ b/benchmarks/pool.py
@@ -1,4 +1,7 @@
-"""Waiting and fairness of a queue over one pool of resources, without placement."""
+"""Simulates a queue over one pool of resources, without placement.
+
+The benchmark of queueing measures waiting times and fairness with it.
+"""
 
 import heapq
 import math
@@ -18,7 +21,7 @@
 
 TEAMS = 120
 CAPACITY = Size(4_000_000, 16_000_000, 200)
-# Share of the jobs, and least and most run time in seconds, of each class.
+# Share of the jobs, and minimum and maximum run time in seconds, by urgency.
 CLASSES = {
     Urgency.URGENT: (0.35, 1, 5),
     Urgency.HIGH: (0.15, 5, 30),
@@ -28,68 +31,73 @@
 
 
 class PoolJob(NamedTuple):
-    """A job with the run time that only the benchmark knows."""
+    """A job with its actual run time, which the queue doesn't see."""
 
     waiting: WaitingJob
     run_time: timedelta
 
 
 class Pool:
-    """A queue's surroundings: the time, and the room that is left."""
+    """Simulates the time and the resources that a queue shares out.
+
+    :ivar running: ends of the running jobs, a number that orders equal ends, jobs.
+    :ivar use: resources in use by each team.
+    :ivar waits: seconds that jobs waited, by urgency.
+    """
 
     def __init__(self, capacity: Size = CAPACITY) -> None:
         self.now = timedelta()
         self.capacity = capacity
-        self.room = capacity
+        self.free = capacity
         self.running: list[tuple[timedelta, int, PoolJob]] = []
         self.use: dict[str, Size] = {}
         self.waits: dict[Urgency, list[float]] = {urgency: [] for urgency in Urgency}
         self._order = 0
 
     def monotonic(self) -> timedelta:
-        """Return the time, for those who take a clock."""
+        """Return the simulated time, so that the pool serves as a clock."""
         return self.now
 
     def start(self, job: PoolJob) -> None:
-        """Run a job."""
+        """Start a job."""
         waiting = job.waiting
         self._order += 1
         end = self.now + job.run_time
         heapq.heappush(self.running, (end, self._order, job))
-        self.room = subtract_sizes(self.room, waiting.size)
+        self.free = subtract_sizes(self.free, waiting.size)
         used = self.use.get(waiting.team, Size())
         self.use[waiting.team] = add_sizes(used, waiting.size)
         wait = (self.now - waiting.submitted).total_seconds()
         self.waits[waiting.urgency].append(wait)
 
     def end(self) -> PoolJob:
-        """End the job that ends next."""
+        """End the running job whose end is next, and return it."""
         job = heapq.heappop(self.running)[2]
         size = job.waiting.size
-        self.room = add_sizes(self.room, size)
+        self.free = add_sizes(self.free, size)
         used = self.use[job.waiting.team]
         self.use[job.waiting.team] = subtract_sizes(used, size)
         return job
 
 
-class PoolQueue(Protocol):
-    """What is compared."""
+class TestedQueue(Protocol):
+    """A queue under comparison."""
 
     def push(self, job: PoolJob) -> None:
-        """Let a job wait."""
+        """Add a job."""
 
     def end(self, job: PoolJob) -> None:
-        """Note that a job has ended."""
+        """Handle the end of a job."""
 
     def step(self, pool: Pool) -> None:
-        """Start what there is room for."""
+        """Start jobs that fit."""
 
     def list_waiting(self) -> Iterator[WaitingJob]:
-        """Yield the jobs that wait."""
+        """Yield the waiting jobs."""
 
 
 class ArrivalOrder:
-    """Starts jobs in order of arrival; the first one waits for room."""
+    """Starts jobs strictly in order of arrival; the first one blocks the rest."""
 
     def __init__(self, pool: Pool, quotas: Quotas) -> None:
         self._jobs: deque[PoolJob] = deque()
@@ -102,17 +110,17 @@
         """Do nothing."""
 
     def step(self, pool: Pool) -> None:
-        """Start the first jobs as long as they fit."""
-        while self._jobs and fits(self._jobs[0].waiting.size, pool.room):
+        """Start jobs from the head of the queue while they fit."""
+        while self._jobs and fits(self._jobs[0].waiting.size, pool.free):
             pool.start(self._jobs.popleft())
 
     def list_waiting(self) -> Iterator[WaitingJob]:
-        """Yield the jobs that wait."""
+        """Yield the waiting jobs."""
         return (job.waiting for job in self._jobs)
 
 
-class Ours:
-    """The queue of damaskdeck."""
+class DamaskdeckQueue:
+    """The job queue of damaskdeck."""
 
     def __init__(self, pool: Pool, quotas: Quotas) -> None:
         self._quotas = quotas
@@ -120,33 +128,33 @@
         self._jobs: dict[str, PoolJob] = {}
 
     def push(self, job: PoolJob) -> None:
-        """Let a job wait."""
+        """Add a job."""
         self._jobs[job.waiting.name] = job
         self._queue.push(job.waiting)
 
     def end(self, job: PoolJob) -> None:
-        """Give back what the job used."""
+        """Release the job's share of its team's quota."""
         waiting = job.waiting
         self._quotas.release(waiting.team, waiting.need, RANKS[waiting.urgency])
 
     def step(self, pool: Pool) -> None:
-        """Make one pass."""
-        self._queue.unblock_fitting(pool.room)
+        """Run one pass over the waiting jobs."""
+        self._queue.unblock_fitting(pool.free)
         offers = Pass(self._queue)
         while (waiting := offers.next()) is not None:
-            if fits(waiting.size, pool.room):
+            if fits(waiting.size, pool.free):
                 offers.take(waiting)
                 pool.start(self._jobs.pop(waiting.name))
             else:
                 offers.fail(waiting, "room")
 
     def list_waiting(self) -> Iterator[WaitingJob]:
-        """Yield the jobs that wait."""
+        """Yield the waiting jobs."""
         return (job.waiting for job in self._jobs.values())
 
 
 def make_quotas(seed: int, capacity: Size = CAPACITY) -> Quotas:
-    """Make equal quotas that use up the capacity, with weights of 1 and 2."""
+    """Return equal quotas that add up to the capacity, with weights of 1 and 2."""
     rng = random.Random(seed)
     quotas = Quotas(capacity)
     for team in range(TEAMS):
@@ -158,14 +166,15 @@
 def make_jobs(
     seed: int, duration: float, load: float, one_class: bool
 ) -> list[PoolJob]:
-    """Draw jobs of teams that ask for very different amounts.
+    """Draw jobs; the teams' demands differ widely.
 
-    :param load: work that arrives, as a share of what the pool can do.
-    :param one_class: give all jobs the class ``normal``.
+    :param duration: seconds during which jobs arrive.
+    :param load: arriving work as a share of the pool's capacity.
+    :param one_class: whether all jobs have the urgency ``normal``.
     """
     rng = random.Random(seed)
     jobs, time, number = [], 0.0, 0
-    rate = _find_rate(load)
+    rate = _compute_rate(load)
     while (time := time + rng.expovariate(rate)) < duration:
         number += 1
         urgency = rng.choices(list(CLASSES), [c[0] for c in CLASSES.values()])[0]
@@ -183,38 +192,47 @@
     return jobs
 
 
-class Service:
-    """What each team got, against what filling up all evenly would give it.
+class FairnessMeter:
+    """Compares the teams' dominant shares with those of max-min fair sharing.
 
-    :param greatest_lack: of any team at any time, as a share of the capacity.
+    :ivar max_deficit: highest deficit of any team in any sample, as a share of the
+        capacity.
     """
 
     def __init__(self, weights: dict[str, float]) -> None:
-        self.greatest_lack = 0.0
+        self.max_deficit = 0.0
         self._weights = weights
-        self._due: dict[str, float] = {}
-        self._got: dict[str, float] = {}
+        self._fair_totals: dict[str, float] = {}
+        self._received_totals: dict[str, float] = {}
 
-    def sample(self, pool: Pool, queue: PoolQueue) -> None:
-        """Compare the dominant shares of all teams with their fair ones now."""
+    def sample(self, pool: Pool, queue: TestedQueue) -> None:
+        """Compare the current dominant shares of all teams with the fair shares."""
         demand = dict(pool.use)
         for job in queue.list_waiting():
             demand[job.team] = add_sizes(demand.get(job.team, Size()), job.size)
         weights = {team: self._weights.get(team, 1.0) for team in demand}
-        fair = _fill_evenly(demand, weights, pool.capacity)
-        for team, due in fair.items():
-            got = compute_dominant_share(pool.use.get(team, Size()), pool.capacity)
-            self._due[team] = self._due.get(team, 0.0) + due
-            self._got[team] = self._got.get(team, 0.0) + min(got, due)
-            self.greatest_lack = max(self.greatest_lack, due - got)
+        fair_shares = _fill_evenly(demand, weights, pool.capacity)
+        for team, fair_share in fair_shares.items():
+            received = compute_dominant_share(pool.use.get(team, Size()), pool.capacity)
+            self._fair_totals[team] = self._fair_totals.get(team, 0.0) + fair_share
+            self._received_totals[team] = self._received_totals.get(team, 0.0) + min(
+                received, fair_share
+            )
+            self.max_deficit = max(self.max_deficit, fair_share - received)
 
     def list_shares(self) -> list[float]:
-        """List which part of its fair share each team got over time, sorted."""
-        return sorted(self._got[team] / due for team, due in self._due.items() if due)
+        """Return the sorted ratios of received to fair share over time, by team."""
+        return sorted(
+            self._received_totals[team] / fair_share
+            for team, fair_share in self._fair_totals.items()
+            if fair_share
+        )
 
 
-def replay(jobs: list[PoolJob], pool: Pool, queue: PoolQueue, service: Service) -> None:
-    """Run all arrivals, then count those that still wait as having waited."""
+def replay(
+    jobs: list[PoolJob], pool: Pool, queue: TestedQueue, meter: FairnessMeter
+) -> None:
+    """Replay all arrivals; jobs that never start count as waiting until the end."""
     sample = timedelta(seconds=60)
     end = jobs[-1].waiting.submitted
     arrivals = iter(jobs)
@@ -225,7 +243,7 @@
         pool.now = min(*moments, sample) if moments else sample
         if pool.now >= sample:
             sample += timedelta(seconds=10)
-            service.sample(pool, queue)
+            meter.sample(pool, queue)
         while arrival and arrival.waiting.submitted <= pool.now:
             queue.push(arrival)
             arrival = next(arrivals, None)
@@ -239,7 +257,10 @@
 def _fill_evenly(
     demand: dict[str, Size], weights: dict[str, float], capacity: Size
 ) -> dict[str, float]:
-    """Raise all weighted dominant shares together until a dimension is full."""
+    """Return the weighted max-min fair dominant shares by team.
+
+    All shares grow together until a dimension is exhausted.
+    """
     wanted = {team: compute_dominant_share(demand[team], capacity) for team in demand}
     low, high = 0.0, 1.0
     for _ in range(40):
@@ -265,7 +286,7 @@
     return Size(2000, rng.choice((32_000, 64_000)), 0)
 
 
-def _find_rate(load: float) -> float:
+def _compute_rate(load: float) -> float:
     rng = random.Random(0)
     work = [0.0, 0.0, 0.0]
     count = 4000
--- a/benchmarks/queueing.py
+++ b/benchmarks/queueing.py
@@ -1,4 +1,4 @@
-"""Measures the queue: operations, passes, waves, waiting, fairness and learning."""
+"""Measures the queue: single operations, bursts, passes, waiting and fairness."""
 
 import random
 import time
@@ -11,9 +11,9 @@
     CAPACITY,
     TEAMS,
     ArrivalOrder,
-    Ours,
+    DamaskdeckQueue,
+    FairnessMeter,
     Pool,
-    Service,
     make_jobs,
     make_quotas,
     replay,
@@ -26,14 +26,14 @@
 
 Figures = dict[str, Any]
 SEED = 1
-WAITING = 4000
-CANCELLED = 10_000
+WAITING_JOBS = 4000
+CANCELLED_JOBS = 10_000
 
 
 def run(quick: bool) -> Figures:
-    """Measure everything.
+    """Run all measurements.
 
-    :param quick: shorter replays.
+    :param quick: whether to replay a shorter time.
     """
     return {
         "operations": measure_operations(),
@@ -44,9 +44,12 @@
 
 
 def measure_operations() -> Figures:
-    """Measure single operations and the waves of the brief."""
+    """Measure single operations in bursts of submissions and cancellations.
+
+    The bursts have the two sizes that the users' brief states.
+    """
     figures: Figures = {}
-    for count in (WAITING, CANCELLED):
+    for count in (WAITING_JOBS, CANCELLED_JOBS):
         queue = JobQueue(Pool(), make_quotas(SEED))
         jobs = draw_jobs(count)
         tracemalloc.start()
@@ -55,7 +58,7 @@
         tracemalloc.stop()
         queue.remove_all([job.name for job in jobs])
         pushing = _time(lambda: queue.push_all(jobs))  # noqa: B023
-        work = queue.work
+        work_before = queue.work
         names = [job.name for job in jobs]
         random.Random(SEED).shuffle(names)
         removing = _time(lambda: queue.remove_all(names))  # noqa: B023
@@ -64,26 +67,26 @@
             "remove_us": round(1e6 * removing / count, 2),
             "submissions_ms": round(1e3 * pushing, 1),
             "cancellations_ms": round(1e3 * removing, 1),
-            "steps_per_cancellation": round((queue.work - work) / count, 2),
+            "steps_per_cancellation": round((queue.work - work_before) / count, 2),
             "bytes_per_job": round(memory / count),
         }
     return figures
 
 
 def measure_passes() -> Figures:
-    """Measure passes over 4,000 jobs of 120 teams."""
+    """Measure passes over 4,000 waiting jobs of 120 teams."""
     figures: Figures = {}
     for shapes in (8, 64, 1000):
         pool, quotas = Pool(), make_quotas(SEED)
         queue = JobQueue(pool, quotas)
-        queue.push_all(draw_jobs(WAITING, shapes))
+        queue.push_all(draw_jobs(WAITING_JOBS, shapes))
         first = _time(lambda: _fail_all(queue))  # noqa: B023
         next_one = min(_time(lambda: _fail_all(queue)) for _ in range(20))  # noqa: B023
         queue.unblock_fitting(Size(2000, 4096, 0))
         after_room = _time(lambda: _fail_all(queue))  # noqa: B023
         queue.unblock_fitting(Size(1 << 40, 1 << 40, 1 << 20))
-        _take_all(queue, WAITING)
-        at_quota = min(_time(lambda: _take_all(queue, WAITING)) for _ in range(5))  # noqa: B023
+        _take_all(queue, WAITING_JOBS)
+        at_quota = min(_time(lambda: _take_all(queue, WAITING_JOBS)) for _ in range(5))  # noqa: B023
         for team in quotas.list_teams():
             quotas.set_quota(team, Size(1 << 40, 1 << 40, 1 << 20))
         started = time.process_time()
@@ -101,16 +104,16 @@
 
 
 def compare_waiting(duration: float) -> Figures:
-    """Compare waiting times by class with a queue in order of arrival."""
+    """Compare waiting times by urgency with those of a queue in arrival order."""
     jobs = make_jobs(SEED, duration, 1.1, one_class=False)
     figures: Figures = {"jobs": len(jobs)}
-    for name, make in (("ours", Ours), ("arrival_order", ArrivalOrder)):
+    for name, make in (("ours", DamaskdeckQueue), ("arrival_order", ArrivalOrder)):
         pool = Pool()
         started = time.process_time()
         quotas = make_quotas(SEED)
-        replay(jobs, pool, make(pool, quotas), Service({}))
+        replay(jobs, pool, make(pool, quotas), FairnessMeter({}))
         figures[name] = {
-            urgency.value: _describe(pool.waits[urgency]) for urgency in Urgency
+            urgency.value: _summarize(pool.waits[urgency]) for urgency in Urgency
         }
         figures[name]["elapsed_s"] = round(time.process_time() - started, 2)
     ours, other = figures["ours"]["urgent"], figures["arrival_order"]["urgent"]
@@ -119,7 +122,10 @@
 
 
 def compare_fairness(duration: float) -> Figures:
-    """Compare what the teams got of their fair shares, without quotas that bind."""
+    """Compare the teams' shares with their fair shares, with quotas out of the way.
+
+    Each team's quota is the whole capacity.
+    """
     jobs = make_jobs(SEED, duration, 1.5, one_class=True)
     figures: Figures = {"teams": TEAMS, "jobs": len(jobs)}
     weights = {
@@ -127,24 +133,27 @@
         for quotas in [make_quotas(SEED)]
         for team in quotas.list_teams()
     }
-    for name, make in (("ours", Ours), ("arrival_order", ArrivalOrder)):
+    for name, make in (("ours", DamaskdeckQueue), ("arrival_order", ArrivalOrder)):
         pool, quotas = Pool(), make_quotas(SEED)
         for team, weight in weights.items():
             quotas.set_quota(team, CAPACITY, weight)
-        service = Service(weights)
-        replay(jobs, pool, make(pool, quotas), service)
-        shares = service.list_shares()
+        meter = FairnessMeter(weights)
+        replay(jobs, pool, make(pool, quotas), meter)
+        shares = meter.list_shares()
         figures[name] = {
             "least_served_team": round(shares[0], 3),
             "tenth_of_teams": round(shares[len(shares) // 10], 3),
             "median_team": round(shares[len(shares) // 2], 3),
-            "greatest_lack_at_once": round(service.greatest_lack, 4),
+            "greatest_lack_at_once": round(meter.max_deficit, 4),
         }
     return figures
 
 
 def draw_jobs(count: int, shapes: int = 64) -> list[WaitingJob]:
-    """Draw waiting jobs of all teams and classes."""
+    """Draw waiting jobs of all teams and urgencies.
+
+    :param shapes: number of different sizes.
+    """
     rng = random.Random(SEED)
     sizes = [
         Size(
@@ -179,7 +188,7 @@
     return taken
 
 
-def _describe(waits: list[float]) -> Figures:
+def _summarize(waits: list[float]) -> Figures:
     waits = sorted(waits)
     if not waits:
         return {"jobs": 0}
@@ -191,7 +200,7 @@
     }
 
 
-def _time(work: Callable[[], object]) -> float:
+def _time(action: Callable[[], object]) -> float:
     started = time.process_time()
-    work()
+    action()
     return time.process_time() - started
