--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -1,4 +1,4 @@
-"""Measures quarantine: how soon failing workers are held, and good ones by mistake."""
+"""Measures how soon failing workers are quarantined, and how many healthy ones."""
 
 import heapq
 import random
@@ -12,88 +12,95 @@
 
 Figures = dict[str, Any]
 SEED = 1
-# A failing worker ends everything at once, so it has room more often.
-DRAW = 6
-RUN_TIME = (20, 120)
+# A failing worker ends its tasks at once and so has free capacity more often; it is
+# drawn this many times as often as a healthy one.
+FAILING_WORKER_WEIGHT = 6
+RUN_TIME_SECONDS = (20, 120)
 
 
 class Cell:
-    """Workers that get random tasks of random workloads.
+    """Simulates workers that get random tasks of random workloads.
 
-    :param failing: how many workers fail whatever they start.
-    :param broken: how many workloads fail wherever they run.
+    :param failing: number of workers that fail every task.
+    :param broken_workloads: number of workloads that fail on every worker.
+    :ivar quarantined_at: second at which a failing worker was first quarantined.
     """
 
-    def __init__(self, workers: int, failing: int, loads: int, broken: int) -> None:
+    def __init__(
+        self, workers: int, failing: int, workloads: int, broken_workloads: int
+    ) -> None:
         self.rng = random.Random(SEED)
         self.clock = ManualClock()
         self.quarantine = Quarantine(self.clock, FailureHistory())
         self.workers = [f"w{number}" for number in range(workers)]
         self.quarantine.set_fleet(frozenset(self.workers))
         self.failing = frozenset(self.rng.sample(self.workers, failing))
-        self.loads = loads
-        self.broken = broken
+        self.workloads = workloads
+        self.broken_workloads = broken_workloads
         self.ends: list[tuple[int, int, str, str, bool]] = []
         self.started = 0
-        self.wasted = 0
-        self.held_good: set[str] = set()
-        self.first_held: dict[str, int] = {}
+        self.starts_on_failing = 0
+        self.healthy_quarantined: set[str] = set()
+        self.quarantined_at: dict[str, int] = {}
 
     def run(self, duration: int, rate: int) -> Figures:
-        """Start ``rate`` tasks a second for ``duration`` seconds."""
-        weights = [DRAW if name in self.failing else 1 for name in self.workers]
+        """Start ``rate`` tasks per second for ``duration`` seconds."""
+        weights = [
+            FAILING_WORKER_WEIGHT if name in self.failing else 1
+            for name in self.workers
+        ]
         began = time.process_time()
         for second in range(duration):
             self.clock.move(timedelta(seconds=1))
             self._end(second)
-            self._note_held(second)
+            self._record_quarantined(second)
             for worker in self.rng.choices(self.workers, weights, k=rate):
                 if self.quarantine.may_start(worker, True):
                     self._start(second, worker)
         spent = time.process_time() - began
         isolated = self.quarantine.isolated
-        times = sorted(self.first_held.values())
+        times = sorted(self.quarantined_at.values())
         return {
             "failing_held": f"{len(isolated & self.failing)} of {len(self.failing)}",
             "held_after_s_p50": times[len(times) // 2] if times else None,
             "held_after_s_most": times[-1] if times else None,
-            "good_ever_held": len(self.held_good),
+            "good_ever_held": len(self.healthy_quarantined),
             "good_held_at_end": len(isolated - self.failing),
             "cap": self.quarantine.cap,
             "starts": self.started,
-            "starts_on_failing": self.wasted,
+            "starts_on_failing": self.starts_on_failing,
             "us_per_task": round(1e6 * spent / self.started, 1),
         }
 
     def _start(self, second: int, worker: str) -> None:
         self.started += 1
-        load = self.rng.randrange(self.loads)
-        ends_well = load >= self.broken and worker not in self.failing
-        self.wasted += worker in self.failing
+        workload = self.rng.randrange(self.workloads)
+        will_succeed = workload >= self.broken_workloads and worker not in self.failing
+        self.starts_on_failing += worker in self.failing
         task = f"task-{self.started}"
         self.quarantine.record_start(worker, task)
-        end = second + (self.rng.randint(*RUN_TIME) if ends_well else 1)
-        entry = (end, self.started, worker, f"load-{load}", ends_well)
+        end = second + (self.rng.randint(*RUN_TIME_SECONDS) if will_succeed else 1)
+        entry = (end, self.started, worker, f"load-{workload}", will_succeed)
         heapq.heappush(self.ends, entry)
 
     def _end(self, second: int) -> None:
         while self.ends and self.ends[0][0] <= second:
-            _, number, worker, load, ended_well = heapq.heappop(self.ends)
+            _, number, worker, workload, succeeded = heapq.heappop(self.ends)
             task = f"task-{number}"
-            self.quarantine.record_end(worker, load, task, task, ended_well)
+            self.quarantine.record_end(worker, workload, task, task, succeeded)
 
-    def _note_held(self, second: int) -> None:
+    def _record_quarantined(self, second: int) -> None:
         for worker in self.quarantine.isolated:
             if worker in self.failing:
-                self.first_held.setdefault(worker, second)
+                self.quarantined_at.setdefault(worker, second)
             else:
-                self.held_good.add(worker)
+                self.healthy_quarantined.add(worker)
 
 
 def run(quick: bool) -> Figures:
-    """Measure the target size and a cell of today.
+    """Measure a fleet of the target size and one of an existing deployment's size.
 
-    :param quick: a shorter time.
+    :param quick: whether to simulate a shorter time.
     """
     duration = 200 if quick else 600
     figures: Figures = {}
