--- a/benchmarks/passes.py
+++ b/benchmarks/passes.py
@@ -1,8 +1,8 @@
-"""What a decision of the pools' dispatcher costs, by the number of workers.
+"""Measures the cost of a decision of the pools' dispatcher by number of workers.
 
-A full pool with fifty steps waiting, as an owner at its peak has: each run that ends
-makes room for one start. Measured is the processor time from the end to the order,
-without what calls to workers cost.
+The pool is full and fifty steps wait, as for an owner at peak load, so that each run
+that ends frees capacity for one start. The time from the end to the order is
+measured, without the cost of calls to workers.
 """
 
 import asyncio
@@ -32,40 +32,50 @@
 from damaskdeck.state.jobrecords import JobRecord
 from damaskdeck.state.pooljobs import Job, JobIndex, Run, RunPhase
 
-FLEETS = (24, 175, 270, 790)
-STEPS = 50
+FLEET_SIZES = (24, 175, 270, 790)
+WAITING_STEPS = 50
 DECISIONS = 400
-# A decision is one of so many that a worker's end makes possible for any step.
-CONSENT_EVERY = 3
-ROOM = Size(16_000, 64_000, 0)
-TASK = Size(4_000, 4_000, 0)
+# The advisor consents to one of this many workers for each step.
+CONSENT_PERIOD = 3
+WORKER_SIZE = Size(16_000, 64_000, 0)
+TASK_SIZE = Size(4_000, 4_000, 0)
 BOUNDS = PoolBounds(
     timedelta(seconds=6), timedelta(seconds=1), timedelta(seconds=6), timedelta(120)
 )
-TERMS = AdvisorTiming(timedelta(milliseconds=20), timedelta(), timedelta(seconds=3600))
+ADVISOR_TIMING = AdvisorTiming(
+    timedelta(milliseconds=20), timedelta(), timedelta(seconds=3600)
+)
 QUEUE = Queue(
-    "quick", "a.example", "/quick/", "hub", 0, 3, 3.0, timedelta(seconds=9), TERMS
+    "quick",
+    "a.example",
+    "/quick/",
+    "hub",
+    0,
+    3,
+    3.0,
+    timedelta(seconds=9),
+    ADVISOR_TIMING,
 )
 
 
 def run(quick: bool = False) -> dict:
-    """Return the median microseconds of a decision, by workers."""
+    """Return the median and mean microseconds of a decision by number of workers."""
     decisions = DECISIONS // 10 if quick else DECISIONS
-    fleets = FLEETS[:2] if quick else FLEETS
+    fleets = FLEET_SIZES[:2] if quick else FLEET_SIZES
     return {
         str(workers): asyncio.run(_measure(workers, decisions)) for workers in fleets
     }
 
 
 class _Workers:
-    """Confirms every order."""
+    """A worker client that confirms every order."""
 
     async def start(self, worker, epoch, order):
         return Done(timedelta())
 
 
 class _Owner:
-    """As much of an owner as the dispatcher asks for."""
+    """The part of a pool owner that the dispatcher uses."""
 
     def __init__(self) -> None:
         self.term = OwnerTerm(1, 1, 1, None)
@@ -87,15 +97,15 @@
         return max(task.attempt for task in tasks) + 1
 
     def charge(self, run: Run) -> None:
-        """Count a run that takes room."""
+        """Charge a run to its client account's limits."""
         self.account_limits.charge(run)
 
     def release(self, run: Run) -> None:
-        """Count a run no longer."""
+        """Release a run from its client account's limits."""
         self.account_limits.release(run)
 
     def record_running(self, run: Run) -> None:
-        """Nothing follows from it here."""
+        """Do nothing."""
 
 
 async def _measure(workers: int, decisions: int) -> dict[str, float]:
@@ -103,15 +113,19 @@
     advice_scheduler = AdviceScheduler(None, clock, list, lambda step: None)
     dispatcher = Dispatcher(owner, clock, derive_times(BOUNDS), advice_scheduler)
     numbers = itertools.count()
-    running = [run for n in range(workers) for run in _fill(_add(owner, clock, n))]
+    running = [
+        run
+        for n in range(workers)
+        for run in _start_runs(_add_contact(owner, clock, n))
+    ]
     jobs = [
         _submit(owner, dispatcher, advice_scheduler, f"{next(numbers):016x}")
-        for _ in range(STEPS)
+        for _ in range(WAITING_STEPS)
     ]
     dispatcher._pass()
     costs = []
     for number in range(decisions):
-        while sum(map(_is_waiting, jobs)) < STEPS:
+        while sum(map(_is_waiting, jobs)) < WAITING_STEPS:
             jobs = [job for job in jobs if _is_waiting(job)]
             jobs.append(
                 _submit(owner, dispatcher, advice_scheduler, f"{next(numbers):016x}")
@@ -121,7 +135,7 @@
         contact = owner.contacts[run.worker]
         began = time.perf_counter()
         contact.remove_run(run)
-        dispatcher.record_end(contact, run.task, _end(run), run)
+        dispatcher.record_end(contact, run.task, _make_end(run), run)
         dispatcher.handle_freed_capacity(contact)
         dispatcher._pass()
         costs.append(1e6 * (time.perf_counter() - began))
@@ -134,9 +148,14 @@
     }
 
 
-def _add(owner: _Owner, clock: SystemClock, number: int) -> WorkerContact:
+def _add_contact(owner: _Owner, clock: SystemClock, number: int) -> WorkerContact:
     info = PoolWorker(
-        f"w{number}", "hub", f"10.0.0.1:{number}", f"z{number % 5}", ROOM, frozenset()
+        f"w{number}",
+        "hub",
+        f"10.0.0.1:{number}",
+        f"z{number % 5}",
+        WORKER_SIZE,
+        frozenset(),
     )
     term, times = owner.term, derive_times(BOUNDS)
     contact = WorkerContact(
@@ -149,10 +168,10 @@
     return contact
 
 
-def _fill(contact: WorkerContact) -> list[Run]:
-    """Let other jobs' tasks take all the room."""
-    count = ROOM.millicores // TASK.millicores
-    tasks = _build(f"full-{contact.info.identifier}", count).occurrences[0][0].tasks
+def _start_runs(contact: WorkerContact) -> list[Run]:
+    """Fill a worker with running tasks of another job."""
+    count = WORKER_SIZE.millicores // TASK_SIZE.millicores
+    tasks = _make_job(f"full-{contact.info.identifier}", count).occurrences[0][0].tasks
     runs = []
     for task in tasks:
         run = Run(task, contact.info.identifier, 1, time.monotonic())
@@ -167,8 +186,8 @@
     return any(task.is_waiting for step in job.list_steps() for task in step.tasks)
 
 
-def _build(identifier: str, tasks: int = 1) -> Job:
-    spec = JobSpec("", (StepSpec(tasks, TASK, timedelta(seconds=1)),))
+def _make_job(identifier: str, tasks: int = 1) -> Job:
+    spec = JobSpec("", (StepSpec(tasks, TASK_SIZE, timedelta(seconds=1)),))
     return Job(JobRecord(identifier, QUEUE, spec, 1, 0.0, ()), time.monotonic())
 
 
@@ -178,11 +197,11 @@
     advice_scheduler: AdviceScheduler,
     identifier: str,
 ) -> Job:
-    job = _build(identifier)
+    job = _make_job(identifier)
     owner.job_index.add(job)
     step_advice = advice_scheduler.get(job.occurrences[0][0])
     for number, worker in enumerate(owner.contacts):
-        if (number + int(identifier, 16)) % CONSENT_EVERY:
+        if (number + int(identifier, 16)) % CONSENT_PERIOD:
             step_advice.refused.add(worker)
         else:
             step_advice.tickets[worker] = ("ticket", time.monotonic() + 3600)
@@ -190,5 +209,5 @@
     return job
 
 
-def _end(run: Run) -> EndedTask:
+def _make_end(run: Run) -> EndedTask:
     return EndedTask(1, run.task.name, run.attempt, EndKind.COMPLETED, "")
