--- a/benchmarks/sizing.py
+++ b/benchmarks/sizing.py
@@ -1,4 +1,4 @@
-"""Works out from measured slopes what daemons spend at a given size."""
+"""Computes the cost of daemons in a deployment of a given size from fitted slopes."""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
@@ -9,20 +9,20 @@
 
 SECONDS_PER_DAY = 86_400
 MEASURED_DAEMONS_PER_ZONE = 3
-# Failures and replacements of an ordinary day, each of which changes the list.
+# Failures and replacements on an ordinary day; each changes the platform's list.
 LIST_CHANGES_PER_DAY = 8 + 51
-# Of an instance in the platform's list; see docs/design/ports.md.
-BYTES_PER_LISTED = 99
+# Size of an instance in the platform's list; see docs/design/ports.md.
+BYTES_PER_LISTED_INSTANCE = 99
 
 
 class Scale(NamedTuple):
     """The size of a deployment.
 
-    :param daemons: on all zones together, all alike.
-    :param tasks: running at once.
-    :param starts: of tasks, a second, at the peak.
-    :param changes: of configuration, a day.
-    :param ledgers: share the jobs evenly.
+    :param daemons: number of daemons in all zones; each has the same load.
+    :param tasks: number of tasks that run at the same time.
+    :param starts: task starts per second at the peak.
+    :param changes: changes of the configuration per day.
+    :param ledgers: number of ledgers, over which the jobs are spread evenly.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
 
 def scale_down(name: str, zones: int, daemons: int, workers: int) -> Scale:
-    """Return a smaller deployment with the target's load for each worker."""
+    """Return a smaller deployment with the load per worker of the target size."""
     share = workers / TARGET.workers
     return Scale(
         name,
@@ -58,14 +58,14 @@
 
 
 class Cost(NamedTuple):
-    """What a daemon spends, a second where nothing else is said.
-
-    :param processor: milliseconds; ten are 1 % of a core.
-    :param memory: resident megabytes.
-    :param messages: sent to peers.
-    :param peer_bytes: sent to and received from peers, without framing.
-    :param platform_bytes: both ways, of the store and the instance list.
-    :param worker_bytes: both ways.
+    """The resources that a daemon uses, per second except for memory.
+
+    :param processor: processor time in milliseconds; 10 ms are 1 % of a core.
+    :param memory: resident memory in megabytes.
+    :param messages: messages sent to peers.
+    :param peer_bytes: bytes sent to and received from peers, without framing.
+    :param platform_bytes: bytes exchanged with the store and the instance list.
+    :param worker_bytes: bytes exchanged with workers.
     """
 
     processor: float = 0.0
@@ -77,11 +77,11 @@
 
     @property
     def all_bytes(self) -> float:
-        """Bytes on all connections for control."""
+        """Bytes on all connections of the control plane."""
         return self.peer_bytes + self.platform_bytes + self.worker_bytes
 
     def plus(self, *others: "Cost") -> "Cost":
-        """Return the sum of costs."""
+        """Return the sum of this cost and the others."""
         return Cost(*map(sum, zip(self, *others, strict=True)))
 
     def times(self, factor: float) -> "Cost":
@@ -90,7 +90,7 @@
 
 
 class Slopes:
-    """The lines of a run of the benchmark.
+    """The fitted lines of one run of the capacity benchmark.
 
     :param figures: the contents of docs/capacity.json.
     """
@@ -100,17 +100,17 @@
         self._lines = figures["lines"]
 
     def get_slope(self, name: str) -> float:
-        """Return a slope; 0 where the figure never was other than 0."""
+        """Return a slope; 0 for a figure that was 0 at all points."""
         line = self._lines.get(name)
         return line["slope"] if line else 0.0
 
     def get_value(self, name: str, driver: float) -> float:
-        """Return a line's value."""
+        """Return a line's value at ``driver``; 0 if there is no such line."""
         line = self._lines.get(name)
         return line["intercept"] + line["slope"] * driver if line else 0.0
 
-    def measure_growth(self, experiment: str, role: str) -> Cost:
-        """Return what one more unit of an experiment's driver costs a daemon."""
+    def compute_unit_cost(self, experiment: str, role: str) -> Cost:
+        """Return a daemon's cost of one more unit of an experiment's driver."""
         get = self.get_slope
         prefix = f"{experiment}/{role}"
         return Cost(
@@ -120,8 +120,8 @@
             peer_bytes=get(f"{prefix}/peer_bytes in") + get(f"{prefix}/peer_bytes out"),
         )
 
-    def measure_peer(self, zones: int) -> Cost:
-        """Return what a daemon spends on being one, in so many zones."""
+    def compute_peer_cost(self, zones: int) -> Cost:
+        """Return the cost of an idle daemon in a deployment of ``zones`` zones."""
         daemons = zones * MEASURED_DAEMONS_PER_ZONE
         prefix = "zones/peer"
         get = self.get_value
@@ -134,37 +134,42 @@
             platform_bytes=get("zones/platform/platform bytes", zones) / daemons,
         )
 
-    def measure_owner(self, experiment: str) -> Cost:
-        """Return what one more worker, task or start a second costs its owner."""
-        growth = self.measure_growth(experiment, "owner")
+    def compute_owner_cost(self, experiment: str) -> Cost:
+        """Return a worker owner's cost of one more worker, task or start per second."""
+        growth = self.compute_unit_cost(experiment, "owner")
         worker_bytes = self.get_slope(f"{experiment}/platform/worker bytes")
         return growth._replace(worker_bytes=worker_bytes)
 
-    def measure_keeper(self, experiment: str) -> Cost:
-        """Return what one more task or start a second costs its keeper.
+    def compute_ledger_owner_cost(self, experiment: str) -> Cost:
+        """Return a ledger owner's cost of one more task or start per second.
 
-        The measured keeper may have owned a share of the workers as well.
+        If the measured ledger owner owned a share of the workers as well, the cost of
+        that share is subtracted.
         """
-        growth = self.measure_growth(experiment, "keeper")
+        growth = self.compute_unit_cost(experiment, "keeper")
         if self.figures["measured"]["keeper owns workers"]:
             owners = self.figures["measured"]["owners"]
-            owned = self.measure_growth(experiment, "owner")
-            growth = growth.plus(owned.times(-1 / owners))
+            worker_cost = self.compute_unit_cost(experiment, "owner")
+            growth = growth.plus(worker_cost.times(-1 / owners))
         platform_bytes = self.get_slope(f"{experiment}/platform/platform bytes")
         return growth._replace(platform_bytes=platform_bytes)
 
-    def measure_writer(self, daemons: int) -> Cost:
-        """Return what a change a second costs the daemon that takes the calls.
+    def compute_writer_cost(self, daemons: int) -> Cost:
+        """Return the cost of one change per second for the daemon that accepts it.
 
-        It tells every other daemon; the slope is of six.
+        That daemon notifies every other one, so that the cost grows with their number;
+        the slope was measured with six daemons.
         """
-        growth = self.measure_growth("changes", "writer")
+        growth = self.compute_unit_cost("changes", "writer")
         measured = 2 * MEASURED_DAEMONS_PER_ZONE
         return growth.times((daemons - 1) / (measured - 1))
 
 
 class Roles(NamedTuple):
-    """What each role costs one daemon, beside what it spends as a peer."""
+    """The cost of each role for one daemon, in addition to that of an idle peer.
+
+    ``kept_tasks`` and ``kept_starts`` are the tasks and starts of an owned ledger.
+    """
 
     peer: Cost
     workers: Cost
@@ -178,39 +183,49 @@
 
     @property
     def idle(self) -> Cost:
-        """A daemon that owns its workers while no task runs."""
+        """Cost of a daemon that owns its share of the workers while no task runs."""
         return self.peer.plus(self.workers)
 
     @property
     def owner(self) -> Cost:
-        """A daemon without a ledger, at the peak."""
+        """Cost at the peak of a daemon that owns workers, but no ledger."""
         return self.idle.plus(self.tasks, self.starts, self.watcher)
 
     @property
-    def keeper(self) -> Cost:
-        """A daemon that keeps a ledger as well, at the peak."""
+    def ledger_owner(self) -> Cost:
+        """Cost at the peak of a daemon that owns workers and a ledger."""
         return self.owner.plus(self.kept_tasks, self.kept_starts)
 
 
-def work_out(slopes: Slopes, scale: Scale) -> Roles:
-    """Return the roles' costs at a size."""
+def compute_roles(slopes: Slopes, scale: Scale) -> Roles:
+    """Return the cost of each role in a deployment of the given size."""
     changes = scale.changes / SECONDS_PER_DAY
-    each, kept = 1 / scale.daemons, 1 / scale.ledgers
+    daemon_share, ledger_share = 1 / scale.daemons, 1 / scale.ledgers
     return Roles(
-        peer=slopes.measure_peer(scale.zones),
-        workers=slopes.measure_owner("workers").times(scale.workers * each),
-        tasks=slopes.measure_owner("tasks").times(scale.tasks * each),
-        starts=slopes.measure_owner("starts").times(scale.starts * each),
-        kept_tasks=slopes.measure_keeper("tasks").times(scale.tasks * kept),
-        kept_starts=slopes.measure_keeper("starts").times(scale.starts * kept),
-        watcher=slopes.measure_growth("changes", "watcher").times(changes),
-        follower=slopes.measure_growth("changes", "follower").times(changes),
-        writer=slopes.measure_writer(scale.daemons).times(changes),
+        peer=slopes.compute_peer_cost(scale.zones),
+        workers=slopes.compute_owner_cost("workers").times(
+            scale.workers * daemon_share
+        ),
+        tasks=slopes.compute_owner_cost("tasks").times(scale.tasks * daemon_share),
+        starts=slopes.compute_owner_cost("starts").times(scale.starts * daemon_share),
+        kept_tasks=slopes.compute_ledger_owner_cost("tasks").times(
+            scale.tasks * ledger_share
+        ),
+        kept_starts=slopes.compute_ledger_owner_cost("starts").times(
+            scale.starts * ledger_share
+        ),
+        watcher=slopes.compute_unit_cost("changes", "watcher").times(changes),
+        follower=slopes.compute_unit_cost("changes", "follower").times(changes),
+        writer=slopes.compute_writer_cost(scale.daemons).times(changes),
     )
 
 
 class StoreCalls(NamedTuple):
-    """Calls to the store in a second, of the whole deployment."""
+    """Calls to the store per second by the whole deployment.
+
+    :param refreshes: calls that read watches again.
+    :param waiting: watches that are waiting at the store.
+    """
 
     renewals: float
     refreshes: float
@@ -220,22 +235,22 @@
 
     @property
     def writes(self) -> float:
-        """Calls that count against several hundred writes a second."""
+        """Calls that count against the limit of several hundred writes per second."""
         return self.renewals + self.task_writes + self.change_writes
 
     @property
     def reads(self) -> float:
-        """Calls that count against two thousand reads a second."""
+        """Calls that count against the limit of two thousand reads per second."""
         return self.refreshes + self.waiting
 
 
 def count_store_calls(
     slopes: Slopes, scale: Scale, watchers_per_zone: int = 2
 ) -> StoreCalls:
-    """Return the store's calls at a size and the peak of starts.
+    """Return the calls to the store at a given size and the peak rate of starts.
 
-    Renewals and refreshes follow the daemons; writes of tasks follow the
-    ledgers' commits, of which the slope counts fewer the larger they are.
+    Renewals and refreshes grow with the number of daemons. Writes of tasks grow with
+    the ledgers' commits; the slope is lower where commits are larger.
     """
     measured = scale.zones * MEASURED_DAEMONS_PER_ZONE
     share = scale.daemons / measured
@@ -251,12 +266,12 @@
 
 
 class Growth(NamedTuple):
-    """How much there is of something, by how it grows.
+    """The amount of something at several sizes of a deployment.
 
-    :param law: what it grows with, in words.
-    :param amounts: at each size.
-    :param is_product: whether all daemons together have it as workers times
-        daemons.
+    :param law: what the amount grows with, in words.
+    :param amounts: the amount at each size.
+    :param is_product: whether the amount of all daemons together grows with the
+        product of workers and daemons.
     """
 
     law: str
@@ -265,22 +280,25 @@
 
 
 def double(scale: Scale) -> tuple[Scale, Scale]:
-    """Return a fleet of twice the size: by zones, and within its zones."""
-    twice = scale._replace(
+    """Return two deployments of twice the size: with twice the zones, and without."""
+    doubled = scale._replace(
         daemons=2 * scale.daemons,
         workers=2 * scale.workers,
         tasks=2 * scale.tasks,
         starts=2 * scale.starts,
         changes=2 * scale.changes,
     )
-    return twice._replace(zones=2 * scale.zones), twice
+    return doubled._replace(zones=2 * scale.zones), doubled
 
 
 def count_links(scale: Scale) -> tuple[float, float]:
-    """Return how many peers a daemon beats to, in its zone and in others."""
-    each = scale.daemons // scale.zones
+    """Return how many peers a daemon sends heartbeats to.
+
+    :returns: peers in its own zone, and the average number in other zones.
+    """
+    daemons_per_zone = scale.daemons // scale.zones
     zones = {
-        f"zone-{zone}": [f"entry-{zone}-{number}" for number in range(each)]
+        f"zone-{zone}": [f"entry-{zone}-{number}" for number in range(daemons_per_zone)]
         for zone in range(scale.zones)
     }
     links = [
@@ -288,26 +306,30 @@
         for zone, names in zones.items()
         for name in names
     ]
-    return each - 1, sum(links) / len(links)
+    return daemons_per_zone - 1, sum(links) / len(links)
 
 
 def list_growth(scale: Scale) -> dict[str, Growth]:
-    """Return what grows how, at a size and twice that."""
+    """Return how amounts grow from a size to twice that size, by label."""
     scales = (scale, *double(scale))
     links = [count_links(each) for each in scales]
-    beat = defaults.HEARTBEAT_INTERVAL.total_seconds()
-    renewal = defaults.TASK_RENEWAL.total_seconds()
+    heartbeat_seconds = defaults.HEARTBEAT_INTERVAL.total_seconds()
+    renewal_seconds = defaults.TASK_RENEWAL.total_seconds()
 
     def compute(law: str, get: Any, is_product: bool = False) -> Growth:
         return Growth(law, tuple(float(get(each)) for each in scales), is_product)
 
     return {
         "heartbeats a daemon sends to its zone, a second": Growth(
-            "daemons of the zone", tuple(near / beat for near, _ in links)
+            "daemons of the zone",
+            tuple(same_zone / heartbeat_seconds for same_zone, _ in links),
         ),
         "heartbeats a daemon sends to other zones, a second": Growth(
             "zones / daemons of a zone",
-            tuple(far / beat / CROSS_ZONE_ROUNDS for _, far in links),
+            tuple(
+                other_zones / heartbeat_seconds / CROSS_ZONE_ROUNDS
+                for _, other_zones in links
+            ),
         ),
         "renewals of members' leases, a second, all": compute(
             "daemons",
@@ -326,7 +348,7 @@
             "workers / daemons", lambda s: s.workers / s.daemons
         ),
         "renewals of tasks' leases, a second, for each daemon": compute(
-            "workers / daemons", lambda s: s.workers / s.daemons / renewal
+            "workers / daemons", lambda s: s.workers / s.daemons / renewal_seconds
         ),
         "tasks of a ledger": compute("tasks", lambda s: s.tasks / s.ledgers),
         "starts a second of a ledger": compute(
@@ -342,7 +364,7 @@
         "bytes of lists that a daemon reads, a day": compute(
             "workers x changes of the list",
             lambda s: (
-                BYTES_PER_LISTED
+                BYTES_PER_LISTED_INSTANCE
                 * s.workers
                 * 2
                 * LIST_CHANGES_PER_DAY
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,4 +1,4 @@
-"""Lines through measured points."""
+"""Least-squares lines through measured points."""
 
 import math
 from collections.abc import Sequence
@@ -8,10 +8,10 @@
 class Line(NamedTuple):
     """A fitted line.
 
-    :param slope: growth for each unit of the driver.
-    :param intercept: value at zero of the driver.
-    :param residual: root of the mean square of what the line leaves over.
-    :param points: the points that it was fitted through.
+    :param slope: growth per unit of the driver.
+    :param intercept: value where the driver is 0.
+    :param residual: root mean square of the residuals.
+    :param points: the fitted points, as driver and value.
     """
 
     slope: float
@@ -27,7 +27,8 @@
 def fit_line(points: Sequence[tuple[float, float]]) -> Line:
     """Fit a line by least squares.
 
-    :param points: driver and value of each; at least two drivers differ.
+    :param points: pairs of driver and value.
+    :raises ValueError: if there aren't two different drivers.
     """
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
@@ -37,5 +38,5 @@
         raise ValueError("a line needs points at two drivers or more")
     slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
     intercept = mean_y - slope * mean_x
-    left = sum((y - intercept - slope * x) ** 2 for x, y in points)
-    return Line(slope, intercept, math.sqrt(left / count), tuple(points))
+    squared_error = sum((y - intercept - slope * x) ** 2 for x, y in points)
+    return Line(slope, intercept, math.sqrt(squared_error / count), tuple(points))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page: its fits, and its tables from the committed figures."""
+"""Tests of the capacity page: fitted lines, and tables from the committed figures."""
 
 import json
 import unittest
@@ -16,7 +16,7 @@
 
 
 class TestSlopes(unittest.TestCase):
-    """Lines through known points."""
+    """Lines that are fitted through known points."""
 
     @given(DRIVERS, NUMBERS, NUMBERS)
     @settings(derandomize=True, deadline=None, max_examples=50)
@@ -40,7 +40,7 @@
 
 
 class TestMetrics(unittest.TestCase):
-    """Counters read from the Prometheus text."""
+    """Counters that are parsed from the Prometheus text format."""
 
     def test_counters_are_told_by_their_labels(self):
         text = (
@@ -59,7 +59,7 @@
 
 
 class TestSizing(unittest.TestCase):
-    """Costs worked out from known slopes."""
+    """Costs that are computed from known slopes."""
 
     def make_slopes(self, keeper_owns: bool = False) -> Slopes:
         lines = {
@@ -78,16 +78,18 @@
 
     def test_roles_add_up_to_a_daemon(self):
         scale = sizing.Scale("small", 2, 4, 40, 800, 8, 0, 2)
-        roles = sizing.work_out(self.make_slopes(), scale)
+        roles = sizing.compute_roles(self.make_slopes(), scale)
         self.assertAlmostEqual(roles.peer.processor, 5 + 2)
         self.assertAlmostEqual(roles.idle.processor, 7 + 10 * 0.1)
         self.assertAlmostEqual(roles.owner.processor, 8 + 200 * 0.01 + 2 * 0.5)
         kept = 400 * 0.001 + 4 * 0.4
-        self.assertAlmostEqual(roles.keeper.processor, 11 + kept)
+        self.assertAlmostEqual(roles.ledger_owner.processor, 11 + kept)
 
     def test_a_keeper_that_owned_workers_is_not_charged_for_them_twice(self):
         slopes = self.make_slopes(keeper_owns=True)
-        self.assertAlmostEqual(slopes.measure_keeper("starts").processor, 0.4 - 0.25)
+        self.assertAlmostEqual(
+            slopes.compute_ledger_owner_cost("starts").processor, 0.4 - 0.25
+        )
 
     def test_store_calls_follow_daemons_and_starts(self):
         scale = sizing.Scale("small", 2, 4, 40, 800, 8, 0, 2)
@@ -102,7 +104,7 @@
 
 
 class TestPage(unittest.TestCase):
-    """docs/CAPACITY.md against docs/capacity.json."""
+    """The tables of docs/CAPACITY.md match the figures in docs/capacity.json."""
 
     def test_the_tables_follow_from_the_committed_figures(self):
         text = pages.PAGE.read_text()
@@ -124,8 +126,8 @@
                 self.assertAlmostEqual(line[part], expected, delta=limit, msg=name)
 
     def test_what_is_over_budget_is_shown_so(self):
-        row = pages._judge(1.3, 1.0)
+        row = pages._show_against_budget(1.3, 1.0)
         self.assertIn("**1.30**", row)
         self.assertIn("over", row)
-        self.assertEqual(pages._judge(1.0, 1.0), "1.00")
-        self.assertIn("over", pages._judge(1.001, 1.0))
+        self.assertEqual(pages._show_against_budget(1.0, 1.0), "1.00")
+        self.assertIn("over", pages._show_against_budget(1.001, 1.0))
