--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,6 +1,6 @@
-"""What daemons spend by role, at several sizes; writes docs/capacity.json.
+"""Measures the cost of daemons by role at several sizes; writes docs/capacity.json.
 
-The page docs/CAPACITY.md is worked out from its slopes by benchmarks/pages.py.
+The module benchmarks/pages.py computes the page docs/CAPACITY.md from its slopes.
 """
 
 import asyncio
@@ -24,9 +24,9 @@
 
 FIGURES = Path(__file__).parents[1] / "docs" / "capacity.json"
 OWNER_ZONE = "zone-0"
-LONG = 36_000.0
-SHORT = 0.5
-WATCHERS = 2
+LONG_RUN_SECONDS = 36_000.0
+SHORT_RUN_SECONDS = 0.5
+WATCHERS_PER_ZONE = 2
 PLATFORM = "platform"
 LIBRARIES = (
     "asyncio",
@@ -45,12 +45,15 @@
 
 
 class Plan(NamedTuple):
-    """Sizes of one run of the benchmark; see :class:`Roles` for the daemons.
+    """Sizes and rates of one run of the benchmark; :class:`Roles` lists the daemons.
 
     :param window: seconds of each measurement.
-    :param zones: numbers of zones, of ``daemons`` daemons each.
-    :param target_workers: workers of the whole fleet that the model is checked
-        against; 0 leaves the check out.
+    :param workers: numbers of workers to measure at; the same goes for ``tasks``.
+    :param starts: task starts per second to measure at; the same goes for ``changes``
+        and ``requests``.
+    :param zones: numbers of zones to measure at, with ``daemons`` daemons each.
+    :param target_workers: workers of the whole fleet that the predictions are checked
+        against; 0 skips this check.
     """
 
     window: float
@@ -92,33 +95,42 @@
 
 
 class Roles(NamedTuple):
-    """Which daemons of the first zone and of the second do what.
+    """The roles of the daemons in the first and in the second zone.
 
-    :param owners: own all workers and targets, and keep no ledger.
-    :param entries: own nothing.
-    :param keeper: keeps the only ledger.
+    :param owners: daemons that own all workers and targets, but not the ledger.
+    :param entries: daemons that own nothing.
+    :param ledger_owner: daemon that owns the only ledger.
     """
 
     owners: tuple[str, ...]
     entries: tuple[str, ...]
-    keeper: str
+    ledger_owner: str
 
     @classmethod
     async def find(cls, fleet: Fleet) -> "Roles":
-        """Find out who does what."""
-        keepers = await fleet.list_owners("ledger")
-        free = [name for name in fleet.clients if name not in keepers]
-        near = [name for name in free if fleet.zones[name] == OWNER_ZONE]
-        far = [name for name in free if fleet.zones[name] != OWNER_ZONE]
-        return cls(tuple(near), tuple(far), keepers[0])
+        """Ask the daemons for their roles."""
+        ledger_owners = await fleet.list_owners("ledger")
+        without_ledger = [name for name in fleet.clients if name not in ledger_owners]
+        owner_zone_daemons = [
+            name for name in without_ledger if fleet.zones[name] == OWNER_ZONE
+        ]
+        other_daemons = [
+            name for name in without_ledger if fleet.zones[name] != OWNER_ZONE
+        ]
+        return cls(tuple(owner_zone_daemons), tuple(other_daemons), ledger_owners[0])
 
 
 class Points:
-    """Measured points by experiment, role and figure."""
+    """Measured points by experiment, role and figure.
+
+    :ivar points: pairs of driver and value, by ``experiment/role/figure``.
+    :ivar benchmark_core_share: highest share of a core that the benchmark's own
+        process used.
+    """
 
     def __init__(self) -> None:
         self.points: dict[str, list[tuple[float, float]]] = {}
-        self.bench = 0.0
+        self.benchmark_core_share = 0.0
 
     def add(
         self,
@@ -130,10 +142,11 @@
     ) -> None:
         """Add a sample's figures for the daemons of a role.
 
-        Those of the platform are of all daemons together and have a role of
-        their own.
+        Figures of the platform are totals of all daemons, under a role of their own.
         """
-        self.bench = max(self.bench, sample.bench)
+        self.benchmark_core_share = max(
+            self.benchmark_core_share, sample.benchmark_core_share
+        )
         for figure in sample.list_figures():
             is_platform = figure in sample.fleet
             if is_platform != (role == PLATFORM) or "waiting_time" in figure:
@@ -143,23 +156,26 @@
             self.points.setdefault(name, []).append((round(driver, 3), value))
 
     def fit(self) -> dict[str, dict[str, Any]]:
-        """Fit a line through the points of each figure."""
+        """Fit a line through the points of each figure, by name of the figure.
+
+        A figure that is missing at a driver counts as 0 there.
+        """
         drivers: dict[str, list[float]] = {}
         for name, points in self.points.items():
-            known = drivers.setdefault(name.rpartition("/")[0], [])
-            known += [x for x, _ in points if x not in known]
+            known_drivers = drivers.setdefault(name.rpartition("/")[0], [])
+            known_drivers += [x for x, _ in points if x not in known_drivers]
         lines = {}
         for name, points in self.points.items():
             measured = dict(points)
-            whole = [
+            all_points = [
                 (x, measured.get(x, 0.0)) for x in drivers[name.rpartition("/")[0]]
             ]
-            if len(whole) > 1 and any(y for _, y in whole):
-                lines[name] = _show_line(whole)
+            if len(all_points) > 1 and any(y for _, y in all_points):
+                lines[name] = _format_line(all_points)
         return lines
 
 
-def _show_line(points: list[tuple[float, float]]) -> dict[str, Any]:
+def _format_line(points: list[tuple[float, float]]) -> dict[str, Any]:
     line = fit_line(points)
     return {
         "slope": float(f"{line.slope:.6g}"),
@@ -170,7 +186,7 @@
 
 
 async def measure_roles(plan: Plan, points: Points) -> dict[str, Any]:
-    """Measure owners, entries, the keeper and watchers on a small fleet."""
+    """Measure owners, entries, the ledger owner and watchers in a small fleet."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder), {"ledgers": 1})
         await fleet.start()
@@ -185,7 +201,7 @@
             await _measure_tasks(plan, points, fleet, roles)
             return {
                 "overlaps": len(fleet.platform.runs.overlaps),
-                "keeper owns workers": fleet.zones[roles.keeper] == OWNER_ZONE,
+                "keeper owns workers": fleet.zones[roles.ledger_owner] == OWNER_ZONE,
                 "owners": _count_owners(fleet),
             }
         finally:
@@ -229,11 +245,11 @@
 
 
 async def _measure_changes(plan: Plan, points: Points, fleet: Fleet) -> None:
-    near = _list_owners(fleet)
-    watchers = pick_watchers(near)
-    others = [name for name in near if name not in watchers]
-    far = [name for name in fleet.zones if name not in near]
-    writer, followers = far[:1], others or watchers
+    owner_zone_daemons = _list_owners(fleet)
+    watchers = pick_watchers(owner_zone_daemons)
+    followers_only = [name for name in owner_zone_daemons if name not in watchers]
+    other_daemons = [name for name in fleet.zones if name not in owner_zone_daemons]
+    writer, followers = other_daemons[:1], followers_only or watchers
     for rate in plan.changes:
         load = Load(fleet, rate, fleets.change, writer) if rate else None
         sample = await fleet.measure(plan.window, load)
@@ -244,19 +260,19 @@
 
 
 def pick_watchers(names: Collection[str]) -> list[str]:
-    """Return the daemons of a zone that watch the store."""
-    order = sorted(names, key=lambda name: xxhash.xxh64_intdigest(name.encode()))
-    return order[:WATCHERS]
+    """Return the daemons of a zone that watch the store, as the relay selects them."""
+    by_hash = sorted(names, key=lambda name: xxhash.xxh64_intdigest(name.encode()))
+    return by_hash[:WATCHERS_PER_ZONE]
 
 
 async def _measure_starts(
     plan: Plan, points: Points, fleet: Fleet, roles: Roles
 ) -> None:
     for rate in plan.starts:
-        act = partial(_submit_short, SHORT)
+        submit_job = partial(_submit_short, SHORT_RUN_SECONDS)
         per_second = rate / fleets.TASKS_PER_JOB
-        load = Load(fleet, per_second, act, roles.entries[:1]) if rate else None
-        # Whole jobs only, so that the rate in the window is that of the load.
+        load = Load(fleet, per_second, submit_job, roles.entries[:1]) if rate else None
+        # The window covers whole jobs, so that its rate of starts is that of the load.
         window = max(plan.window, 2 / per_second if rate else 0)
         sample = await fleet.measure(min(window, 3 * plan.window), load)
         started = sample.fleet.get("task starts", 0.0)
@@ -280,12 +296,15 @@
 
 
 async def fill(fleet: Fleet, count: int) -> int:
-    """Submit long jobs until so many tasks run; returns how many do."""
+    """Submit long jobs until ``count`` tasks run, and wait for 60 s at most.
+
+    :returns: the number of running tasks.
+    """
     clients = list(fleet.clients.values())
     missing = (count - fleet.count_running()) // fleets.TASKS_PER_JOB
     for number in range(missing):
         client = clients[number % len(clients)]
-        fleets.check(await fleets.submit(client, number, LONG))
+        fleets.check_reply(await fleets.submit(client, number, LONG_RUN_SECONDS))
     for _ in range(60):
         if fleet.count_running() >= count:
             break
@@ -304,12 +323,12 @@
     owned = driver / _count_owners(fleet)
     points.add(experiment, "owner", owned, sample, roles.owners)
     points.add(experiment, PLATFORM, driver, sample, roles.entries[:1])
-    points.add(experiment, "keeper", driver, sample, [roles.keeper])
+    points.add(experiment, "keeper", driver, sample, [roles.ledger_owner])
     points.add(experiment, "other", driver, sample, roles.entries)
 
 
 async def measure_zones(plan: Plan, points: Points) -> dict[str, Any]:
-    """Measure idle daemons as zones are added, then a fleet of the target size."""
+    """Measure idle daemons while zones are added, then a fleet of the target size."""
     found: dict[str, Any] = {}
     if not plan.zones:
         return found
@@ -324,36 +343,38 @@
                 points.add("zones", "peer", zones, sample, fleet.clients)
                 points.add("zones", PLATFORM, zones, sample, ["entry-00"])
             if plan.target_workers:
-                found = await _measure_whole(plan, fleet)
+                found = await _measure_whole_fleet(plan, fleet)
         finally:
             await fleet.close()
     return found
 
 
-async def _measure_whole(plan: Plan, fleet: Fleet) -> dict[str, Any]:
-    """Measure a whole fleet, to check what the slopes foretell."""
+async def _measure_whole_fleet(plan: Plan, fleet: Fleet) -> dict[str, Any]:
+    """Measure a whole fleet, to check the predictions from the slopes."""
     found = {}
     await fleets.declare(fleet)
     fleet.add_workers(plan.target_workers)
     settled = await fleet.wait_settled()
     await asyncio.sleep(plan.window)
-    found["idle"] = _show_sample(await fleet.measure(plan.window), settled, 0)
+    found["idle"] = _format_sample(await fleet.measure(plan.window), settled, 0)
     running = await fill(fleet, plan.target_tasks)
     await asyncio.sleep(plan.window)
-    found["running"] = _show_sample(await fleet.measure(plan.window), settled, running)
+    found["running"] = _format_sample(
+        await fleet.measure(plan.window), settled, running
+    )
     for rate in plan.target_starts:
-        act = partial(_submit_short, SHORT)
-        load = Load(fleet, rate / fleets.TASKS_PER_JOB, act)
+        submit_job = partial(_submit_short, SHORT_RUN_SECONDS)
+        load = Load(fleet, rate / fleets.TASKS_PER_JOB, submit_job)
         sample = await fleet.measure(2 * plan.window, load)
         label = f"{rate} starts/s asked for"
-        found[label] = _show_sample(sample, settled, running)
+        found[label] = _format_sample(sample, settled, running)
         found[label]["statuses"] = dict(load.statuses)
     found["overlaps"] = len(fleet.platform.runs.overlaps)
     return found
 
 
-def _show_sample(sample: Sample, settled: bool, running: int) -> dict[str, Any]:
-    """Return the average daemon's figures, and the highest."""
+def _format_sample(sample: Sample, settled: bool, running: int) -> dict[str, Any]:
+    """Return each figure's average and its highest value of any daemon."""
     figures = {
         name: {
             "average": round(sample.average(name), 4),
@@ -366,68 +387,76 @@
         "daemons": len(sample.daemons),
         "settled": settled,
         "running": running,
-        "benchmark's share of a core": round(sample.bench, 3),
+        "benchmark's share of a core": round(sample.benchmark_core_share, 3),
         "figures": figures,
     }
 
 
 def _find_highest(sample: Sample, figure: str) -> float:
-    """Return the busiest daemon's figure; the platform sees the average only."""
+    """Return a figure's highest value of any daemon.
+
+    For figures of the platform, only the average is known.
+    """
     if figure in sample.fleet:
         return sample.average(figure)
     return max(figures.get(figure, 0.0) for figures in sample.daemons.values())
 
 
 def measure_imports() -> dict[str, float]:
-    """Return the megabytes of a process that only imports, after each import."""
+    """Return the resident megabytes of a process after each further import."""
     found = {"interpreter": _measure_import("sys")}
-    names = "sys"
+    imported_names = "sys"
     for library in LIBRARIES:
-        names = f"{names}, {library}"
-        found[library] = _measure_import(names)
+        imported_names = f"{imported_names}, {library}"
+        found[library] = _measure_import(imported_names)
     found["daemon"] = _measure_import("damaskdeck.daemon")
     return found
 
 
-def _measure_import(names: str) -> float:
+def _measure_import(imported_names: str) -> float:
     program = (
-        f"import {names}\n"
+        f"import {imported_names}\n"
         "print([l.split()[1] for l in open('/proc/self/status') if 'VmRSS' in l][0])"
     )
-    answer = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", program], capture_output=True, check=True, text=True
     )
-    return round(int(answer.stdout) * 1024 / fleets.MEGABYTE, 1)
+    return round(int(completed.stdout) * 1024 / fleets.MEGABYTE, 1)
 
 
 async def measure(plan: Plan) -> dict[str, Any]:
-    """Measure everything of a plan."""
+    """Run all measurements of a plan."""
     points = Points()
     imports = measure_imports()
-    small = await measure_roles(plan, points)
-    whole = await measure_zones(plan, points)
+    role_figures = await measure_roles(plan, points)
+    fleet_figures = await measure_zones(plan, points)
     return {
         "measured": {
             "date": datetime.now(UTC).strftime("%Y-%m-%d %H:%M"),
             "machine": f"{machine.machine()}, {psutil.cpu_count()} cores, "
             f"Python {machine.python_version()}, loopback, shared with other jobs",
             "window seconds": plan.window,
-            "benchmark's highest share of a core": round(points.bench, 3),
-            **small,
+            "benchmark's highest share of a core": round(
+                points.benchmark_core_share, 3
+            ),
+            **role_figures,
         },
         "imports MB": imports,
         "lines": points.fit(),
-        "whole": whole,
+        "whole": fleet_figures,
     }
 
 
 def run(quick: bool = False) -> dict[str, Any]:
-    """Measure; a full run writes the figures and the page's tables."""
+    """Run the benchmark; a full run writes the figures and the page's tables.
+
+    :param quick: whether to measure a small fleet for a short time, writing nothing.
+    """
     figures = asyncio.run(measure(QUICK if quick else FULL))
     if not quick:
-        # Those of failures are measured apart, by benchmarks.failures.
+        # The figures of failures are measured separately, by benchmarks.failures.
         failures = json.loads(FIGURES.read_text())["failures"]
-        kept = {**figures, "failures": failures}
-        FIGURES.write_text(json.dumps(kept, indent=1) + "\n")
+        all_figures = {**figures, "failures": failures}
+        FIGURES.write_text(json.dumps(all_figures, indent=1) + "\n")
         pages.write_page()
     return figures
--- a/benchmarks/failures.py
+++ b/benchmarks/failures.py
@@ -1,6 +1,7 @@
-"""What failures set off at size: moves, messages, store calls, time to settle.
+"""Measures the effects of failures in a large fleet.
 
-Adds its figures to docs/capacity.json, for the page docs/CAPACITY.md.
+These are changes of owners, messages, calls to the store and the time to settle. A
+full run adds its figures to docs/capacity.json, for the page docs/CAPACITY.md.
 """
 
 import asyncio
@@ -13,22 +14,22 @@
 from typing import Any, NamedTuple
 
 from benchmarks import fleets, pages
-from benchmarks.capacity import SHORT, fill
+from benchmarks.capacity import SHORT_RUN_SECONDS, fill
 from benchmarks.fleets import Fleet, Load, Sample
 from standins.faults import FaultKind, Faults
 from standins.waiting import wait_until
 
 POLL_SECONDS = 0.25
-LIMIT_SECONDS = 60
-CUT_SECONDS = 20
-RACK = 8
+SETTLE_LIMIT_SECONDS = 60
+CUT_OFF_SECONDS = 20
+RACK_WORKERS = 8
 ZONE = "zone-1"
-STORE_RATE = 20
-STARTS = 50
+STORE_CALLS_PER_SECOND = 20
+STARTS_PER_SECOND = 50
 
 
 class Plan(NamedTuple):
-    """The size of the fleet that meets the failures."""
+    """The size of the fleet, and the seconds of a measurement."""
 
     zones: int
     daemons: int
@@ -41,26 +42,29 @@
 FULL = Plan(zones=4, daemons=3, workers=300, tasks=4000, window=6)
 
 
-class Stage(NamedTuple):
-    """A running fleet, and what it spends while nothing fails."""
+class Context(NamedTuple):
+    """A running fleet, and a sample taken while nothing fails."""
 
     fleet: Fleet
     plan: Plan
     idle: Sample
 
 
-Scene = Callable[[Stage], Awaitable[dict[str, Any]]]
-_scenes: list[Scene] = []
+Scenario = Callable[[Context], Awaitable[dict[str, Any]]]
+_scenarios: list[Scenario] = []
 
 
-def scene(function: Scene) -> Scene:
-    """Register a failure; they happen in order of definition."""
-    _scenes.append(function)
+def scenario(function: Scenario) -> Scenario:
+    """Register a scenario; scenarios run in order of definition.
+
+    The first line of its docstring labels its figures in docs/capacity.json.
+    """
+    _scenarios.append(function)
     return function
 
 
-def add_up(sample: Sample, names: Collection[str] = ()) -> dict[str, float]:
-    """Return the figures of the named daemons together, or of all."""
+def sum_figures(sample: Sample, names: Collection[str] = ()) -> dict[str, float]:
+    """Return the sum of each figure over the named daemons, or over all."""
     count = len(names or sample.daemons)
     return {
         name: sample.average(name, () if name in sample.fleet else names) * count
@@ -68,179 +72,189 @@
     }
 
 
-async def watch(
-    stage: Stage,
-    act: Callable[[], Awaitable[Any]],
+async def measure_until_settled(
+    context: Context,
+    cause_failure: Callable[[], Awaitable[Any]],
     is_settled: Callable[[], Awaitable[bool]],
 ) -> dict[str, Any]:
-    """Let something fail and measure until it has settled.
+    """Cause a failure and measure until the fleet has settled.
 
-    :returns: the seconds, and what the daemons that stayed spent beyond what
-        they spend while nothing fails.
+    :returns: the seconds, and the use of resources by the surviving daemons in excess
+        of what they use while nothing fails.
     """
-    fleet = stage.fleet
+    fleet = context.fleet
     before = await fleet.read(is_first=True)
-    await act()
-    is_done = False
-    while not is_done and time.monotonic() - before.time < LIMIT_SECONDS:
-        is_done = await is_settled()
+    await cause_failure()
+    is_settled_now = False
+    while not is_settled_now and time.monotonic() - before.time < SETTLE_LIMIT_SECONDS:
+        is_settled_now = await is_settled()
         await asyncio.sleep(POLL_SECONDS)
     seconds = time.monotonic() - before.time
     after = await fleet.read(is_first=False)
     sample = fleets.compare(before, after)
-    stayed = [name for name in sample.daemons if name in stage.idle.daemons]
-    spent, idle = add_up(sample, stayed), add_up(stage.idle, stayed)
-    lasted = after.time - before.time
+    survivors = [name for name in sample.daemons if name in context.idle.daemons]
+    used, idle = sum_figures(sample, survivors), sum_figures(context.idle, survivors)
+    elapsed = after.time - before.time
 
-    def exceed(*names: str) -> float:
-        grown = sum(spent.get(n, 0.0) - idle.get(n, 0.0) for n in names)
-        return round(grown * lasted, 1)
+    def compute_excess(*names: str) -> float:
+        excess = sum(used.get(n, 0.0) - idle.get(n, 0.0) for n in names)
+        return round(excess * elapsed, 1)
 
     return {
-        "settled": is_done,
+        "settled": is_settled_now,
         "seconds": round(seconds, 2),
-        "tasks started": exceed("task starts"),
-        "peer messages": exceed("peer_messages out"),
-        "peer KB": round(exceed("peer_bytes out") / 1000, 1),
-        "store writes": exceed("store put", "store delete", "store grant_lease"),
-        "store reads": exceed("store watch", "store list", "store get"),
-        "worker calls": exceed(
+        "tasks started": compute_excess("task starts"),
+        "peer messages": compute_excess("peer_messages out"),
+        "peer KB": round(compute_excess("peer_bytes out") / 1000, 1),
+        "store writes": compute_excess(
+            "store put", "store delete", "store grant_lease"
+        ),
+        "store reads": compute_excess("store watch", "store list", "store get"),
+        "worker calls": compute_excess(
             "worker follow", "worker start", "worker inventory", "worker renew"
         ),
         "overlaps": len(fleet.platform.runs.overlaps),
     }
 
 
-async def is_owned(stage: Stage) -> bool:
-    """Tell whether each worker and target has an owner that lives.
+async def is_owned(context: Context) -> bool:
+    """Return whether each worker and target has an owner that is alive.
 
-    Daemons ask each other for the answer, so this isn't for use while the
+    Daemons send each other messages to answer this, so it must not be called while
     messages are counted.
     """
-    owned = await stage.fleet.count_owned()
-    return owned >= stage.fleet.count_listed()
+    owned = await context.fleet.count_owned()
+    return owned >= context.fleet.count_listed()
 
 
-class Moves:
-    """Workers that get a new owner, told by the epochs that they see."""
+class OwnerChanges:
+    """Counts workers that get a new owner, by the epochs that the workers see."""
 
-    def __init__(self, stage: Stage, names: Collection[str]) -> None:
-        workers = stage.fleet.platform.workers
+    def __init__(self, context: Context, names: Collection[str]) -> None:
+        workers = context.fleet.platform.workers
         self._workers = [workers[name] for name in names]
         self._before = [worker.epoch for worker in self._workers]
 
-    async def has_moved(self, count: int) -> bool:
-        """Tell whether so many have a new owner."""
+    async def have_moved(self, count: int) -> bool:
+        """Return whether at least ``count`` workers have a new owner."""
         epochs = zip(self._workers, self._before, strict=True)
         return sum(worker.epoch > before for worker, before in epochs) >= count
 
 
-async def list_owned(stage: Stage, daemon: str) -> list[str]:
-    """List the workers that a daemon owns."""
-    reply = await stage.fleet.clients[daemon].call("GET", "/v1/status")
+async def list_owned(context: Context, daemon: str) -> list[str]:
+    """Return the names of the workers that a daemon owns."""
+    reply = await context.fleet.clients[daemon].call("GET", "/v1/status")
     shards = reply.read_json()["owned"]["worker"]
     return [shard.partition("/")[2] or shard for shard in shards]
 
 
-async def lose_daemon(
-    stage: Stage, end: Callable[[str], Awaitable[None]]
+async def measure_daemon_loss(
+    context: Context, end_daemon: Callable[[str], Awaitable[None]]
 ) -> dict[str, Any]:
     """End a daemon and wait until its workers have new owners."""
     name = f"entry-{ZONE[-1]}0"
-    held = await list_owned(stage, name)
-    moves = Moves(stage, held)
-    found = await watch(stage, partial(end, name), partial(moves.has_moved, len(held)))
-    return {**found, "workers moved": len(held)}
+    owned = await list_owned(context, name)
+    owner_changes = OwnerChanges(context, owned)
+    figures = await measure_until_settled(
+        context,
+        partial(end_daemon, name),
+        partial(owner_changes.have_moved, len(owned)),
+    )
+    return {**figures, "workers moved": len(owned)}
 
 
-@scene
-async def fail_daemon(stage: Stage) -> dict[str, Any]:
+@scenario
+async def fail_daemon(context: Context) -> dict[str, Any]:
     """An entry instance fails."""
-    return await lose_daemon(stage, stage.fleet.drop_daemon)
+    return await measure_daemon_loss(context, context.fleet.kill_daemon)
 
 
-@scene
-async def replace_daemon(stage: Stage) -> dict[str, Any]:
+@scenario
+async def replace_daemon(context: Context) -> dict[str, Any]:
     """An entry instance comes, and gets its share of the zone."""
-    fleet, name = stage.fleet, f"entry-{ZONE[-1]}0"
-    near = [n for n, w in fleet.platform.workers.items() if w.instance.zone == ZONE]
-    share = len(near) // stage.plan.daemons // 2
-    moves = Moves(stage, near)
-    found = await watch(
-        stage, partial(fleet.add_daemon, name, ZONE), partial(moves.has_moved, share)
+    fleet, name = context.fleet, f"entry-{ZONE[-1]}0"
+    zone_workers = [
+        n for n, w in fleet.platform.workers.items() if w.instance.zone == ZONE
+    ]
+    share = len(zone_workers) // context.plan.daemons // 2
+    owner_changes = OwnerChanges(context, zone_workers)
+    figures = await measure_until_settled(
+        context,
+        partial(fleet.add_daemon, name, ZONE),
+        partial(owner_changes.have_moved, share),
     )
-    return {**found, "workers moved": share}
+    return {**figures, "workers moved": share}
 
 
-@scene
-async def shut_down_daemon(stage: Stage) -> dict[str, Any]:
+@scenario
+async def shut_down_daemon(context: Context) -> dict[str, Any]:
     """An entry instance is shut down gracefully."""
-    found = await lose_daemon(stage, stage.fleet.stop_daemon)
-    await stage.fleet.add_daemon(f"entry-{ZONE[-1]}0", ZONE)
-    await stage.fleet.wait_settled()
-    return found
+    figures = await measure_daemon_loss(context, context.fleet.stop_daemon)
+    await context.fleet.add_daemon(f"entry-{ZONE[-1]}0", ZONE)
+    await context.fleet.wait_settled()
+    return figures
 
 
-async def remove_workers(stage: Stage, count: int) -> dict[str, Any]:
-    """Take workers of one zone off, and wait until all tasks run again."""
-    fleet = stage.fleet
+async def remove_workers(context: Context, count: int) -> dict[str, Any]:
+    """Remove workers of one zone, and wait until as many tasks run as before."""
+    fleet = context.fleet
     running = fleet.count_running()
-    near = [
+    zone_workers = [
         name
         for name, worker in fleet.platform.workers.items()
         if worker.instance.zone == ZONE and worker.list_running()
     ]
 
     async def remove() -> None:
-        for name in near[:count]:
+        for name in zone_workers[:count]:
             fleet.platform.remove(name)
 
     async def runs_again() -> bool:
         return fleet.count_running() >= running
 
-    return await watch(stage, remove, runs_again)
+    return await measure_until_settled(context, remove, runs_again)
 
 
-@scene
-async def fail_worker(stage: Stage) -> dict[str, Any]:
+@scenario
+async def fail_worker(context: Context) -> dict[str, Any]:
     """A worker fails and leaves the list; its tasks run elsewhere."""
-    return await remove_workers(stage, 1)
+    return await remove_workers(context, 1)
 
 
-@scene
-async def fail_rack(stage: Stage) -> dict[str, Any]:
+@scenario
+async def fail_rack(context: Context) -> dict[str, Any]:
     """A rack of eight workers fails."""
-    return await remove_workers(stage, RACK)
+    return await remove_workers(context, RACK_WORKERS)
 
 
-@scene
-async def cut_off_zone(stage: Stage) -> dict[str, Any]:
+@scenario
+async def cut_off_zone(context: Context) -> dict[str, Any]:
     """A zone's daemons lose the store and the list for twenty seconds."""
-    fleet = stage.fleet
+    fleet = context.fleet
     names = [name for name, zone in fleet.zones.items() if zone == ZONE]
     running = fleet.count_running()
 
     async def cut() -> None:
         for name in names:
             fleet.platform.cut_off(name, "store", "instances")
-        await asyncio.sleep(CUT_SECONDS)
+        await asyncio.sleep(CUT_OFF_SECONDS)
         for name in names:
             fleet.platform.reconnect(name, "store", "instances")
 
     async def has_ended() -> bool:
         return True
 
-    found = await watch(stage, cut, has_ended)
+    figures = await measure_until_settled(context, cut, has_ended)
     lost = running - fleet.count_running()
-    return {**found, "tasks lost": lost, "cut seconds": CUT_SECONDS}
+    return {**figures, "tasks lost": lost, "cut seconds": CUT_OFF_SECONDS}
 
 
-@scene
-async def fail_zone(stage: Stage) -> dict[str, Any]:
+@scenario
+async def fail_zone(context: Context) -> dict[str, Any]:
     """A zone fails with its daemons and workers."""
-    fleet = stage.fleet
-    names = [name for name, zone in fleet.zones.items() if zone == ZONE]
-    gone = [
+    fleet = context.fleet
+    daemon_names = [name for name, zone in fleet.zones.items() if zone == ZONE]
+    worker_names = [
         name
         for name, worker in fleet.platform.workers.items()
         if worker.instance.zone == ZONE
@@ -248,85 +262,92 @@
     running = fleet.count_running()
 
     async def fail() -> None:
-        for name in names:
-            await fleet.drop_daemon(name)
-        for name in gone:
+        for name in daemon_names:
+            await fleet.kill_daemon(name)
+        for name in worker_names:
             fleet.platform.remove(name)
 
     async def runs_again() -> bool:
         return fleet.count_running() >= running
 
-    return await watch(stage, fail, runs_again)
+    return await measure_until_settled(context, fail, runs_again)
 
 
 class RateLimit(Faults):
-    """Refuses calls beyond a rate, as a service at its limit does.
+    """A token bucket that refuses calls beyond a rate, as an overloaded service does.
 
-    :param rate: calls a second that are let in; waiting watches aside.
+    :param rate: accepted calls per second, without waiting watches.
+    :ivar refused: number of refused calls.
     """
 
     def __init__(self, rate: float) -> None:
         super().__init__()
         self.refused = 0
         self._rate = rate
-        self._room = rate
-        self._filled = time.monotonic()
+        self._tokens = rate
+        self._refilled_at = time.monotonic()
 
     def take(self, operation: str) -> FaultKind | None:
-        """Refuse a call when there is no room for it."""
+        """Refuse a call if the bucket is empty."""
         now = time.monotonic()
-        grown = (now - self._filled) * self._rate
-        self._room = min(self._rate, self._room + grown)
-        self._filled = now
-        if self._room < 1:
+        refill = (now - self._refilled_at) * self._rate
+        self._tokens = min(self._rate, self._tokens + refill)
+        self._refilled_at = now
+        if self._tokens < 1:
             self.refused += 1
             return FaultKind.REFUSE
-        self._room -= 1
+        self._tokens -= 1
         return None
 
 
-@scene
-async def limit_store(stage: Stage) -> dict[str, Any]:
+@scenario
+async def limit_store(context: Context) -> dict[str, Any]:
     """The store lets in fewer calls than the daemons make."""
-    fleet = stage.fleet
+    fleet = context.fleet
     store = fleet.platform.store
-    load = Load(fleet, STARTS / fleets.TASKS_PER_JOB, _submit_short)
-    free = add_up(await fleet.measure(stage.plan.window, load))
-    limit = RateLimit(STORE_RATE)
+    load = Load(fleet, STARTS_PER_SECOND / fleets.TASKS_PER_JOB, _submit_short)
+    without_limit = sum_figures(await fleet.measure(context.plan.window, load))
+    limit = RateLimit(STORE_CALLS_PER_SECOND)
     store.gateway.faults = limit
-    load = Load(fleet, STARTS / fleets.TASKS_PER_JOB, _submit_short)
-    sample = await fleet.measure(2 * stage.plan.window, load)
+    load = Load(fleet, STARTS_PER_SECOND / fleets.TASKS_PER_JOB, _submit_short)
+    sample = await fleet.measure(2 * context.plan.window, load)
     store.gateway.faults = store.faults
     begin = time.monotonic()
-    await wait_until(partial(is_owned, stage), lambda is_done: is_done, LIMIT_SECONDS)
-    tight = add_up(sample)
-    kept = ("store", "refusals", "retries", "task starts", "drops")
+    await wait_until(
+        partial(is_owned, context),
+        lambda is_done: is_done,
+        SETTLE_LIMIT_SECONDS,
+    )
+    with_limit = sum_figures(sample)
+    prefixes = ("store", "refusals", "retries", "task starts", "drops")
     return {
-        "limit": STORE_RATE,
+        "limit": STORE_CALLS_PER_SECOND,
         "refused": limit.refused,
         "answers to submissions": dict(load.statuses),
         "seconds until all is owned again": round(time.monotonic() - begin, 2),
-        "without limit": _pick(free, kept),
-        "with limit": _pick(tight, kept),
+        "without limit": _select_figures(without_limit, prefixes),
+        "with limit": _select_figures(with_limit, prefixes),
         "overlaps": len(fleet.platform.runs.overlaps),
     }
 
 
-def _pick(figures: dict[str, float], kept: tuple[str, ...]) -> dict[str, float]:
+def _select_figures(
+    figures: dict[str, float], prefixes: tuple[str, ...]
+) -> dict[str, float]:
     return {
         name: round(value, 2)
         for name, value in figures.items()
-        if value and name.startswith(kept) and "store_calls" not in name
+        if value and name.startswith(prefixes) and "store_calls" not in name
     }
 
 
 async def _submit_short(client: Any, number: int) -> Any:
-    return await fleets.submit(client, number, SHORT)
+    return await fleets.submit(client, number, SHORT_RUN_SECONDS)
 
 
 async def measure(plan: Plan) -> dict[str, Any]:
-    """Let everything fail that can."""
-    found: dict[str, Any] = {"plan": plan._asdict(), "scenes": {}}
+    """Run all scenarios on one fleet."""
+    figures: dict[str, Any] = {"plan": plan._asdict(), "scenes": {}}
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder))
         await fleet.start()
@@ -335,20 +356,23 @@
             await fleets.declare(fleet)
             fleet.add_workers(plan.workers)
             await fleet.wait_settled()
-            found["running"] = await fill(fleet, plan.tasks)
+            figures["running"] = await fill(fleet, plan.tasks)
             await asyncio.sleep(plan.window)
             idle = await fleet.measure(2 * plan.window)
-            stage = Stage(fleet, plan, idle)
-            for act in _scenes:
-                label = act.__doc__.splitlines()[0]
-                found["scenes"][label] = await act(stage)
+            context = Context(fleet, plan, idle)
+            for scenario_function in _scenarios:
+                label = scenario_function.__doc__.splitlines()[0]
+                figures["scenes"][label] = await scenario_function(context)
         finally:
             await fleet.close()
-    return found
+    return figures
 
 
 def run(quick: bool = False) -> dict[str, Any]:
-    """Measure; a full run adds its figures to the page's."""
+    """Run the benchmark; a full run adds its figures to those of the page.
+
+    :param quick: whether to use a small fleet and write nothing.
+    """
     found = asyncio.run(measure(QUICK if quick else FULL))
     if not quick:
         figures = json.loads(pages.FIGURES.read_text())
--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -1,4 +1,4 @@
-"""Real daemons on loopback, the load on them, and what they spend."""
+"""Runs real daemons on loopback under load, and measures the resources they use."""
 
 import asyncio
 import re
@@ -26,11 +26,11 @@
 TEAMS = 12
 SERVICE = "orders"
 WORKER_SIZE = Size(64_000, 262_144, 2)
-TASK = {"processors": 3.5, "memory": 1024}
+TASK_SIZE = {"processors": 3.5, "memory": 1024}
 TASKS_PER_JOB = 50
 MEGABYTE = 1e6
 
-# Offset of the bytes acknowledged and received in Linux's struct tcp_info.
+# Offset of tcpi_bytes_acked and tcpi_bytes_received in Linux's struct tcp_info.
 TCP_BYTES_OFFSET = 120
 TCP_INFO_SIZE = 256
 
@@ -39,21 +39,21 @@
 
 
 class Sample(NamedTuple):
-    """What each daemon spent in a second, by name of the figure.
+    """Growth of counters per second and current sizes, by name of the figure.
 
     :param daemons: figures of each daemon.
-    :param fleet: figures of all daemons together, as the platform saw them.
-    :param bench: share of a core that the benchmark's own process took.
+    :param fleet: figures of all daemons together, as counted by the platform.
+    :param benchmark_core_share: share of a core that the benchmark's process used.
     """
 
     daemons: dict[str, dict[str, float]]
     fleet: dict[str, float]
-    bench: float
+    benchmark_core_share: float
 
     def average(self, figure: str, names: Collection[str] = ()) -> float:
-        """Return a figure for the average of the named daemons, or of all.
+        """Return the average of a figure over the named daemons, or over all.
 
-        Figures of the platform are spread over the named daemons alone.
+        Figures of the platform are divided by the number of those daemons.
         """
         chosen = names or self.daemons
         if figure in self.fleet:
@@ -68,10 +68,10 @@
 
 
 class Fleet:
-    """A deployment that grows, with load on it.
+    """A deployment that can grow and be measured under load.
 
-    :param folder: for the settings files.
-    :param limits: the section ``limits`` of each daemon's settings.
+    :param folder: folder for the settings files.
+    :param limits: section ``limits`` of each daemon's settings.
     """
 
     def __init__(self, folder: Path, limits: dict[str, float] | None = None) -> None:
@@ -94,9 +94,10 @@
         await self.platform.close()
 
     async def grow(self, zones: int, daemons: int) -> None:
-        """Add daemons, one after the other, until there are so many in each zone.
+        """Add daemons one after another, up to ``daemons`` in each of ``zones`` zones.
 
-        The list is never empty, as a daemon is ready only once it has seen one.
+        A worker is added first if there is none, as a daemon becomes ready only once
+        it has read an instance list that isn't empty.
         """
         if not self.platform.workers:
             self.add_workers(1, ["zone-0"])
@@ -121,21 +122,21 @@
         )
         await asyncio.sleep(START_PAUSE_SECONDS)
 
-    async def drop_daemon(self, name: str) -> None:
-        """Kill a daemon as when its instance fails."""
-        await self._take_out(name).kill()
+    async def kill_daemon(self, name: str) -> None:
+        """Kill a daemon, as if its instance failed."""
+        await self._remove_daemon(name).kill()
 
     async def stop_daemon(self, name: str) -> None:
         """Shut a daemon down gracefully."""
-        await self._take_out(name).stop()
+        await self._remove_daemon(name).stop()
 
-    def _take_out(self, name: str) -> DaemonProcess:
+    def _remove_daemon(self, name: str) -> DaemonProcess:
         self._retired.append(self.clients.pop(name))
         self.zones.pop(name)
         return self.deployment.daemons.pop(name)
 
     def add_workers(self, count: int, zones: Sequence[str] = ()) -> None:
-        """Add workers, spread over the zones, until there are so many."""
+        """Add workers, spread over the zones, until there are ``count``."""
         zones = zones or sorted(set(self.zones.values()))
         for number in range(len(self.platform.workers), count):
             self.platform.add_worker(
@@ -146,36 +147,39 @@
             )
 
     def add_targets(self, count: int, zones: Sequence[str] = ()) -> None:
-        """Add targets, spread over the zones, until there are so many."""
+        """Add targets, spread over the zones, until there are ``count``."""
         zones = zones or sorted(set(self.zones.values()))
         for number in range(len(self.platform.targets), count):
             zone = zones[number % len(zones)]
             self.platform.add_target(f"target-{number:03}", zone, SERVICE)
 
     async def wait_settled(self) -> bool:
-        """Wait until every worker and target has one owner; tell whether so."""
+        """Wait until every worker and target has an owner, for 60 s at most.
+
+        :returns: whether all of them have one.
+        """
         reached = await wait_until(
-            self.count_owned, lambda count: count >= self.count_things(), 60
+            self.count_owned, lambda count: count >= self.count_shards(), 60
         )
         await asyncio.sleep(SETTLE_SECONDS)
-        return reached >= self.count_things()
+        return reached >= self.count_shards()
 
-    def count_things(self) -> int:
-        """Count what needs an owner."""
+    def count_shards(self) -> int:
+        """Count the workers and targets, each of which needs an owner."""
         return len(self.platform.workers) + len(self.platform.targets)
 
     def count_listed(self) -> int:
-        """Count listed workers and targets in zones with daemons."""
+        """Count the listed workers and targets in zones that have daemons."""
         zones = set(self.zones.values())
-        parts = (*self.platform.workers.values(), *self.platform.targets.values())
+        servers = (*self.platform.workers.values(), *self.platform.targets.values())
         return sum(
-            part.instance.zone in zones
-            and self.platform.instances.get(part.instance.name) is not None
-            for part in parts
+            server.instance.zone in zones
+            and self.platform.instances.get(server.instance.name) is not None
+            for server in servers
         )
 
     async def count_owned(self) -> int:
-        """Count workers and targets that daemons say they own."""
+        """Count the workers and targets that the daemons report as owned."""
         count = 0
         for client in list(self.clients.values()):
             owned = (await client.call("GET", "/v1/status")).read_json()["owned"]
@@ -183,7 +187,7 @@
         return count
 
     async def list_owners(self, scope: str) -> list[str]:
-        """List the daemons that own something of ``scope``."""
+        """List the daemons that own a shard of ``scope``."""
         found = []
         for name, client in self.clients.items():
             status = (await client.call("GET", "/v1/status")).read_json()
@@ -192,7 +196,7 @@
         return found
 
     def list_processes(self) -> Iterable[tuple[str, DaemonProcess]]:
-        """List the daemons that run."""
+        """List the running daemons by name."""
         return self.deployment.daemons.items()
 
     def count_running(self) -> int:
@@ -201,7 +205,7 @@
         return sum(len(worker.list_running()) for worker in workers)
 
     async def measure(self, seconds: float, load: "Load | None" = None) -> Sample:
-        """Measure each daemon over a time, under a load."""
+        """Measure all daemons for some seconds, under load if one is given."""
         running = asyncio.ensure_future(load.run()) if load else None
         if load:
             await asyncio.sleep(SETTLE_SECONDS)
@@ -214,8 +218,12 @@
         return compare(before, after)
 
     async def read(self, is_first: bool) -> "Reading":
-        """Read all figures so that reading the metrics itself isn't measured."""
-        scraped = await self._scrape() if is_first else {}
+        """Read all counters.
+
+        Metrics are requested before the first reading of the processes and after the
+        second one, so that the cost of these requests isn't measured.
+        """
+        metrics = await self._scrape() if is_first else {}
         reading = Reading(
             time.monotonic(),
             time.process_time(),
@@ -223,8 +231,8 @@
             self._read_platform(),
             self._read_connections(),
         )
-        scraped = scraped or await self._scrape()
-        for name, figures in scraped.items():
+        metrics = metrics or await self._scrape()
+        for name, figures in metrics.items():
             reading.daemons[name].update(figures)
         return reading
 
@@ -237,20 +245,20 @@
     def _read_platform(self) -> dict[str, float]:
         platform = self.platform
         figures: Counter[str] = Counter()
-        for kind, parts in (
+        for kind, servers in (
             ("store", [platform.store]),
             ("list", [platform.instances]),
             ("worker", platform.workers.values()),
             ("target", platform.targets.values()),
         ):
-            for part in parts:
-                for operation, count in part.calls.items():
+            for server in servers:
+                for operation, count in server.calls.items():
                     figures[f"{kind} {operation}"] += count
         figures["task starts"] = len(platform.runs.starts)
         return dict(figures)
 
     def _read_connections(self) -> dict[tuple[str, int], int]:
-        """Return the bytes both ways of each connection to the platform."""
+        """Return the bytes sent and received on each connection to the platform."""
         found = {}
         for name, listener in self.platform._listeners.items():
             kind = "target" if name in self.platform.targets else "worker"
@@ -260,7 +268,7 @@
 
 
 class Reading(NamedTuple):
-    """All counters at one time."""
+    """All counters at one point in time, both times in seconds."""
 
     time: float
     processor: float
@@ -270,27 +278,27 @@
 
 
 class Load:
-    """Calls at a fixed rate, spread over the daemons.
+    """Makes calls at a fixed rate, spread over the daemons.
 
-    :param rate: calls a second.
-    :param act: makes the call with a number; told the client to use.
-    :param names: the daemons to call; all unless given.
+    :param rate: calls per second.
+    :param make_call: makes one call with a client and the number of the call.
+    :param names: daemons to call; all of them if empty.
     """
 
     def __init__(
         self,
         fleet: Fleet,
         rate: float,
-        act: Callable[[Client, int], Awaitable[Any]],
+        make_call: Callable[[Client, int], Awaitable[Any]],
         names: Collection[str] = (),
     ) -> None:
         self.statuses: Counter[int] = Counter()
         self._clients = [fleet.clients[name] for name in names or fleet.clients]
         self._rate = rate
-        self._act = act
+        self._make_call = make_call
 
     async def run(self) -> None:
-        """Call until cancelled; calls don't wait for earlier ones."""
+        """Make calls until cancelled, without waiting for earlier ones to end."""
         start = time.monotonic()
         number = 0
         async with asyncio.TaskGroup() as group:
@@ -302,7 +310,7 @@
                 await asyncio.sleep(max(0.0, due - time.monotonic()))
 
     async def _call(self, client: Client, number: int) -> None:
-        reply = await self._act(client, number)
+        reply = await self._make_call(client, number)
         self.statuses[reply.status] += 1
 
 
@@ -312,37 +320,37 @@
 
 
 def list_zones(count: int) -> list[str]:
-    """List the names of so many zones."""
+    """List the names of ``count`` zones."""
     return [f"zone-{number}" for number in range(count)]
 
 
 async def declare(fleet: Fleet) -> None:
-    """Declare each team and a workload of its own, in force everywhere."""
+    """Declare each team and one workload of it, and wait until they are in force."""
     client = next(iter(fleet.clients.values()))
     quota = {"processors": 4096, "memory": 1 << 28}
     for team in list_teams():
         team_spec = {"spec": {"quota": quota}}
-        check(await client.call("PUT", f"/v1/teams/{team}", team_spec))
+        check_reply(await client.call("PUT", f"/v1/teams/{team}", team_spec))
         spec = {
             "team": team,
             "type": "batch",
-            "size": TASK,
+            "size": TASK_SIZE,
             "tasks": TASKS_PER_JOB,
             "idempotent": True,
         }
         path = f"/v1/workloads/batch-{team}"
-        check(await client.call("PUT", path, {"spec": spec}))
+        check_reply(await client.call("PUT", path, {"spec": spec}))
     await asyncio.sleep(SETTLE_SECONDS)
 
 
-def check(reply: Reply) -> None:
-    """Stop the benchmark when a call that it needs was refused."""
+def check_reply(reply: Reply) -> None:
+    """Raise :exc:`RuntimeError` if a call that the benchmark needs was refused."""
     if reply.status >= 300:
         raise RuntimeError(f"{reply.status} {reply.body!r}")
 
 
 async def submit(client: Client, number: int, seconds: float) -> Any:
-    """Submit a job whose tasks run for so long."""
+    """Submit a job whose tasks run for ``seconds``."""
     team = list_teams()[number % TEAMS]
     path = f"/v1/workloads/batch-{team}/jobs"
     return await client.call("POST", path, {"run_time": seconds})
@@ -351,7 +359,7 @@
 async def change(client: Client, number: int) -> Any:
     """Change a workload's declaration."""
     team = list_teams()[number % TEAMS]
-    spec = {"team": team, "type": "batch", "size": TASK, "run_time": 1 + number}
+    spec = {"team": team, "type": "batch", "size": TASK_SIZE, "run_time": 1 + number}
     return await client.call("PUT", f"/v1/workloads/changed-{team}", {"spec": spec})
 
 
@@ -363,7 +371,7 @@
 
 
 def read_process(process_id: int) -> dict[str, float]:
-    """Return processor milliseconds and megabytes of a process."""
+    """Return the processor time in ms and the memory in MB of a process."""
     memory = psutil.Process(process_id).memory_full_info()
     return {
         "processor ms": read_processor_time(process_id) * 1e3,
@@ -373,21 +381,21 @@
 
 
 def read_processor_time(process_id: int) -> float:
-    """Return the seconds that all threads of a process ran, to the nanosecond."""
+    """Return the processor seconds of all threads of a process, in ns resolution."""
     threads = Path(f"/proc/{process_id}/task").glob("*/schedstat")
     return sum(int(path.read_text().split()[0]) for path in threads) / 1e9
 
 
 def parse_metrics(text: str) -> dict[str, float]:
-    """Return the counters of one daemon by metric and labels."""
+    """Return the counters of one daemon, by name of the metric and its labels."""
     found: Counter[str] = Counter()
     for line in text.splitlines():
         match = _METRIC.match(line)
         if match is None or not match[1].startswith("damaskdeck"):
             continue
         labels = dict(_LABEL.findall(match[2]))
-        parts = [labels[n] for n in sorted(labels) if not n.startswith("otel")]
-        name = " ".join([match[1].removeprefix("damaskdeck_"), *parts])
+        servers = [labels[n] for n in sorted(labels) if not n.startswith("otel")]
+        name = " ".join([match[1].removeprefix("damaskdeck_"), *servers])
         found[name] += float(match[3])
     return dict(found)
 
@@ -405,7 +413,7 @@
 
 
 def compare(before: Reading, after: Reading) -> Sample:
-    """Return what was spent in a second between two readings."""
+    """Return the growth per second between two readings."""
     seconds = after.time - before.time
     daemons = {
         name: _subtract(before.daemons[name], figures, seconds)
@@ -414,16 +422,16 @@
     }
     fleet = _subtract(before.platform, after.platform, seconds)
     for (kind, identity), count in after.connections.items():
-        grown = count - before.connections.get((kind, identity), 0)
+        growth = count - before.connections.get((kind, identity), 0)
         name = f"{kind} bytes"
-        fleet[name] = fleet.get(name, 0.0) + max(0, grown) / seconds
+        fleet[name] = fleet.get(name, 0.0) + max(0, growth) / seconds
     return Sample(daemons, fleet, (after.processor - before.processor) / seconds)
 
 
 def _subtract(
     before: dict[str, float], after: dict[str, float], seconds: float
 ) -> dict[str, float]:
-    """Return the growth a second of counters, and of sizes the last value."""
+    """Return the growth of counters per second, and the last value of sizes in MB."""
     return {
         name: value if "MB" in name else (value - before.get(name, 0.0)) / seconds
         for name, value in after.items()
