--- a/benchmarks/lines.py
+++ b/benchmarks/lines.py
@@ -1,7 +1,7 @@
-"""What a log line costs, and how many a daemon can write in 5 % of its processor.
+"""Measures the cost of a log line, and how many lines fit in 5 % of a core.
 
-Lines go through the real logger, handler and writer to a sink that takes all; the
-limits of a second are not reached, so each line is written.
+Lines pass through the real logger, handler and writer to a null device. A batch stays
+below the limit of lines per second, so that every line is written.
 """
 
 import os
@@ -10,19 +10,19 @@
 from damaskdeck.lines import TOTAL_LIMIT, LineHandler, LineWriter
 from damaskdeck.logs import get_logger
 
-BATCH = TOTAL_LIMIT - 500
-SHARE = 0.05
+LINES_PER_BATCH = TOTAL_LIMIT - 500
+PROCESSOR_SHARE = 0.05
 
 
 def run(quick: bool = False) -> dict:
-    """Return the processor time of a decision's line and what follows from it."""
+    """Return the processor time of a typical line, and the rate that it allows."""
     rounds = 3 if quick else 20
-    spent = sorted(_time_batch(number) for number in range(rounds))
-    cost = spent[len(spent) // 2] / BATCH
+    seconds = sorted(_time_batch(number) for number in range(rounds))
+    cost = seconds[len(seconds) // 2] / LINES_PER_BATCH
     return {
-        "lines_measured": rounds * BATCH,
+        "lines_measured": rounds * LINES_PER_BATCH,
         "processor_microseconds_a_line": round(cost * 1e6, 1),
-        "lines_a_second_in_5_percent_of_a_core": round(SHARE / cost),
+        "lines_a_second_in_5_percent_of_a_core": round(PROCESSOR_SHARE / cost),
     }
 
 
@@ -32,7 +32,7 @@
     handler = LineHandler(LineWriter(descriptor), "d0", "info")
     with handler.applicationbound():
         began = time.process_time()
-        for index in range(BATCH):
+        for index in range(LINES_PER_BATCH):
             log.info(
                 "Ordered.",
                 id=f"{number:08x}{index:08x}",
@@ -44,6 +44,6 @@
                 epoch=2,
             )
         handler.flush()
-        spent = time.process_time() - began
+        seconds = time.process_time() - began
     os.close(descriptor)
-    return spent
+    return seconds
