--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,4 +1,4 @@
-"""Time until a configuration is in force everywhere, and what the relay costs."""
+"""Measures the time until a change is in force everywhere, and the relay's cost."""
 
 import asyncio
 import statistics
@@ -27,17 +27,17 @@
 from standins.peers import PeerSwitch
 from standins.store import MemoryStore
 
-LINK_DELAY = timedelta(milliseconds=1)
+PEER_DELAY = timedelta(milliseconds=1)
 STORE_DELAY = timedelta(milliseconds=5)
-STEP = 0.02
-LIMIT = 30.0
-CUT_SECONDS = 45
+POLL_SECONDS = 0.02
+WAIT_LIMIT_SECONDS = 30.0
+CUT_OFF_SECONDS = 45
 IDLE_SECONDS = 40
 TRIALS = 5
-CHANGES = 50
+CHANGE_COUNT = 50
 
 
-class CountedStore:
+class CountingStore:
     """A client of the store that counts calls by operation."""
 
     def __init__(self, client: Any, calls: Counter[str]) -> None:
@@ -45,7 +45,7 @@
         self._calls = calls
 
     def __getattr__(self, name: str) -> Any:
-        """Return the client's operation, counted."""
+        """Return the client's operation of that name, with its calls counted."""
         operation = getattr(self._client, name)
 
         async def call(*args: Any, **kwargs: Any) -> Any:
@@ -56,9 +56,12 @@
 
 
 class Node:
-    """Membership and configuration of one daemon."""
+    """The membership and the configuration of one daemon.
 
-    def __init__(self, fleet: "Fleet", name: str, zone: str, relays: bool) -> None:
+    :param has_relay: whether the daemon runs its configuration relay.
+    """
+
+    def __init__(self, fleet: "Fleet", name: str, zone: str, has_relay: bool) -> None:
         region = f"r{int(zone[1:]) // 3}"
         member = Member(name, zone, region, name, name, f"{name}-{time.monotonic_ns()}")
         peers = fleet.switch.connect(name)
@@ -71,20 +74,20 @@
             self.configuration,
             self.members,
             peers,
-            CountedStore(client, fleet.calls),
+            CountingStore(client, fleet.calls),
             fleet.clock,
         )
-        runs = [self.members.run(), *([self.relay.run()] if relays else [])]
+        runs = [self.members.run(), *([self.relay.run()] if has_relay else [])]
         self.tasks = [asyncio.ensure_future(run) for run in runs]
 
     @property
     def weight(self) -> float | None:
-        """The weight of the team that is written in the trials."""
+        """The weight in force of the team that the scenarios write, None before."""
         team = self.configuration.get(Kind.TEAM, "maps")
         return team["spec"]["weight"] if team else None
 
     async def put(self, weight: float) -> Any:
-        """Declare the team."""
+        """Declare the team with a weight."""
         resource = {
             "kind": "team",
             "metadata": {"name": "maps"},
@@ -94,15 +97,15 @@
 
 
 class Fleet:
-    """Daemons in zones; three zones make a region."""
+    """Daemons in zones, with three zones in each region."""
 
     def __init__(
-        self, zones: int, daemons: int, relays: bool = True, seed: int = 0
+        self, zones: int, daemons: int, has_relay: bool = True, seed: int = 0
     ) -> None:
         self.random = Random(seed)
         self.clock = LoopClock()
         self.switch = PeerSwitch(self.clock)
-        self.switch.delay = self.switch.jitter = LINK_DELAY
+        self.switch.delay = self.switch.jitter = PEER_DELAY
         self.store = MemoryStore(self.clock)
         self.store.faults.delay = STORE_DELAY
         self.calls: Counter[str] = Counter()
@@ -110,15 +113,15 @@
         for zone in range(zones):
             for number in range(daemons):
                 name = f"d{zone}{number}"
-                self.nodes[name] = Node(self, name, f"z{zone}", relays)
+                self.nodes[name] = Node(self, name, f"z{zone}", has_relay)
 
     def stop(self) -> None:
-        """End all daemons."""
+        """Kill all daemons."""
         for name in list(self.nodes):
             self.kill(name)
 
     def kill(self, name: str) -> None:
-        """End a daemon without a word."""
+        """Kill a daemon without a graceful shutdown."""
         for task in self.nodes.pop(name).tasks:
             task.cancel()
         self.switch.disconnect(name)
@@ -128,43 +131,55 @@
         return [node for node in self.nodes.values() if node.zone == zone]
 
     def cut_off(self, zone: str, from_peers: bool) -> None:
-        """Cut a zone off from the store, and from the other zones if asked."""
-        inside = [node.name for node in self.list_zone(zone)]
-        self.store.faults.cut_off.update(inside)
-        for name in inside if from_peers else ():
+        """Disconnect a zone from the store.
+
+        :param from_peers: whether to disconnect it from the other zones as well.
+        """
+        zone_daemons = [node.name for node in self.list_zone(zone)]
+        self.store.faults.cut_off.update(zone_daemons)
+        for name in zone_daemons if from_peers else ():
             for other in self.nodes.values():
                 if other.zone != zone:
                     self.switch.cut_both(name, other.name)
 
     def heal(self) -> None:
-        """Let everything be reached again."""
+        """Reconnect the store and all peers."""
         self.store.faults.cut_off.clear()
         self.switch.heal_all()
 
     async def measure(self, weight: float) -> dict[str, float]:
-        """Return the seconds until ``weight`` is in force, and told so, everywhere."""
+        """Return the seconds until ``weight`` is in force everywhere.
+
+        :returns: the seconds until all daemons have it (``in_force``), and until a
+            daemon reports so (``told``); at most ``WAIT_LIMIT_SECONDS``.
+        """
         loop = asyncio.get_running_loop()
         start, found = loop.time(), {}
-        while loop.time() - start < LIMIT:
-            passed = round(loop.time() - start, 3)
+        while loop.time() - start < WAIT_LIMIT_SECONDS:
+            elapsed = round(loop.time() - start, 3)
             nodes = self.nodes.values()
             if all(node.weight == weight for node in nodes):
-                found.setdefault("in_force", passed)
-            asked = next(iter(nodes)).relay.read_in_force(self.lowest)
-            if (await asked).is_everywhere and "in_force" in found:
-                return {"in_force": found["in_force"], "told": passed}
-            await asyncio.sleep(STEP)
-        return {"in_force": found.get("in_force", LIMIT), "told": LIMIT}
+                found.setdefault("in_force", elapsed)
+            status_request = next(iter(nodes)).relay.read_in_force(
+                self.written_revision
+            )
+            if (await status_request).is_everywhere and "in_force" in found:
+                return {"in_force": found["in_force"], "told": elapsed}
+            await asyncio.sleep(POLL_SECONDS)
+        return {
+            "in_force": found.get("in_force", WAIT_LIMIT_SECONDS),
+            "told": WAIT_LIMIT_SECONDS,
+        }
 
     async def wait(self, seconds: float) -> None:
-        """Wait, and up to two seconds more, so that phases differ."""
+        """Wait, with up to two seconds of jitter so that trials differ in phase."""
         await asyncio.sleep(seconds + 2 * self.random.random())
 
     async def write(self, name: str, weight: float) -> None:
-        """Write on one daemon and note the revision."""
-        done = await self.nodes[name].put(weight)
-        assert isinstance(done, Declared), done
-        self.lowest = done.resource["metadata"]["revision"]
+        """Write through one daemon and store the revision."""
+        reply = await self.nodes[name].put(weight)
+        assert isinstance(reply, Declared), reply
+        self.written_revision = reply.resource["metadata"]["revision"]
 
 
 Scenario = Callable[[Fleet], Awaitable[dict[str, float]]]
@@ -172,7 +187,7 @@
 
 
 def scenario(function: Scenario) -> Scenario:
-    """Register a scenario under its function's name."""
+    """Register a scenario; the name of its function labels its figures."""
     SCENARIOS[function.__name__] = function
     return function
 
@@ -186,7 +201,7 @@
 
 @scenario
 async def writer_dead(fleet: Fleet) -> dict[str, float]:
-    """The accepting daemon dies before it tells anybody; the store alone knows."""
+    """The accepting daemon dies before it notifies any peer; only the store knows."""
     for other in fleet.nodes.values():
         fleet.switch.cut_both("d00", other.name)
     await fleet.write("d00", 2.0)
@@ -214,7 +229,7 @@
 
 @scenario
 async def watchers_and_writer_dead(fleet: Fleet) -> dict[str, float]:
-    """The same, and the accepting daemon dies before it tells anybody."""
+    """Both watchers of another zone die, and the accepting daemon as well."""
     for node in fleet.list_zone("z1"):
         if node.relay.is_watcher():
             fleet.kill(node.name)
@@ -223,40 +238,45 @@
 
 @scenario
 async def zone_without_store(fleet: Fleet) -> dict[str, float]:
-    """A zone doesn't reach the store, but its peers."""
+    """A zone can reach its peers, but not the store."""
     fleet.cut_off("z1", from_peers=False)
-    await fleet.wait(CUT_SECONDS)
+    await fleet.wait(CUT_OFF_SECONDS)
     await fleet.write("d00", 2.0)
     return await fleet.measure(2.0)
 
 
 @scenario
 async def zone_healed(fleet: Fleet) -> dict[str, float]:
-    """A zone was cut off from everything while others wrote; counted from healing."""
+    """A zone was disconnected while others wrote; measured from its reconnection."""
     fleet.cut_off("z1", from_peers=True)
     for weight in (2.0, 3.0, 4.0):
         await fleet.write("d00", weight)
-        await fleet.wait(CUT_SECONDS / 3)
+        await fleet.wait(CUT_OFF_SECONDS / 3)
     fleet.heal()
     return await fleet.measure(4.0)
 
 
 @scenario
 async def after_outage(fleet: Fleet) -> dict[str, float]:
-    """The store was down; a write follows at once when it is back."""
+    """The store was down, and a write follows as soon as it is up again."""
     fleet.store.faults.outage = True
-    await fleet.wait(CUT_SECONDS)
+    await fleet.wait(CUT_OFF_SECONDS)
     fleet.store.faults.outage = False
     await fleet.write("d00", 2.0)
     return await fleet.measure(2.0)
 
 
 def run(quick: bool = False) -> dict[str, Any]:
-    """Run all scenarios; seconds of virtual time, except processor time."""
+    """Run all scenarios.
+
+    Figures are seconds of virtual time, except for processor time.
+
+    :param quick: whether to use fewer zones and trials.
+    """
     zones, trials = (3, 2) if quick else (9, TRIALS)
     figures: dict[str, Any] = {"zones": zones, "daemons": 3 * zones, "trials": trials}
     for name, function in SCENARIOS.items():
-        found = [run_virtual(_try(function, zones, n)) for n in range(trials)]
+        found = [run_virtual(_run_trial(function, zones, n)) for n in range(trials)]
         figures[name] = {
             key: {
                 "p50": statistics.median(each[key] for each in found),
@@ -270,7 +290,7 @@
     return figures
 
 
-async def _try(function: Scenario, zones: int, trial: int) -> dict[str, float]:
+async def _run_trial(function: Scenario, zones: int, trial: int) -> dict[str, float]:
     fleet = Fleet(zones, 3, seed=trial)
     await fleet.wait(15)
     await fleet.write("d00", 1.0)
@@ -282,22 +302,30 @@
 
 
 def _measure_idle(zones: int) -> dict[str, Any]:
-    """Return what the relay costs while nothing changes, for each daemon."""
-    spent = {}
-    for relays in (False, True):
+    """Return the relay's cost while nothing changes.
+
+    Store calls are those of all daemons, processor time is that of one.
+    """
+    processor_seconds = {}
+    for has_relay in (False, True):
         before = time.process_time()
-        calls, outage = run_virtual(_idle(zones, relays))
-        spent[relays] = time.process_time() - before
+        calls, outage = run_virtual(_count_idle_calls(zones, has_relay))
+        processor_seconds[has_relay] = time.process_time() - before
     seconds = 2 * IDLE_SECONDS * 3 * zones
     return {
         "store_calls_a_second": sum(calls.values()) / IDLE_SECONDS,
         "store_calls_a_second_in_an_outage": sum(outage.values()) / IDLE_SECONDS,
-        "processor_share_of_a_daemon": (spent[True] - spent[False]) / seconds,
+        "processor_share_of_a_daemon": (
+            processor_seconds[True] - processor_seconds[False]
+        )
+        / seconds,
     }
 
 
-async def _idle(zones: int, relays: bool) -> tuple[Counter[str], Counter[str]]:
-    fleet = Fleet(zones, 3, relays)
+async def _count_idle_calls(
+    zones: int, has_relay: bool
+) -> tuple[Counter[str], Counter[str]]:
+    fleet = Fleet(zones, 3, has_relay)
     await asyncio.sleep(15)
     fleet.calls.clear()
     await asyncio.sleep(IDLE_SECONDS)
@@ -318,8 +346,8 @@
     return Event(key, encode_resource(resource), revision)
 
 
-def _change(configuration: Configuration, count: int) -> None:
-    """Change one workload after the other."""
+def _change_workloads(configuration: Configuration, count: int) -> None:
+    """Change ``count`` workloads, one after another."""
     for _ in range(count):
         base = configuration.revision
         event = _make_event(f"w-{base % 100}", base + 1)
@@ -327,24 +355,24 @@
 
 
 def _measure_memory(workloads: int) -> dict[str, float]:
-    """Return the megabytes of a configuration, and of its full history."""
+    """Return the megabytes of a configuration, and of its complete history."""
     events = [_make_event(f"w-{n}", n + 1) for n in range(workloads)]
     tracemalloc.start()
     configuration = Configuration()
     configuration.apply_snapshot(events, workloads)
-    whole = tracemalloc.get_traced_memory()[0]
-    _change(configuration, HISTORY_LIMIT)
-    both = tracemalloc.get_traced_memory()[0]
+    configuration_bytes = tracemalloc.get_traced_memory()[0]
+    _change_workloads(configuration, HISTORY_LIMIT)
+    total_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return {
         "workloads": workloads,
-        "configuration_mb": whole / 1e6,
-        "history_mb": (both - whole) / 1e6,
+        "configuration_mb": configuration_bytes / 1e6,
+        "history_mb": (total_bytes - configuration_bytes) / 1e6,
     }
 
 
 async def _measure_watches(readers: int) -> dict[str, float]:
-    """Return the processor time for each line that a watcher is sent."""
+    """Return the processor time per line that is sent to a watching client."""
     configuration, clock = Configuration(), LoopClock()
     configuration.apply_snapshot((), 0)
     lines = [
@@ -358,12 +386,12 @@
     ]
     sent = 0
     began = time.process_time()
-    for _ in range(CHANGES):
-        _change(configuration, 1)
+    for _ in range(CHANGE_COUNT):
+        _change_workloads(configuration, 1)
         for each in lines:
             line = await anext(each)
             while line["type"] == "BOOKMARK":
                 line = await anext(each)
             sent += len(msgspec.json.encode(line)) > 0
-    spent = time.process_time() - began
-    return {"readers": readers, "us_a_line": 1e6 * spent / sent}
+    processor_seconds = time.process_time() - began
+    return {"readers": readers, "us_a_line": 1e6 * processor_seconds / sent}
