--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -1,4 +1,4 @@
-"""Measures learnt sizes: packing with wrong declarations, overfills, and cost."""
+"""Measures learnt sizes: packing despite wrong declarations, overfills, and cost."""
 
 import math
 import random
@@ -25,16 +25,20 @@
 WORKERS = 24
 WORKER_SIZE = Size(64_000, 256 * 1024, 0)
 WORKLOADS = 60
-WAITING = 100
-TICK = 2
+WAITING_TASKS = 100
+TICK_SECONDS = 2
 REPORT_TICKS = 2
 LAG_TICKS = 5
-# Share of its run time in which a task's memory grows to its peak.
-GROWTH = 0.25
+# Share of a task's run time after which its memory has grown to the peak.
+MEMORY_GROWTH_SHARE = 0.25
 
 
-class Load(NamedTuple):
-    """A workload: what its tasks truly use at most, and what is declared."""
+class Workload(NamedTuple):
+    """A workload with the actual peak usage of its tasks and the declared size.
+
+    :param used: actual peak usage of a task.
+    :param run_time: mean run time in seconds.
+    """
 
     name: str
     used: Size
@@ -45,59 +49,70 @@
     checkpoint: bool
 
 
-class Run:
-    """A task, with its true use over time."""
+class TaskRun:
+    """One run of a task, with its actual usage over time.
+
+    :ivar limit: millicores to which the run is throttled, if it is.
+    :ivar done: seconds of its run time that are done.
+    :ivar history: usage at each tick.
+    """
 
-    def __init__(self, name: str, load: Load, rng: random.Random) -> None:
+    def __init__(self, name: str, workload: Workload, rng: random.Random) -> None:
         noise = rng.uniform(0.85, 1.0)
         self.name = name
-        self.load = load
-        self.peak = Size(*(round(amount * noise) for amount in load.used))
-        self.run_time = load.run_time * rng.uniform(0.7, 1.3)
-        self.reserved = load.declared
+        self.workload = workload
+        self.peak = Size(*(round(amount * noise) for amount in workload.used))
+        self.run_time = workload.run_time * rng.uniform(0.7, 1.3)
+        self.reserved = workload.declared
         self.worker = ""
         self.limit: int | None = None
         self.done = 0.0
         self.started = 0
         self.history: list[Size] = []
 
-    def find_use(self) -> Size:
-        """Return what it uses now."""
-        grown = min(1.0, 0.1 + self.done / (GROWTH * self.run_time))
+    def compute_usage(self) -> Size:
+        """Return the current usage."""
+        grown = min(1.0, 0.1 + self.done / (MEMORY_GROWTH_SHARE * self.run_time))
         millicores = self.peak.millicores
         if self.limit is not None:
             millicores = min(millicores, self.limit)
         return Size(millicores, round(self.peak.memory * grown), 0)
 
     def advance(self) -> None:
-        """Run on for a tick, slower where it is throttled."""
-        use = self.find_use()
-        self.history.append(use)
-        self.done += TICK * use.millicores / max(self.peak.millicores, 1)
+        """Run for one tick, at a lower speed if throttled."""
+        usage = self.compute_usage()
+        self.history.append(usage)
+        self.done += TICK_SECONDS * usage.millicores / max(self.peak.millicores, 1)
 
-    def find_reported(self, age: int = 0) -> Size | None:
-        """Return what the lagging report of ``age`` ticks ago said."""
+    def get_reported_usage(self, age: int = 0) -> Size | None:
+        """Return the usage in the report of ``age`` ticks ago; reports lag behind.
+
+        :returns: None before the first report.
+        """
         index = len(self.history) - 1 - LAG_TICKS - age
         return self.history[index] if index >= 0 else None
 
 
 class Fleet:
-    """Workers that are always offered more work than they hold.
+    """Simulates workers that always have more waiting tasks than they can run.
 
     :param sizing: how sizes are set: ``declared``, ``learnt`` or ``known``.
+    :param ticks: duration of the simulation.
     """
 
     def __init__(self, sizing: str, ticks: int) -> None:
         self.sizing = sizing
         self.ticks = ticks
         self.rng = random.Random(SEED)
-        self.loads = [_draw_load(self.rng, number) for number in range(WORKLOADS)]
+        self.workloads = [
+            _draw_workload(self.rng, number) for number in range(WORKLOADS)
+        ]
         self.accounts = WorkerAccounts()
         self.placer = Placer(self.accounts)
         self.estimates = Estimates()
         self.counts: Counter[str] = Counter()
-        self.waiting: list[Run] = []
-        self.running: dict[str, Run] = {}
+        self.waiting: list[TaskRun] = []
+        self.running: dict[str, TaskRun] = {}
         self.packing = [0.0, 0.0]
         for number in range(WORKERS):
             name = f"w{number}"
@@ -106,21 +121,26 @@
             )
 
     def run(self) -> Figures:
-        """Run for all ticks and return the figures."""
+        """Simulate all ticks and return the figures.
+
+        Averages leave out the first quarter of the ticks.
+        """
         for tick in range(self.ticks):
             self._fill(tick)
             for run in list(self.running.values()):
                 run.advance()
                 if run.done >= run.run_time:
-                    self._end(run, timedelta(seconds=TICK * (tick - run.started)))
+                    self._end(
+                        run, timedelta(seconds=TICK_SECONDS * (tick - run.started))
+                    )
                     self.counts["completed"] += 1
-            self._check(tick)
+            self._record_usage(tick)
             if tick % REPORT_TICKS == 0:
-                self._report()
-        later = max(self.ticks - self.ticks // 4, 1)
+                self._report_usage()
+        measured_ticks = max(self.ticks - self.ticks // 4, 1)
         return {
-            "memory_used": round(self.packing[1] / later, 4),
-            "processors_used": round(self.packing[0] / later, 4),
+            "memory_used": round(self.packing[1] / measured_ticks, 4),
+            "processors_used": round(self.packing[0] / measured_ticks, 4),
             "overfilled_worker_ticks": self.counts["overfilled"],
             "contended_worker_ticks": self.counts["contended"],
             "completed": self.counts["completed"],
@@ -130,49 +150,51 @@
         }
 
     def _fill(self, tick: int) -> None:
-        while len(self.waiting) < WAITING:
+        while len(self.waiting) < WAITING_TASKS:
             self.counts["made"] += 1
-            load = self.rng.choice(self.loads)
-            self.waiting.append(Run(f"t{self.counts['made']}", load, self.rng))
-        kept = []
+            workload = self.rng.choice(self.workloads)
+            self.waiting.append(TaskRun(f"t{self.counts['made']}", workload, self.rng))
+        still_waiting = []
         for run in self.waiting:
-            if not self._try(run, tick):
-                kept.append(run)
-        self.waiting = kept
-
-    def _try(self, run: Run, tick: int) -> bool:
-        run.reserved = self._find_size(run)
-        load = run.load
-        need = TaskNeed(run.name, run.reserved, "", load.urgency, load.idempotent)
-        found = self.placer.place(need)
-        if not isinstance(found, Placed):
+            if not self._start_if_fits(run, tick):
+                still_waiting.append(run)
+        self.waiting = still_waiting
+
+    def _start_if_fits(self, run: TaskRun, tick: int) -> bool:
+        run.reserved = self._choose_size(run)
+        workload = run.workload
+        need = TaskNeed(
+            run.name, run.reserved, "", workload.urgency, workload.idempotent
+        )
+        outcome = self.placer.place(need)
+        if not isinstance(outcome, Placed):
             return False
-        self.accounts.reserve(need, found.worker)
-        run.worker, run.started = found.worker, tick
+        self.accounts.reserve(need, outcome.worker)
+        run.worker, run.started = outcome.worker, tick
         self.running[run.name] = run
         return True
 
-    def _find_size(self, run: Run) -> Size:
-        load = run.load
-        size = load.declared
+    def _choose_size(self, run: TaskRun) -> Size:
+        workload = run.workload
+        size = workload.declared
         if self.sizing == "learnt":
-            size = self.estimates.estimate_size(load.name, load.declared)
+            size = self.estimates.estimate_size(workload.name, workload.declared)
         elif self.sizing == "known":
-            size = Size(*(round(amount * (1 + MARGIN)) for amount in load.used))
+            size = Size(*(round(amount * (1 + MARGIN)) for amount in workload.used))
         return Size(*map(min, size, WORKER_SIZE))
 
-    def _end(self, run: Run, run_time: timedelta | None) -> None:
+    def _end(self, run: TaskRun, run_time: timedelta | None) -> None:
         del self.running[run.name]
         self.accounts.release(run.name)
-        self.estimates.observe_end(run.load.name, run.name, run_time)
+        self.estimates.observe_end(run.workload.name, run.name, run_time)
 
-    def _check(self, tick: int) -> None:
+    def _record_usage(self, tick: int) -> None:
         used: dict[str, list[int]] = {}
         for run in self.running.values():
             total = used.setdefault(run.worker, [0, 0])
-            use = run.find_use()
-            total[0] += use.millicores
-            total[1] += use.memory
+            usage = run.compute_usage()
+            total[0] += usage.millicores
+            total[1] += usage.memory
         for total in used.values():
             self.counts["contended"] += total[0] > WORKER_SIZE.millicores
             self.counts["overfilled"] += total[1] > WORKER_SIZE.memory
@@ -181,46 +203,46 @@
                     share = min(1.0, total[index] / WORKER_SIZE[index])
                     self.packing[index] += share / WORKERS
 
-    def _report(self) -> None:
+    def _report_usage(self) -> None:
         tasks: dict[str, dict[str, ObservedTask]] = {}
         for run in self.running.values():
-            use = run.find_reported()
-            if use is not None:
-                self.estimates.observe_use(run.load.name, run.name, use)
+            usage = run.get_reported_usage()
+            if usage is not None:
+                self.estimates.observe_use(run.workload.name, run.name, usage)
                 self._resize(run)
-            tasks.setdefault(run.worker, {})[run.name] = self._observe(run, use)
+            tasks.setdefault(run.worker, {})[run.name] = self._observe(run, usage)
         for observed in tasks.values():
-            self._relieve(observed)
+            self._relieve_pressure(observed)
 
-    def _resize(self, run: Run) -> None:
+    def _resize(self, run: TaskRun) -> None:
         if self.sizing == "learnt":
             size = self.estimates.estimate_running(
-                run.load.name, run.name, run.reserved
+                run.workload.name, run.name, run.reserved
             )
             if size != run.reserved:
                 self.accounts.resize(run.name, size)
                 run.reserved = self.accounts.find(run.name).need.size
 
-    def _observe(self, run: Run, use: Size | None) -> ObservedTask:
-        before = run.find_reported(REPORT_TICKS)
+    def _observe(self, run: TaskRun, usage: Size | None) -> ObservedTask:
+        before = run.get_reported_usage(REPORT_TICKS)
         growth = 0
-        if use is not None and before is not None:
+        if usage is not None and before is not None:
             ahead = (LAG_TICKS + 2 * REPORT_TICKS) / REPORT_TICKS
-            growth = max(0, round((use.memory - before.memory) * ahead))
-        load = run.load
+            growth = max(0, round((usage.memory - before.memory) * ahead))
+        workload = run.workload
         return ObservedTask(
             run.name,
-            load.urgency,
+            workload.urgency,
             run.reserved,
-            use or run.reserved,
-            timedelta(seconds=TICK * run.started),
+            usage or run.reserved,
+            timedelta(seconds=TICK_SECONDS * run.started),
             growth,
-            load.idempotent,
-            load.checkpoint,
+            workload.idempotent,
+            workload.checkpoint,
             run.limit,
         )
 
-    def _relieve(self, tasks: dict[str, ObservedTask]) -> None:
+    def _relieve_pressure(self, tasks: dict[str, ObservedTask]) -> None:
         while action := choose_pressure_action(WORKER_SIZE, list(tasks.values())):
             self.counts[type(action).__name__] += 1
             run = self.running[action.task]
@@ -230,16 +252,16 @@
                 continue
             del tasks[action.task]
             self._end(run, None)
-            again = Run(run.name, run.load, self.rng)
-            again.peak, again.run_time = run.peak, run.run_time
-            again.done = run.done if run.load.checkpoint else 0.0
-            self.waiting.append(again)
+            restarted = TaskRun(run.name, run.workload, self.rng)
+            restarted.peak, restarted.run_time = run.peak, run.run_time
+            restarted.done = run.done if run.workload.checkpoint else 0.0
+            self.waiting.append(restarted)
 
 
 def run(quick: bool) -> Figures:
     """Compare declared, learnt and known sizes, and measure the cost of learning.
 
-    :param quick: a shorter time.
+    :param quick: whether to simulate a shorter time.
     """
     ticks = 900 if quick else 3600
     figures: Figures = {
@@ -255,15 +277,15 @@
 
 
 def measure_cost(workloads: int = 4000, running: int = 13_000) -> Figures:
-    """Measure memory and processor time of the estimates at the target size."""
+    """Measure the memory and processor time of estimates at the target size."""
     rng = random.Random(SEED)
     uses = [Size(rng.randint(100, 9000), rng.randint(100, 90_000)) for _ in range(5000)]
     tracemalloc.start()
     estimates = Estimates()
     for number in range(workloads):
         for task in range(16):
-            use = uses[(number * 16 + task) % len(uses)]
-            estimates.observe_use(f"load-{number}", "t", use)
+            usage = uses[(number * 16 + task) % len(uses)]
+            estimates.observe_use(f"load-{number}", "t", usage)
             estimates.observe_end(f"load-{number}", "t", timedelta(seconds=60))
     learnt = tracemalloc.get_traced_memory()[0]
     for number in range(running):
@@ -273,30 +295,30 @@
     started = time.process_time()
     for number in range(running):
         estimates.observe_use(f"load-{number % workloads}", f"t{number}", uses[1])
-    reporting = time.process_time() - started
+    reporting_seconds = time.process_time() - started
     started = time.process_time()
     for number in range(workloads):
         estimates.estimate_size(f"load-{number}", Size(1000, 1000))
-    asking = time.process_time() - started
+    estimating_seconds = time.process_time() - started
     return {
         "bytes_per_workload": round(learnt / workloads),
         "bytes_per_running_task": round((total - learnt) / running),
-        "report_us": round(1e6 * reporting / running, 2),
-        "estimate_us": round(1e6 * asking / workloads, 2),
+        "report_us": round(1e6 * reporting_seconds / running, 2),
+        "estimate_us": round(1e6 * estimating_seconds / workloads, 2),
     }
 
 
-def _draw_load(rng: random.Random, number: int) -> Load:
+def _draw_workload(rng: random.Random, number: int) -> Workload:
     used = Size(
         round(math.exp(rng.uniform(math.log(1000), math.log(12_000)))),
         round(math.exp(rng.uniform(math.log(4096), math.log(48 * 1024)))),
     )
-    wrong = [amount * 4 ** rng.uniform(-1, 1) for amount in used]
+    misjudged = [amount * 4 ** rng.uniform(-1, 1) for amount in used]
     declared = Size(
-        *(min(round(a), b) for a, b in zip(wrong, WORKER_SIZE, strict=True))
+        *(min(round(a), b) for a, b in zip(misjudged, WORKER_SIZE, strict=True))
     )
     kind = rng.random()
-    return Load(
+    return Workload(
         f"load-{number}",
         used,
         declared,
