--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -1,7 +1,7 @@
-"""Measures ledgers in virtual time against a store that answers after 5 ms.
+"""Measures ledgers in virtual time with a store that answers after 5 ms.
 
-Latencies and rates are exact in virtual time; processor time is real and holds
-the store's stand-in and the load as well.
+Latencies and rates are exact, in virtual time. Processor time is real, and includes
+that of the simulated store and of the load.
 """
 
 import asyncio
@@ -18,19 +18,19 @@
 
 Figures = dict[str, Any]
 
-LATENCY = timedelta(milliseconds=5)
-RECORD_SIZE = 300
+STORE_LATENCY = timedelta(milliseconds=5)
+RECORD_BYTES = 300
 STATE_RECORDS = 17_000
 LEDGERS = 4
-BASE_LOAD = 250
-GROWTH = (1, 2, 4, 8)
-DAEMONS = (3, 6, 12, 27)
+BASE_COMMITS_PER_SECOND = 250
+LOAD_FACTORS = (1, 2, 4, 8)
+DAEMON_COUNTS = (3, 6, 12, 27)
 CLIENTS = 500
 SEED = 1
 
 
 class CountingStore:
-    """A client that counts calls and written bytes by what they are for."""
+    """A client of the store that counts calls and written bytes by their purpose."""
 
     def __init__(self, client: StoreClient, calls: Counter[str]) -> None:
         self._client = client
@@ -49,15 +49,15 @@
 
 
 class Deployment:
-    """Some ledgers in one store, each with a state of a fixed size.
+    """Ledgers in one store, each with a state of a fixed size.
 
-    :param ledgers: how many; they share the state of the whole deployment.
+    :param ledgers: number of ledgers, among which the state is divided evenly.
     """
 
     def __init__(self, ledgers: int) -> None:
         self.clock = LoopClock()
         self.store = MemoryStore(self.clock)
-        self.store.faults.delay = LATENCY
+        self.store.faults.delay = STORE_LATENCY
         self.calls: Counter[str] = Counter()
         self.outcomes: Counter[str] = Counter()
         self.ledgers: list[Ledger] = []
@@ -65,16 +65,16 @@
         self._states: list[deque[bytes]] = []
 
     async def start(self) -> None:
-        """Open all ledgers; each state has its full size from the start."""
+        """Open all ledgers, each with a state of full size."""
         count = len(self.epochs)
         for number in range(count):
-            state = deque([bytes(RECORD_SIZE)], STATE_RECORDS // count)
+            state = deque([bytes(RECORD_BYTES)], STATE_RECORDS // count)
             state *= STATE_RECORDS // count
             self._states.append(state)
             self.ledgers.append(await self.take_over(number))
 
     async def take_over(self, number: int) -> Ledger:
-        """Open a ledger for a new keeper."""
+        """Open a ledger for a new owner, in the next epoch."""
         self.epochs[number] += 1
         state = self._states[number]
         client = CountingStore(self.store.connect("keeper"), self.calls)
@@ -87,55 +87,55 @@
 
 
 def run(quick: bool) -> Figures:
-    """Measure commits, store calls and bytes.
+    """Measure commits, calls to the store and written bytes.
 
-    :param quick: shorter runs.
+    :param quick: whether to simulate a shorter time.
     """
     seconds = 4 if quick else 24
     return {
-        "latency of the store ms": LATENCY.total_seconds() * 1000,
+        "latency of the store ms": STORE_LATENCY.total_seconds() * 1000,
         "one ledger, closed loop": {
             "group commit": run_virtual(measure_closed_loop(seconds / 4)),
             "one write each": run_virtual(measure_single_writes(seconds / 4)),
         },
         f"{LEDGERS} ledgers by load": {
-            f"{BASE_LOAD * growth} commits/s": run_virtual(
-                measure_load(BASE_LOAD * growth, LEDGERS, seconds)
+            f"{BASE_COMMITS_PER_SECOND * factor} commits/s": run_virtual(
+                measure_load(BASE_COMMITS_PER_SECOND * factor, LEDGERS, seconds)
             )
-            for growth in GROWTH
+            for factor in LOAD_FACTORS
         },
-        f"{BASE_LOAD * GROWTH[-1]} commits/s by ledgers": {
+        f"{BASE_COMMITS_PER_SECOND * LOAD_FACTORS[-1]} commits/s by ledgers": {
             f"{count} ledgers": run_virtual(
-                measure_load(BASE_LOAD * GROWTH[-1], count, seconds)
+                measure_load(BASE_COMMITS_PER_SECOND * LOAD_FACTORS[-1], count, seconds)
             )
-            for count in GROWTH
+            for count in LOAD_FACTORS
         },
         "rolling restart by daemons": {
             f"{count} daemons": run_virtual(measure_restart(count, seconds))
-            for count in DAEMONS
+            for count in DAEMON_COUNTS
         },
     }
 
 
 async def measure_closed_loop(seconds: float) -> Figures:
-    """Let many clients commit to one ledger, each again once it was answered."""
+    """Measure clients that commit to one ledger, each after its last reply."""
     deployment = Deployment(1)
     await deployment.start()
     return await _run_clients(deployment, deployment.ledgers[0].commit, seconds)
 
 
 async def measure_single_writes(seconds: float) -> Figures:
-    """The same clients with one append for each commit, in order of the log."""
+    """Measure the same clients with one write per commit, in the order of the log."""
     deployment = Deployment(1)
     store = CountingStore(deployment.store.connect("naive"), deployment.calls)
     lock = asyncio.Lock()
-    place = 0
+    position = 0
 
     async def commit(records: tuple[bytes, ...]) -> Written | Rejected:
-        nonlocal place
+        nonlocal position
         async with lock:
-            place += 1
-            return await store.put(f"ledger/00/log/{place:09d}", records[0], 0)
+            position += 1
+            return await store.put(f"ledger/00/log/{position:09d}", records[0], 0)
 
     return await _run_clients(deployment, commit, seconds)
 
@@ -144,39 +144,39 @@
     end = deployment.clock.monotonic() + timedelta(seconds=seconds)
     waits: list[float] = []
 
-    async def work() -> None:
+    async def commit_repeatedly() -> None:
         while (start := deployment.clock.monotonic()) < end:
-            outcome = await commit((bytes(RECORD_SIZE),))
+            outcome = await commit((bytes(RECORD_BYTES),))
             assert isinstance(outcome, Committed | Written), outcome
             waits.append((deployment.clock.monotonic() - start).total_seconds())
 
     deployment.calls.clear()
-    begun = time.process_time()
+    started = time.process_time()
     start = deployment.clock.monotonic()
-    await asyncio.gather(*(work() for _ in range(CLIENTS)))
-    taken = (deployment.clock.monotonic() - start).total_seconds()
-    return _summarize(waits, taken, deployment.calls, time.process_time() - begun)
+    await asyncio.gather(*(commit_repeatedly() for _ in range(CLIENTS)))
+    elapsed = (deployment.clock.monotonic() - start).total_seconds()
+    return _summarize(waits, elapsed, deployment.calls, time.process_time() - started)
 
 
 async def measure_load(load: int, ledgers: int, seconds: float) -> Figures:
-    """Commit at random times, at a fixed rate whatever the answers take."""
+    """Measure commits at random times, at a rate that doesn't depend on replies."""
     deployment = Deployment(ledgers)
     await deployment.start()
     deployment.calls.clear()
-    begun = time.process_time()
+    started = time.process_time()
     waits = await _run_load(deployment, load, seconds)
-    return _summarize(waits, seconds, deployment.calls, time.process_time() - begun)
+    return _summarize(waits, seconds, deployment.calls, time.process_time() - started)
 
 
 async def _run_load(deployment: Deployment, load: int, seconds: float) -> list[float]:
-    numbers = random.Random(SEED)
+    rng = random.Random(SEED)
     clock = deployment.clock
     waits: list[float] = []
 
     async def commit() -> None:
         start = clock.monotonic()
-        ledger = deployment.ledgers[numbers.randrange(len(deployment.ledgers))]
-        outcome = await ledger.commit((bytes(RECORD_SIZE),))
+        ledger = deployment.ledgers[rng.randrange(len(deployment.ledgers))]
+        outcome = await ledger.commit((bytes(RECORD_BYTES),))
         deployment.outcomes[type(outcome).__name__] += 1
         if isinstance(outcome, Committed):
             waits.append((clock.monotonic() - start).total_seconds())
@@ -184,41 +184,41 @@
     async with asyncio.TaskGroup() as group:
         end = clock.monotonic() + timedelta(seconds=seconds)
         while clock.monotonic() < end:
-            await asyncio.sleep(numbers.expovariate(load))
+            await asyncio.sleep(rng.expovariate(load))
             group.create_task(commit())
     return waits
 
 
 async def measure_restart(daemons: int, seconds: float) -> Figures:
-    """Restart all daemons one after another under full load.
+    """Measure a rolling restart of all daemons under full load.
 
-    Ledger ``n`` starts at daemon ``n`` and moves to the next daemon; a daemon
-    hands over its ledgers before it stops.
+    Daemon ``n`` modulo the number of daemons owns ledger ``n`` at first. A daemon
+    hands its ledgers over to the next daemon before it stops.
     """
     deployment = Deployment(LEDGERS)
     await deployment.start()
     deployment.calls.clear()
-    keepers = {number: number % daemons for number in range(LEDGERS)}
+    owners = {number: number % daemons for number in range(LEDGERS)}
     gaps: list[float] = []
 
     async def restart_all() -> None:
         for daemon in range(daemons):
             await asyncio.sleep(seconds / (daemons + 1))
-            for number in [n for n, d in keepers.items() if d == daemon]:
-                begun = deployment.clock.monotonic()
+            for number in [n for n, d in owners.items() if d == daemon]:
+                started = deployment.clock.monotonic()
                 await deployment.ledgers[number].close()
                 deployment.ledgers[number] = await deployment.take_over(number)
-                keepers[number] = (daemon + 1) % daemons
-                gap = deployment.clock.monotonic() - begun
+                owners[number] = (daemon + 1) % daemons
+                gap = deployment.clock.monotonic() - started
                 gaps.append(gap.total_seconds() * 1000)
 
-    load = BASE_LOAD * GROWTH[-1]
+    load = BASE_COMMITS_PER_SECOND * LOAD_FACTORS[-1]
     restarts = asyncio.ensure_future(restart_all())
-    begun = time.process_time()
+    started = time.process_time()
     waits = await _run_load(deployment, load, seconds)
     await restarts
     return {
-        **_summarize(waits, seconds, deployment.calls, time.process_time() - begun),
+        **_summarize(waits, seconds, deployment.calls, time.process_time() - started),
         "outcomes": dict(deployment.outcomes),
         "takeovers": len(gaps),
         "longest gap ms": round(max(gaps), 1),
