--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,8 +1,8 @@
-"""What membership and ownership cost, and how long nobody decides.
+"""Measures the cost of membership and ownership, and the gaps between two owners.
 
-Messages, bytes and times come from the real modules on the manual clock and
-the stand-ins; processor time from real streams on loopback and the machine's
-clock, all daemons in one process.
+Messages, bytes and times are those of the real modules with a manual clock and
+simulated platform and peers. Processor time is measured with real streams on loopback
+and the system clock, with all daemons in one process.
 """
 
 import asyncio
@@ -25,11 +25,11 @@
 from standins.peers import PeerSwitch
 from standins.store import MemoryStore
 
-SIZES = (3, 6, 12, 27)
-ZONE_SIZE = 3
+MEMBER_COUNTS = (3, 6, 12, 27)
+DAEMONS_PER_ZONE = 3
 WORKERS_PER_ZONE = 88
 TARGETS_PER_ZONE = 3
-LEDGERS = 4
+LEDGER_COUNT = 4
 REPORT_BYTES = 1024
 STORE_DELAY = timedelta(milliseconds=5)
 PEER_DELAY = timedelta(milliseconds=1)
@@ -38,7 +38,7 @@
 
 
 class Daemon(NamedTuple):
-    """The parts of a daemon that are measured."""
+    """The measured parts of a daemon."""
 
     members: Membership
     ownership: StoreOwnership
@@ -62,7 +62,7 @@
         ]
 
     async def advance(self, duration: timedelta) -> None:
-        """Let time pass; each daemon has a new report every second."""
+        """Advance the clock; each daemon publishes a new report every second."""
         for _ in range(round(duration / timedelta(seconds=1))):
             publish(self.daemons)
             await self.clock.advance(timedelta(seconds=1))
@@ -70,24 +70,28 @@
     async def measure_gap(
         self, owner: Daemon, shards: tuple[str, ...], step: timedelta
     ) -> float:
-        """Return the seconds from the first thing lost to the last one regained."""
+        """Return the seconds during which some of ``shards`` had no owner.
+
+        :param owner: the daemon that stops, or hands its shards over.
+        :param step: resolution of the measurement.
+        """
         others = [daemon for daemon in self.daemons if daemon is not owner]
-        began = self.clock.monotonic()
-        while not is_decided(others, shards):
-            if not owner.tasks[0].cancelling() and is_decided([owner], shards):
-                began = self.clock.monotonic()
+        started_at = self.clock.monotonic()
+        while not have_owners(others, shards):
+            if not owner.tasks[0].cancelling() and have_owners([owner], shards):
+                started_at = self.clock.monotonic()
             await self.clock.advance(step)
-        return (self.clock.monotonic() - began).total_seconds()
+        return (self.clock.monotonic() - started_at).total_seconds()
 
     async def close(self) -> None:
-        """End all daemons."""
+        """Stop all daemons."""
         stop(self.daemons)
         self.switch.close()
         await asyncio.sleep(0)
 
 
-def is_decided(daemons: list[Daemon], shards: tuple[str, ...]) -> bool:
-    """Tell whether some daemon decides about each of ``shards``."""
+def have_owners(daemons: list[Daemon], shards: tuple[str, ...]) -> bool:
+    """Return whether each of ``shards`` has an owner among the daemons."""
     return all(
         any(daemon.ownership.get_epoch(shard) is not None for daemon in daemons)
         for shard in shards
@@ -95,9 +99,9 @@
 
 
 def make_members(size: int) -> Iterator[Member]:
-    """Yield members in zones of three."""
+    """Yield ``size`` members in zones of three."""
     for index in range(size):
-        zone = f"zone-{index // ZONE_SIZE}"
+        zone = f"zone-{index // DAEMONS_PER_ZONE}"
         name = f"entry-{index:02}"
         address = f"10.0.{index}.1:7400"
         yield Member(name, zone, "region-1", address, address, f"{name}-1a2b3c4d")
@@ -106,7 +110,7 @@
 def start_daemon(
     member: Member, peers: Peers, store: MemoryStore, clock: Clock
 ) -> Daemon:
-    """Start membership and ownership of one daemon."""
+    """Start the membership and ownership of one daemon."""
     client: Store = store.connect(member.name)
     members = Membership(member, peers, client, clock)
     ownership = StoreOwnership(members, peers, client, clock)
@@ -114,13 +118,15 @@
     for scope, count in scopes.items():
         names = tuple(f"{member.zone}-{scope}-{index:03}" for index in range(count))
         ownership.set_shards(scope, names)
-    ownership.set_shards("ledger", tuple(f"{index:02}" for index in range(LEDGERS)))
+    ownership.set_shards(
+        "ledger", tuple(f"{index:02}" for index in range(LEDGER_COUNT))
+    )
     runs = (members.run(), ownership.run())
     return Daemon(members, ownership, [asyncio.ensure_future(run) for run in runs])
 
 
 def publish(daemons: list[Daemon]) -> None:
-    """Give each daemon a new report."""
+    """Publish a new report of each daemon."""
     for daemon in daemons:
         stamp = str(time.monotonic_ns()).encode()
         daemon.members.publish("load", stamp.ljust(REPORT_BYTES, b"."))
@@ -134,7 +140,7 @@
 
 
 async def measure_traffic(size: int, duration: timedelta) -> dict[str, Any]:
-    """Measure messages, bytes and store calls per daemon and second."""
+    """Measure messages, bytes and calls to the store per daemon and second."""
     deployment = Deployment(size)
     await deployment.advance(WARM_UP)
     switch, store = deployment.switch, deployment.store
@@ -162,36 +168,41 @@
 
 
 async def measure_gaps(
-    trials: int, leave: Callable[[Deployment, Daemon], None], step: timedelta
+    trials: int, stop_owner: Callable[[Deployment, Daemon], None], step: timedelta
 ) -> dict[str, float]:
-    """Let an owner go at different moments; seconds until others decide."""
+    """Measure the seconds from an owner's end until other daemons own its shards.
+
+    Each trial stops the owner in another phase of its heartbeats.
+
+    :param stop_owner: ends the owner.
+    """
     gaps = []
     for trial in range(trials):
-        deployment = Deployment(ZONE_SIZE)
+        deployment = Deployment(DAEMONS_PER_ZONE)
         await deployment.advance(WARM_UP)
         await deployment.clock.advance(timedelta(milliseconds=137 * trial))
-        daemon = deployment.daemons[trial % ZONE_SIZE]
+        daemon = deployment.daemons[trial % DAEMONS_PER_ZONE]
         owner = daemon.ownership
         shards = owner.list_owned("worker") + owner.list_owned("ledger")
-        leave(deployment, daemon)
+        stop_owner(deployment, daemon)
         gaps.append(await deployment.measure_gap(daemon, shards, step))
         await deployment.close()
     return {"median": statistics.median(gaps), "max": max(gaps), "trials": trials}
 
 
 def kill(deployment: Deployment, daemon: Daemon) -> None:
-    """End a daemon without a word."""
+    """Kill a daemon without a graceful shutdown."""
     stop([daemon])
     deployment.switch.disconnect(daemon.members.self.name)
 
 
 def drain(deployment: Deployment, daemon: Daemon) -> None:
-    """Let a daemon hand over everything."""
+    """Start the handover of all shards of a daemon."""
     daemon.tasks.append(asyncio.ensure_future(daemon.ownership.drain()))
 
 
 async def measure_processor(size: int, seconds: float) -> dict[str, Any]:
-    """Measure processor time per daemon with real streams on loopback."""
+    """Measure the processor time per daemon with real streams on loopback."""
     clock = SystemClock()
     store = MemoryStore(clock)
     daemons: list[Daemon] = []
@@ -205,11 +216,11 @@
         member = member._replace(peer_address=network.address)
         daemons.append(start_daemon(member, network, store, clock))
     await asyncio.sleep(seconds)
-    began, used = time.monotonic(), time.process_time()
+    started_at, used = time.monotonic(), time.process_time()
     for _ in range(int(seconds)):
         publish(daemons)
         await asyncio.sleep(1)
-    share = (time.process_time() - used) / (time.monotonic() - began) / size
+    share = (time.process_time() - used) / (time.monotonic() - started_at) / size
     live = min(len(daemon.members.list_live()) for daemon in daemons)
     stop(daemons)
     await asyncio.gather(*(network.close() for network in networks))
@@ -227,7 +238,7 @@
 
 
 def measure_heartbeat(rounds: int) -> dict[str, float]:
-    """Measure the processor time of writing and of taking one heartbeat."""
+    """Measure the processor time of writing and of handling one heartbeat."""
 
     async def measure() -> dict[str, float]:
         deployment = Deployment(27)
@@ -235,29 +246,34 @@
         one, other = (daemon.members for daemon in deployment.daemons[:2])
         peer_state = one._peer_states[other.self.name]
         now = deployment.clock.monotonic()
-        writing = _time(lambda: one._write_heartbeat(peer_state, now), rounds)
-        beat = one._write_heartbeat(peer_state, now)
-        began = time.process_time()
-        for number in itertools.islice(itertools.count(10_000), rounds):
-            beat["number"] = number
-            await other._handle_heartbeat(one.self.name, beat)
-        taking = (time.process_time() - began) / rounds * 1e6
+        writing_us = _measure_microseconds(
+            lambda: one._write_heartbeat(peer_state, now), rounds
+        )
+        heartbeat = one._write_heartbeat(peer_state, now)
+        started_at = time.process_time()
+        for sequence_number in itertools.islice(itertools.count(10_000), rounds):
+            heartbeat["number"] = sequence_number
+            await other._handle_heartbeat(one.self.name, heartbeat)
+        handling_us = (time.process_time() - started_at) / rounds * 1e6
         await deployment.close()
-        return {"write_us": round(writing, 1), "take_us": round(taking, 1)}
+        return {"write_us": round(writing_us, 1), "take_us": round(handling_us, 1)}
 
     return asyncio.run(measure())
 
 
-def _time(act: Callable[[], object], rounds: int) -> float:
-    began = time.process_time()
+def _measure_microseconds(operation: Callable[[], object], rounds: int) -> float:
+    started_at = time.process_time()
     for _ in range(rounds):
-        act()
-    return (time.process_time() - began) / rounds * 1e6
+        operation()
+    return (time.process_time() - started_at) / rounds * 1e6
 
 
 def run(quick: bool) -> dict[str, Any]:
-    """Run all measurements; below half a minute, quick below ten seconds."""
-    sizes = SIZES[:2] if quick else SIZES
+    """Run all measurements, in less than 30 s, or less than 10 s if quick.
+
+    :param quick: whether to measure fewer members and trials.
+    """
+    sizes = MEMBER_COUNTS[:2] if quick else MEMBER_COUNTS
     duration = timedelta(seconds=10 if quick else 20)
     trials = 3 if quick else 12
     return {
