--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -1,4 +1,4 @@
-"""Bytes and processor time of calls to the platform, over loopback."""
+"""Measures the bytes and the processor time of calls to the platform on loopback."""
 
 import asyncio
 import time
@@ -21,15 +21,19 @@
 ZONES = 9
 TASKS_PER_WORKER = 16
 CLIENT = "entry-1"
-LEASE = timedelta(minutes=1)
-VALUE = bytes(100)
-CHUNK = 1 << 16
+LEASE_DURATION = timedelta(minutes=1)
+STORED_VALUE = bytes(100)
+READ_BYTES = 1 << 16
 
 Call = Callable[[], Awaitable[Any]]
 
 
-class CountingRelay:
-    """Passes bytes on to an address and counts them."""
+class CountingProxy:
+    """A TCP proxy that counts the bytes it forwards.
+
+    :ivar sent: bytes from clients to the server.
+    :ivar received: bytes from the server to clients.
+    """
 
     def __init__(self, address: str) -> None:
         self._address = address
@@ -37,38 +41,40 @@
         self.received = 0
 
     async def start(self) -> str:
-        """Listen; returns the address to call instead."""
-        server = await asyncio.start_server(self._relay, "127.0.0.1", 0)
+        """Start to listen, and return the proxy's address."""
+        server = await asyncio.start_server(self._handle_connection, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         return f"{host}:{port}"
 
     async def count(self, call: Call) -> dict[str, Any]:
-        """Count the bytes of one call."""
+        """Make one call, and return the bytes that it sent and received."""
         self.sent = self.received = 0
         await call()
         return {"bytes sent": self.sent, "bytes received": self.received}
 
-    async def _relay(
+    async def _handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         host, port = self._address.split(":")
-        far_reader, far_writer = await asyncio.open_connection(host, int(port))
+        upstream_reader, upstream_writer = await asyncio.open_connection(
+            host, int(port)
+        )
         await asyncio.gather(
-            self._pass_on(reader, far_writer, "sent"),
-            self._pass_on(far_reader, writer, "received"),
+            self._forward(reader, upstream_writer, "sent"),
+            self._forward(upstream_reader, writer, "received"),
         )
 
-    async def _pass_on(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, counter: str
     ) -> None:
-        while data := await reader.read(CHUNK):
+        while data := await reader.read(READ_BYTES):
             setattr(self, counter, getattr(self, counter) + len(data))
             writer.write(data)
         writer.close()
 
 
 def build_platform(clock: SystemClock) -> Platform:
-    """Build a platform of the target size."""
+    """Build a simulated platform of the target size."""
     platform = Platform(clock)
     for number in range(WORKERS):
         platform.add_worker(
@@ -84,7 +90,7 @@
 
 
 async def measure_time(call: Call, count: int) -> float:
-    """Return the processor time of one call, both sides, in microseconds."""
+    """Return the processor time of one call in microseconds, with both sides'."""
     await call()
     begin = time.process_time()
     for _ in range(count):
@@ -93,15 +99,15 @@
 
 
 async def measure_store(platform: Platform, count: int) -> dict[str, Any]:
-    """Measure the store and the instance list."""
-    relay = CountingRelay(platform.address)
-    address = await relay.start()
+    """Measure calls to the store and to the instance list."""
+    proxy = CountingProxy(platform.address)
+    address = await proxy.start()
     store = HttpStore(address, CLIENT)
     instances = HttpInstanceList(address, CLIENT)
-    lease = (await store.grant_lease(LEASE)).lease
-    figures = {"changed list": await relay.count(instances.list_instances)}
+    lease = (await store.grant_lease(LEASE_DURATION)).lease
+    figures = {"changed list": await proxy.count(instances.list_instances)}
     for name, call in list_calls(store, instances, lease).items():
-        figures[name] = await relay.count(call)
+        figures[name] = await proxy.count(call)
     await store.close()
     await instances.close()
     store = HttpStore(platform.address, CLIENT)
@@ -116,42 +122,48 @@
 def list_calls(
     store: HttpStore, instances: HttpInstanceList, lease: str
 ) -> dict[str, Call]:
-    """List the calls that are measured, by name."""
+    """Return the measured calls by name."""
     return {
         "unchanged list": instances.list_instances,
-        "put": lambda: store.put("ledger/3/17", VALUE, None),
+        "put": lambda: store.put("ledger/3/17", STORED_VALUE, None),
         "get": lambda: store.get("ledger/3/17"),
         "renew lease": lambda: store.renew_lease(lease),
     }
 
 
-async def measure_parts(platform: Platform, count: int) -> dict[str, Any]:
-    """Measure a worker and a target."""
+async def measure_worker_and_target(platform: Platform, count: int) -> dict[str, Any]:
+    """Measure calls to a worker and to a target."""
     workers, targets = HttpWorkers(CLIENT), HttpTargets(CLIENT)
     worker = platform.workers["worker-000"].instance
-    relay = CountingRelay(worker.address)
-    relayed = worker._replace(address=await relay.start())
+    proxy = CountingProxy(worker.address)
+    proxied_worker = worker._replace(address=await proxy.start())
     names = tuple(f"invoices-{n:06}-0" for n in range(TASKS_PER_WORKER))
     for name in names:
-        await workers.start(worker, 1, StartOrder(name, 1, Size(1000, 1000), LEASE))
-    await workers.read_inventory(relayed, 1)
-    renewal = await relay.count(lambda: workers.renew(relayed, 1, names, LEASE))
+        await workers.start(
+            worker, 1, StartOrder(name, 1, Size(1000, 1000), LEASE_DURATION)
+        )
+    await workers.read_inventory(proxied_worker, 1)
+    renewal = await proxy.count(
+        lambda: workers.renew(proxied_worker, 1, names, LEASE_DURATION)
+    )
     renewal["processor us"] = await measure_time(
-        lambda: workers.renew(worker, 1, names, LEASE), count
+        lambda: workers.renew(worker, 1, names, LEASE_DURATION), count
     )
     target = platform.targets["target-000"].instance
-    call = TargetCall("r-1", 1, VALUE)
-    request = await measure_time(lambda: targets.send(target, call, LEASE), count)
+    call = TargetCall("r-1", 1, STORED_VALUE)
+    request_us = await measure_time(
+        lambda: targets.send(target, call, LEASE_DURATION), count
+    )
     await workers.close()
     await targets.close()
     return {
         f"renew {TASKS_PER_WORKER} tasks": renewal,
-        "request": {"processor us": request},
+        "request": {"processor us": request_us},
     }
 
 
 async def measure_fleet(platform: Platform, count: int) -> dict[str, float]:
-    """Measure what an unchanged list costs while an instance is leaving."""
+    """Measure a poll of an unchanged list while an instance is leaving."""
     instances = platform.instances.connect(CLIENT)
     fleet = Fleet(instances, platform.clock)
     platform.leave("target-000")
@@ -159,7 +171,7 @@
 
 
 async def measure(count: int) -> dict[str, Any]:
-    """Measure everything over one platform."""
+    """Run all measurements on one platform."""
     platform = build_platform(SystemClock())
     begin = time.process_time()
     await platform.serve()
@@ -169,7 +181,7 @@
             "start ms": round((time.process_time() - begin) * 1e3, 1),
         },
         **await measure_store(platform, count),
-        **await measure_parts(platform, count),
+        **await measure_worker_and_target(platform, count),
         "fleet": await measure_fleet(platform, count),
     }
     await platform.close()
@@ -179,6 +191,6 @@
 def run(quick: bool = False) -> dict[str, Any]:
     """Run all measurements.
 
-    :param quick: fewer repetitions.
+    :param quick: whether to repeat calls less often.
     """
     return asyncio.run(measure(100 if quick else 1000))
