--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,4 +1,4 @@
-"""Measures a takeover: reading the store, replaying the jobs, memory."""
+"""Measures the takeover of a ledger: store reads, replay of jobs, and memory."""
 
 import asyncio
 import gc
@@ -18,64 +18,68 @@
 
 Figures = dict[str, Any]
 
-LATENCY = timedelta(milliseconds=5)
+STORE_LATENCY = timedelta(milliseconds=5)
 JOBS = 4_000
 TASKS = 13_000
-CHUNK = 20
+JOBS_PER_COMMIT = 20
 EPOCH = 7
 
 
 def run(quick: bool) -> Figures:
     """Measure the takeover of one ledger with all jobs, and of one of four.
 
-    :param quick: a tenth of the jobs.
+    :param quick: whether to use a tenth of the jobs only.
     """
-    share = 10 if quick else 1
+    divisor = 10 if quick else 1
     return {
-        "one ledger with all": measure_takeover(JOBS // share, TASKS // share),
-        "one ledger of four": measure_takeover(JOBS // share // 4, TASKS // share // 4),
+        "one ledger with all": measure_takeover(JOBS // divisor, TASKS // divisor),
+        "one ledger of four": measure_takeover(
+            JOBS // divisor // 4, TASKS // divisor // 4
+        ),
     }
 
 
 def measure_takeover(jobs: int, tasks: int) -> Figures:
-    """Fill a ledger, then open it as a new keeper and rebuild the table.
+    """Fill a ledger, then open it as a new owner and rebuild the table.
 
-    Calls and their latency are counted in virtual time, work in real time.
+    Calls to the store are timed in virtual time, and the replay in real time.
     """
-    store = run_virtual(_fill(jobs, tasks))
-    size = sum(len(entry.value) for entry in store.list("ledger/").entries)
-    waited, calls = run_virtual(_time_opening(store))
+    store = run_virtual(_build_store(jobs, tasks))
+    stored_bytes = sum(len(entry.value) for entry in store.list("ledger/").entries)
+    store_wait, calls = run_virtual(_time_opening(store))
     gc.collect()
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     opened = run_virtual(_open(store, EPOCH + 2))
-    read = time.perf_counter() - begun
-    begun = time.perf_counter()
+    decode_seconds = time.perf_counter() - started_at
+    started_at = time.perf_counter()
     table = _replay(opened)
-    replayed = time.perf_counter() - begun
-    begun = time.perf_counter()
+    replay_seconds = time.perf_counter() - started_at
+    started_at = time.perf_counter()
     tuple(table.snapshot())
-    taken = time.perf_counter() - begun
-    table, kept, peak = _measure_memory(store)
+    snapshot_seconds = time.perf_counter() - started_at
+    table, retained_bytes, peak_bytes = _measure_memory(store)
     running = sum(t.state is TaskState.RUNNING for t in table.tasks.values())
     assert (len(table.jobs), running) == (jobs, tasks), (len(table.jobs), running)
     return {
         "jobs": jobs,
         "running tasks": tasks,
-        "MB in the store": round(size / 1e6, 2),
+        "MB in the store": round(stored_bytes / 1e6, 2),
         "snapshot records": len(opened.snapshot),
         "log records": len(opened.records),
         "store calls": calls,
-        "waiting for the store ms": round(waited.total_seconds() * 1000, 1),
-        "decoding ms": round(read * 1000, 1),
-        "replaying ms": round(replayed * 1000, 1),
-        "total s": round(waited.total_seconds() + read + replayed, 3),
-        "taking a snapshot ms": round(taken * 1000, 1),
-        "kept MB": round(kept / 1e6, 1),
-        "peak MB": round(peak / 1e6, 1),
+        "waiting for the store ms": round(store_wait.total_seconds() * 1000, 1),
+        "decoding ms": round(decode_seconds * 1000, 1),
+        "replaying ms": round(replay_seconds * 1000, 1),
+        "total s": round(
+            store_wait.total_seconds() + decode_seconds + replay_seconds, 3
+        ),
+        "taking a snapshot ms": round(snapshot_seconds * 1000, 1),
+        "kept MB": round(retained_bytes / 1e6, 1),
+        "peak MB": round(peak_bytes / 1e6, 1),
     }
 
 
-async def _fill(jobs: int, tasks: int) -> MemoryStore:
+async def _build_store(jobs: int, tasks: int) -> MemoryStore:
     clock = LoopClock()
     store = MemoryStore(clock)
     table = JobTable()
@@ -88,20 +92,22 @@
         "00", store.connect("old"), clock, lambda: tuple(table.snapshot()), apply
     )
     assert isinstance(await ledger.open(EPOCH), Opened)
-    counts = [tasks // jobs + (n < tasks % jobs) for n in range(jobs)]
-    for start in range(0, jobs, CHUNK):
-        numbers = range(start, min(start + CHUNK, jobs))
-        for batch in zip(*(_describe_job(n, counts[n]) for n in numbers), strict=True):
+    task_counts = [tasks // jobs + (n < tasks % jobs) for n in range(jobs)]
+    for start in range(0, jobs, JOBS_PER_COMMIT):
+        numbers = range(start, min(start + JOBS_PER_COMMIT, jobs))
+        for batch in zip(
+            *(_encode_job(n, task_counts[n]) for n in numbers), strict=True
+        ):
             assert isinstance(await ledger.commit(batch), Committed)
     await asyncio.sleep(60)
     await ledger.close()
     return store
 
 
-def _describe_job(number: int, tasks: int) -> tuple[bytes, bytes, bytes]:
+def _encode_job(number: int, tasks: int) -> tuple[bytes, bytes, bytes]:
     job = f"00-job-{number:06d}"
-    names = [build_task_name(job, index) for index in range(tasks)]
-    submitted = records.Submitted(
+    task_names = [build_task_name(job, index) for index in range(tasks)]
+    submitted_record = records.Submitted(
         job=job,
         workload=f"workload-{number % 300}",
         team=f"team-{number % 120}",
@@ -117,21 +123,21 @@
         },
         at=1.0,
     )
-    placed = records.Placed(
+    placed_record = records.Placed(
         tasks=[
             records.Placement(
-                task=name, attempt=1, worker=f"worker-{number % 790}", epoch=3
+                task=task_name, attempt=1, worker=f"worker-{number % 790}", epoch=3
             )
-            for name in names
+            for task_name in task_names
         ]
     )
-    started = records.Started(
-        tasks=[records.Attempt(task=name, attempt=1) for name in names]
+    started_record = records.Started(
+        tasks=[records.Attempt(task=task_name, attempt=1) for task_name in task_names]
     )
     return (
-        records.encode_record(submitted, records.Submitted),
-        records.encode_record(placed, records.Placed),
-        records.encode_record(started, records.Started),
+        records.encode_record(submitted_record, records.Submitted),
+        records.encode_record(placed_record, records.Placed),
+        records.encode_record(started_record, records.Started),
     )
 
 
@@ -145,12 +151,12 @@
 
 
 async def _time_opening(store: MemoryStore) -> tuple[timedelta, dict[str, int]]:
-    store.faults.delay = LATENCY
+    store.faults.delay = STORE_LATENCY
     before = store.calls.copy()
-    begun = LoopClock().monotonic()
+    started_at = LoopClock().monotonic()
     await _open(store, EPOCH + 1)
     store.faults.delay = timedelta()
-    return LoopClock().monotonic() - begun, dict(store.calls - before)
+    return LoopClock().monotonic() - started_at, dict(store.calls - before)
 
 
 def _replay(opened: Opened) -> JobTable:
@@ -164,10 +170,10 @@
     tracemalloc.start()
     table = _replay(run_virtual(_open(store, EPOCH + 3)))
     gc.collect()
-    kept, peak = tracemalloc.get_traced_memory()
+    retained_bytes, peak_bytes = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return table, kept, peak
+    return table, retained_bytes, peak_bytes
 
 
 def _ignore(records: tuple[bytes, ...]) -> None:
-    """Take no part in commits."""
+    """Ignore committed records."""
