--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A whole small deployment on stand-ins; run with ``python -m demo``."""
+"""A demo of a small deployment on a simulated platform: ``python -m demo``."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the main job: three daemons, two zones, a service, a batch and a gang."""
+"""Runs the demo: three daemons in two zones with a service, batch jobs and a gang."""
 
 import asyncio
 import sys
@@ -19,7 +19,7 @@
 
 
 async def build_platform() -> Platform:
-    """Serve a store, an instance list, workers and targets on loopback."""
+    """Start a simulated store, instance list, workers and targets on loopback."""
     platform = Platform(SystemClock())
     for zone in ("zone-a", "zone-b"):
         for number in range(3):
@@ -33,7 +33,7 @@
 
 
 async def run_demo(folder: Path) -> Checks:
-    """Start the deployment, run each step and end what was started."""
+    """Start the deployment, run each step and stop the deployment."""
     checks = Checks()
     platform = await build_platform()
     deployment = Deployment(platform, folder, TEAM_TOKENS)
@@ -49,7 +49,7 @@
 
 
 async def run_steps(deployment: Deployment, checks: Checks) -> None:
-    """Run the steps in order against all daemons."""
+    """Run the steps in order, with one client for each daemon."""
     servers = [f"http://{d.address}" for d in deployment.daemons.values()]
     async with (
         Client(servers[0], OPERATOR_TOKEN) as operator,
@@ -68,7 +68,7 @@
 
 
 def main() -> None:
-    """Run the demo; the exit code is 0 only when all checks held."""
+    """Run the demo; the exit code is 0 only if all checks passed."""
     with tempfile.TemporaryDirectory() as folder:
         checks = asyncio.run(run_demo(Path(folder)))
     print(f"\n{checks.count - len(checks.failed)} of {checks.count} checks held")
--- a/demo/checks.py
+++ b/demo/checks.py
@@ -1,24 +1,29 @@
-"""What the demo expects, counted and printed."""
+"""The checks of the demo, which are counted and printed."""
 
 from typing import Any
 
 
 class Checks:
-    """Prints each check; remembers those that failed."""
+    """Prints each check.
+
+    :ivar failed: descriptions of the failed checks.
+    :ivar count: number of all checks.
+    """
 
     def __init__(self) -> None:
         self.failed: list[str] = []
         self.count = 0
 
-    def check(self, sentence: str, is_true: bool, found: Any = "") -> None:
-        """Record a check.
+    def check(self, description: str, passed: bool, details: Any = "") -> None:
+        """Record and print a check.
 
-        :param sentence: what is expected, for people.
-        :param found: shown when the check failed.
+        :param description: the expectation, in words.
+        :param passed: whether it was met.
+        :param details: printed if the check failed.
         """
         self.count += 1
-        if is_true:
-            print(f"  ok      {sentence}", flush=True)
+        if passed:
+            print(f"  ok      {description}", flush=True)
             return
-        self.failed.append(sentence)
-        print(f"  FAILED  {sentence}: {found}", flush=True)
+        self.failed.append(description)
+        print(f"  FAILED  {description}: {details}", flush=True)
