--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -83,11 +83,11 @@
         self._retired: list[Client] = []
 
     async def start(self) -> None:
-        """Serve the platform's stand-ins."""
+        """Start the simulated platform."""
         await self.platform.serve()
 
     async def close(self) -> None:
-        """End all daemons that this fleet started, and the stand-ins."""
+        """Stop all daemons of this fleet and the simulated platform."""
         for client in (*self.clients.values(), *self._retired):
             await client.__aexit__(None, None, None)
         await self.deployment.close()
@@ -268,7 +268,12 @@
 
 
 class Reading(NamedTuple):
-    """All counters at one point in time, both times in seconds."""
+    """All counters at one point in time.
+
+    :param time: time of the monotonic clock in seconds.
+    :param processor: processor seconds of the benchmark's own process.
+    :param connections: bytes by kind and identity of each connection.
+    """
 
     time: float
     processor: float
@@ -325,7 +330,7 @@
 
 
 async def declare(fleet: Fleet) -> None:
-    """Declare each team and one workload of it, and wait until they are in force."""
+    """Declare each team with one workload, and wait for them to be in force."""
     client = next(iter(fleet.clients.values()))
     quota = {"processors": 4096, "memory": 1 << 28}
     for team in list_teams():
--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -161,7 +161,7 @@
 
 
 class StartRouters:
-    """Starts the routers of damaskdeck and keeps them to be stopped later."""
+    """Starts the routers of damaskdeck, and stops them after the replay."""
 
     def __init__(self) -> None:
         self.deployment: RequestDeployment | None = None
--- a/benchmarks/sizing.py
+++ b/benchmarks/sizing.py
@@ -223,7 +223,7 @@
 class StoreCalls(NamedTuple):
     """Calls to the store per second by the whole deployment.
 
-    :param refreshes: calls that read watches again.
+    :param refreshes: calls to watch, each time a watch has returned.
     :param waiting: watches that are waiting at the store.
     """
 
--- a/benchmarks/split.py
+++ b/benchmarks/split.py
@@ -57,7 +57,7 @@
     """Chooses an owner by its summary, then calls the placer of that owner.
 
     :param owners: names of the workers of each owner.
-    :ivar requests: number of placements that owners were asked for.
+    :ivar requests: number of placements requested from owners.
     :ivar refusals: number of those that failed.
     """
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -26,15 +26,15 @@
         self.assertAlmostEqual(line.at(500), intercept + slope * 500, 2)
         self.assertAlmostEqual(line.residual, 0, 5)
 
-    def test_the_residual_is_what_the_line_leaves_over(self):
+    def test_the_residual_is_a_root_mean_square(self):
         line = fit_line([(0, 1), (0, 3), (2, 5), (2, 7)])
         self.assertEqual((line.slope, line.intercept, line.residual), (2, 2, 1))
 
-    def test_growth_that_is_no_line_shows_in_the_residual(self):
+    def test_nonlinear_growth_gives_a_large_residual(self):
         squares = fit_line([(x, x * x) for x in (0, 10, 20, 30)])
         self.assertGreater(squares.residual, 50)
 
-    def test_one_driver_gives_no_line(self):
+    def test_a_single_driver_is_an_error(self):
         with self.assertRaises(ValueError):
             fit_line([(3, 1), (3, 2)])
 
@@ -42,7 +42,7 @@
 class TestMetrics(unittest.TestCase):
     """Counters that are parsed from the Prometheus text format."""
 
-    def test_counters_are_told_by_their_labels(self):
+    def test_counters_are_distinguished_by_their_labels(self):
         text = (
             "# TYPE damaskdeck_refusals_total counter\n"
             'damaskdeck_refusals_total{code="no_room",otel_scope_name="damaskdeck",'
@@ -61,7 +61,7 @@
 class TestSizing(unittest.TestCase):
     """Costs that are computed from known slopes."""
 
-    def make_slopes(self, keeper_owns: bool = False) -> Slopes:
+    def make_slopes(self, owns_workers: bool = False) -> Slopes:
         lines = {
             "zones/peer/processor ms": make_line(1.0, 5.0),
             "workers/owner/processor ms": make_line(0.1),
@@ -73,7 +73,7 @@
             "zones/platform/store renew_lease": make_line(3.0),
             "zones/platform/store watch": make_line(4.0),
         }
-        measured = {"keeper owns workers": keeper_owns, "owners": 2}
+        measured = {"keeper owns workers": owns_workers, "owners": 2}
         return Slopes({"lines": lines, "measured": measured})
 
     def test_roles_add_up_to_a_daemon(self):
@@ -85,8 +85,8 @@
         kept = 400 * 0.001 + 4 * 0.4
         self.assertAlmostEqual(roles.ledger_owner.processor, 11 + kept)
 
-    def test_a_keeper_that_owned_workers_is_not_charged_for_them_twice(self):
-        slopes = self.make_slopes(keeper_owns=True)
+    def test_workers_of_a_ledger_owner_are_not_charged_twice(self):
+        slopes = self.make_slopes(owns_workers=True)
         self.assertAlmostEqual(
             slopes.compute_ledger_owner_cost("starts").processor, 0.4 - 0.25
         )
@@ -110,7 +110,7 @@
         text = pages.PAGE.read_text()
         self.assertEqual(pages.fill_page(text, pages.read_slopes()), text)
 
-    def test_every_table_stands_on_the_page(self):
+    def test_every_table_is_on_the_page(self):
         text = pages.PAGE.read_text()
         for name in pages.list_tables():
             self.assertEqual(text.count(f"<!-- begin {name} -->\n| "), 1, name)
@@ -125,7 +125,7 @@
                 limit = 1e-5 * abs(expected) + 1e-9
                 self.assertAlmostEqual(line[part], expected, delta=limit, msg=name)
 
-    def test_what_is_over_budget_is_shown_so(self):
+    def test_values_over_budget_are_marked(self):
         row = pages._show_against_budget(1.3, 1.0)
         self.assertIn("**1.30**", row)
         self.assertIn("over", row)
