--- a/benchmarks/lines.py
+++ b/benchmarks/lines.py
@@ -7,10 +7,10 @@
 import os
 import time
 
-from damaskdeck.lines import TOTAL_LIMIT, LineHandler, LineWriter
+from damaskdeck.lines import MAX_LINES_PER_WINDOW, LineHandler, LineWriter
 from damaskdeck.logs import get_logger
 
-LINES_PER_BATCH = TOTAL_LIMIT - 500
+LINES_PER_BATCH = MAX_LINES_PER_WINDOW - 500
 PROCESSOR_SHARE = 0.05
 
 
--- a/src/damaskdeck/coordination/pools/accountmetrics.py
+++ b/src/damaskdeck/coordination/pools/accountmetrics.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from damaskdeck.coordination.pools.urgency import find_objective
+from damaskdeck.coordination.pools.urgency import compute_objective
 from damaskdeck.metrics import count_account_job, set_account
 from damaskdeck.protocol.queues import QueueJobState
 from damaskdeck.state.pooljobs import Job, JobIndex
@@ -41,7 +41,7 @@
         outcome = str(job.final)
         if job.final is QueueJobState.COMPLETED:
             duration = job.final_at - job.arrived_at
-            if duration > find_objective(job.queue, job.record.spec):
+            if duration > compute_objective(job.queue, job.record.spec):
                 outcome = "late"
         count_account_job(self._get_label(job.record.account), outcome)
 
