--- a/benchmarks/requests.py
+++ b/benchmarks/requests.py
@@ -155,9 +155,9 @@
     decisions: list[float] = []
     original = Router._choose_route
 
-    def measure_choice(router: Router, request: Any) -> Any:
+    def measure_choice(router: Router, context: Any) -> Any:
         start = time.thread_time_ns()
-        route = original(router, request)
+        route = original(router, context)
         decisions.append((time.thread_time_ns() - start) / 1000)
         return route
 
