--- a/src/damaskdeck/coordination/members/ownership.py
+++ b/src/damaskdeck/coordination/members/ownership.py
@@ -1,8 +1,8 @@
 """Ownership of shards: claims, takeovers and handovers through the store.
 
-One daemon at a time decides about a shard. This is what guarantees that "no task
-is ever running in two places at once" and that no instance is given more work
-than it can hold.
+Only one daemon at a time decides about a shard. Two guarantees depend on this: "No
+task is ever running in two places at once", and no instance is given more work than
+it can hold.
 """
 
 import asyncio
@@ -141,8 +141,8 @@
         while True:
             self._wake.clear()
             async with self._lock:
-                should_hurry = await self._reconcile()
-            wait = FAST_RECONCILE_INTERVAL if should_hurry else self._interval
+                should_reconcile_soon = await self._reconcile()
+            wait = FAST_RECONCILE_INTERVAL if should_reconcile_soon else self._interval
             await wait_for_event(self._wake, wait, self._clock)
 
     async def drain(self) -> None:
@@ -167,10 +167,12 @@
         await self._release_expired()
         if not await self._mirror.refresh() or not await self._members.refresh():
             return False
-        should_hurry = False
+        should_reconcile_soon = False
         for scope in list(self._shards):
-            should_hurry = await self._reconcile_scope(scope) or should_hurry
-        return should_hurry
+            should_reconcile_soon = (
+                await self._reconcile_scope(scope) or should_reconcile_soon
+            )
+        return should_reconcile_soon
 
     async def _reconcile_scope(self, scope: str) -> bool:
         table = self._get_table(scope)
@@ -218,7 +220,7 @@
                 epoch = self._choose_epoch(f"{scope}/{name}", entry, owner_lease)
             elif not self._is_unregistered(entry, table):
                 self._eligible_since.pop((scope, name), None)
-                is_waiting = is_waiting or not self._members.is_live(entry.instance)
+                is_waiting = is_waiting or not self._members.is_alive(entry.instance)
             elif self._can_take_over(scope, name, entry, is_assigned):
                 epoch = entry.epoch + 1
             else:
@@ -328,7 +330,7 @@
         if owner == entry.instance or successor is None:
             return None
         return (
-            _make_handover(entry, successor) if self._members.is_live(owner) else None
+            _make_handover(entry, successor) if self._members.is_alive(owner) else None
         )
 
     async def _hand_over_all(self, scope: str) -> None:
@@ -341,7 +343,7 @@
         names = [
             name
             for name in self._list_candidate_names(scope)
-            if name != self._members.self.name and self._members.is_live(name)
+            if name != self._members.self.name and self._members.is_alive(name)
         ]
         moves = {}
         for name, owner in assign_shards(owned, names).items():
--- a/src/damaskdeck/coordination/pools/contacts.py
+++ b/src/damaskdeck/coordination/pools/contacts.py
@@ -81,8 +81,8 @@
     :ivar used: The capacity that these runs use.
     :ivar free: The capacity that no run uses.
     :ivar unknown_runs: What the worker runs of tasks that are not known here.
-    :ivar processed: The number of the last end that was received from the worker.
-    :ivar observed: The number of the last end that is durable.
+    :ivar last_received_end: The number of the last end that the worker reported.
+    :ivar last_durable_end: The number of the last end that is durable.
     :ivar paused_until: The worker gets no orders before this time.
     :ivar polled_at: When the worker last answered a poll with its tasks.
     :ivar last_order: The last order to start tasks.
@@ -118,8 +118,8 @@
         self.is_cordoned = False
         self._may_extend_lease = True
         self.is_rostered = False
-        self.processed = 0
-        self.observed = 0
+        self.last_received_end = 0
+        self.last_durable_end = 0
         self.runs: dict[RunKey, Run] = {}
         self.used = ZERO_SIZE
         self.free = info.size
@@ -255,7 +255,7 @@
         is_run_set_known = (
             self._is_reconciled and not self.unknown_runs and not self.is_gone
         )
-        return is_run_set_known and self.observed == self.processed
+        return is_run_set_known and self.last_durable_end == self.last_received_end
 
     def cordon(self, is_silent: bool) -> None:
         """Stop sending orders and, to a silent worker, stop extending its lease."""
@@ -369,8 +369,8 @@
         now = self._now()
         if run.stopping_since is None:
             run.stopping_since = now
-        sent = run.stop_sent_at
-        is_recent = sent is not None and now - sent < STOP_RETRY_SECONDS
+        sent_at = run.stop_sent_at
+        is_recent = sent_at is not None and now - sent_at < STOP_RETRY_SECONDS
         is_start_prevented = (
             run.phase is RunPhase.DOUBTFUL and run.stopped_at is not None
         )
@@ -420,26 +420,30 @@
         whatever its lease. A worker that left empty must not delay a successor, which
         can't poll it any more.
         """
-        if self.runs or self.unknown_runs or self.observed < self.processed:
+        if (
+            self.runs
+            or self.unknown_runs
+            or self.last_durable_end < self.last_received_end
+        ):
             return True
         return not self._is_reconciled and not self._has_expired
 
     async def _poll(self) -> None:
-        sent = self._now()
-        deadline = self._find_deadline(sent)
+        sent_at = self._now()
+        deadline = self._find_deadline(sent_at)
         is_idle = deadline is None and not (self.is_synchronized and self.is_cordoned)
         wait = timedelta() if is_idle else self._times.poll_wait
         if self._poll_soon.is_set():
             self._poll_soon.clear()
             wait = timedelta()
-        self._answer_due = sent + wait.total_seconds() + LATE_ANSWER_SECONDS
+        self._answer_due = sent_at + wait.total_seconds() + LATE_ANSWER_SECONDS
         answer = await self._call_poll(deadline, wait)
         if answer is None:
             return
         now = self._now()
         if isinstance(answer, WorkerTasks):
             self._answer_due = float("inf")
-            await self._handle_tasks(answer, sent, now)
+            await self._handle_tasks(answer, sent_at, now)
         elif isinstance(answer, Replaced):
             self._end_incarnation()
         else:
@@ -449,7 +453,7 @@
         """Return the deadline to extend the lease to, by the worker's clock.
 
         The lease of a silent worker is not extended: it might be extended without an
-        answer, and then its runs could not be given up.
+        answer, and then its runs could not be abandoned.
         """
         if not self.is_synchronized or not self._may_extend_lease:
             return None
@@ -462,7 +466,9 @@
     ) -> PollResult:
         """Poll the worker; return ``None`` if it should be polled again at once."""
         call = asyncio.ensure_future(
-            self._port.poll(self.info, self._epoch, self.observed, deadline, wait)
+            self._port.poll(
+                self.info, self._epoch, self.last_durable_end, deadline, wait
+            )
         )
         if not wait:
             return await call
@@ -474,7 +480,9 @@
             soon.cancel()
             call.cancel()
 
-    async def _handle_tasks(self, answer: WorkerTasks, sent: float, now: float) -> None:
+    async def _handle_tasks(
+        self, answer: WorkerTasks, sent_at: float, now: float
+    ) -> None:
         if not self._lease.is_synchronized:
             # From now on the worker refuses previous owners, but the leases that they
             # have granted have to expire first.
@@ -482,13 +490,16 @@
         self._lease.record_clock(answer.clock, now)
         if not self.is_synchronized:
             _log.info("A worker answers.", worker=self.info.identifier)
-        before = self.processed
+        before = self.last_received_end
         self.polled_at = now
         self._failed_polls = 0
-        apply_inventory(self, self._owner, answer, sent, now)
+        apply_inventory(self, self._owner, answer, sent_at, now)
         self.is_synchronized = self._is_reconciled = True
         self._owner.handle_contact_change(self)
-        if self.processed == before and self.observed == self.processed:
+        if (
+            self.last_received_end == before
+            and self.last_durable_end == self.last_received_end
+        ):
             return
         if await self._owner.wait_until_durable(self):
             observe_latency("contacts", "end_noted", self._now() - now)
@@ -510,7 +521,7 @@
         await self._clock.sleep(FAILED_POLL_DELAY)
 
     async def _handle_expired_lease(self) -> None:
-        """Give up the runs under a lease that has expired.
+        """Abandon the runs under a lease that has expired.
 
         This is only safe if the store still names this daemon as owner after that time:
         a successor may have reached the worker, extended its lease and received its
@@ -535,7 +546,7 @@
         self._owner.handle_contact_change(self)
 
     async def _settle_incarnation(self) -> None:
-        """Give up the runs of an incarnation that has ended.
+        """Abandon the runs of an incarnation that has ended.
 
         The same condition applies as for an expired lease.
         """
--- a/src/damaskdeck/coordination/pools/jobfrontend.py
+++ b/src/damaskdeck/coordination/pools/jobfrontend.py
@@ -126,7 +126,7 @@
         peers.register(CountWaitingJobs, self._handle_count_waiting)
         peers.register(GetAdvice, self._handle_get_advice)
         peers.register(DelegateJobOperation, self._handle_delegated_operation)
-        peers.register(ReportCapacity, self._handle_capacity)
+        peers.register(ReportCapacity, self._handle_capacity_report)
 
     def _now(self) -> float:
         return self._clock.monotonic().total_seconds()
@@ -142,7 +142,7 @@
         """
         return await self._submitter.submit(queue, identifier, spec, caller)
 
-    async def _handle_capacity(self, peer: str, message: ReportCapacity) -> None:
+    async def _handle_capacity_report(self, peer: str, message: ReportCapacity) -> None:
         self._zone_capacities.update(message)
         self._on_owner_epoch(message["epoch"])
 
@@ -165,9 +165,9 @@
         cached = self._final_states.get((identifier, caller.account, caller.queue))
         if cached is not None:
             return JobStateFound(cached)
-        started = self._now()
+        started_at = self._now()
         result = await self._call_owner(ReadJobState, OWNER_TIMEOUT, identifier, caller)
-        observe_latency("desk", "state", self._now() - started)
+        observe_latency("desk", "state", self._now() - started_at)
         if result is not None:
             return result
         if self._store.is_failing:
@@ -365,7 +365,7 @@
     async def _handle_get_advice(self, peer: str, message: GetAdvice) -> GetAdviceReply:
         timeout = timedelta(milliseconds=message["timeout"])
         workers = tuple(message["workers"])
-        answer = await self._advisor.ask(message["step"], workers, timeout)
+        answer = await self._advisor.request_advice(message["step"], workers, timeout)
         if isinstance(answer, Advice):
             return {"code": "", "consents": [tuple(c) for c in answer.consents]}
         return {"code": answer.code, "consents": []}
--- a/src/damaskdeck/coordination/pools/owner.py
+++ b/src/damaskdeck/coordination/pools/owner.py
@@ -274,12 +274,12 @@
         return self.account_limits.ceilings.build_write()
 
     async def wait_until_durable(self, contact: WorkerContact) -> bool:
-        """Wait for the ends taken so far; ``False`` while they can't be stored."""
+        """Wait for the ends received so far; ``False`` if they can't be stored now."""
         self._changes.record_worker_ends(contact)
         self._journal.wake()
         try:
             async with asyncio.timeout(DURABLE_WAIT_LIMIT.total_seconds()):
-                while contact.observed < contact.processed:
+                while contact.last_durable_end < contact.last_received_end:
                     await self._journal.flush_batched()
         except TimeoutError:
             return False
@@ -451,8 +451,8 @@
         while True:
             await self._clock.sleep(CAPACITY_REPORT_INTERVAL)
             if self._shared.leadership.is_cut_off():
-                # A capacity report also counts as a heartbeat of an owner that may go
-                # on deciding.
+                # A capacity report also counts as a heartbeat of an owner that may
+                # continue to decide.
                 continue
             capacities = measure_zone_capacities(self.contacts.values(), self.now())
             message: ReportCapacity = {"epoch": self.term.epoch, "zones": capacities}
--- a/src/damaskdeck/coordination/pools/ownermonitor.py
+++ b/src/damaskdeck/coordination/pools/ownermonitor.py
@@ -120,15 +120,15 @@
         if owner is None or owner.epoch != self._liveness.epoch:
             return False
         window = max(self._find_timeout(), ALIVE_WINDOW.total_seconds())
-        is_refused = self._peers.is_refused(owner.instance)
-        return not is_refused and self._liveness.measure_silence() < window
+        is_connection_refused = self._peers.is_connection_refused(owner.instance)
+        return not is_connection_refused and self._liveness.measure_silence() < window
 
     def _find_timeout(self) -> float:
-        alive = self._leadership.count_deposed(DEPOSED_WINDOW)
-        return self._liveness.find_timeout(alive)
+        deposed = self._leadership.count_deposed(DEPOSED_WINDOW)
+        return self._liveness.find_timeout(deposed)
 
     def _is_silent(self, owner: str) -> bool:
-        if self._peers.is_refused(owner):
+        if self._peers.is_connection_refused(owner):
             # Its process has ended, so there is no need to wait for a timeout.
             return True
         return self._liveness.measure_silence() >= self._find_timeout()
@@ -151,7 +151,7 @@
             self._fence_revision = await self._leadership.read_fence_revision()
 
     async def _has_progressed(self) -> bool:
-        """Whether the owner has stored something since it fell silent."""
+        """Whether the owner has stored something since it became silent."""
         before, self._fence_revision = (
             self._fence_revision,
             await self._leadership.read_fence_revision(),
@@ -168,7 +168,7 @@
 
     async def _await_heartbeat(self, owner: OwnerRecord) -> None:
         message: RequestHeartbeat = {"epoch": owner.epoch}
-        sent = self._clock.monotonic().total_seconds()
+        sent_at = self._clock.monotonic().total_seconds()
         reply = await self._peers.call(
             owner.instance, message, RequestHeartbeat, MAX_SILENCE
         )
@@ -178,7 +178,7 @@
         # is cut off as well, the store may be down for all daemons, and none should
         # take over.
         if not reply.message["is_cut_off"] or self._leadership.is_cut_off():
-            self._liveness.record_reply(reply.message["epoch"], sent)
+            self._liveness.record_reply(reply.message["epoch"], sent_at)
 
     def _choose_witnesses(self, owner: str) -> list[str]:
         others = [owner, self._instance]
@@ -276,23 +276,23 @@
 
     async def _wait_for_heartbeat(self, owner: OwnerRecord) -> bool:
         """Wait for evidence that the owner is alive, for most of the usual timeout."""
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         timeout = timedelta(seconds=WITNESS_TIMEOUT_SHARE * self._find_timeout())
         heartbeats = set(self._heartbeats)
-        while heartbeats and not self._peers.is_refused(owner.instance):
-            spent = self._clock.monotonic() - began
-            if self._liveness.measure_silence() < spent.total_seconds():
+        while heartbeats and not self._peers.is_connection_refused(owner.instance):
+            elapsed = self._clock.monotonic() - started_at
+            if self._liveness.measure_silence() < elapsed.total_seconds():
                 return True
-            if spent >= timeout:
+            if elapsed >= timeout:
                 return False
-            rest = asyncio.ensure_future(self._clock.sleep(timeout - spent))
+            rest = asyncio.ensure_future(self._clock.sleep(timeout - elapsed))
             done, _ = await asyncio.wait(
                 {rest, *heartbeats}, return_when=asyncio.FIRST_COMPLETED
             )
             rest.cancel()
             heartbeats -= done
-        spent = self._clock.monotonic() - began
-        return self._liveness.measure_silence() <= spent.total_seconds()
+        elapsed = self._clock.monotonic() - started_at
+        return self._liveness.measure_silence() <= elapsed.total_seconds()
 
 
 def _has_answered(call: "asyncio.Future[bool | None]") -> bool:
--- a/src/damaskdeck/coordination/pools/submitter.py
+++ b/src/damaskdeck/coordination/pools/submitter.py
@@ -45,7 +45,7 @@
 )
 
 RETRY_DELAY = timedelta(milliseconds=60)
-# Number of daemons that are requested to store a job that this daemon can't store.
+# Number of daemons to which a job is delegated that this daemon can't store.
 DELEGATE_COUNT = 2
 DELEGATE_TIMEOUT = timedelta(milliseconds=450)
 
@@ -88,10 +88,9 @@
     ) -> JobAccepted | JobNotAccepted | JobUnconfirmed | CallRejected:
         """Store a job; the same identifier is the same job.
 
-        If the store does not answer this daemon, other daemons are requested to store
-        it.
+        If the store does not answer this daemon, the job is delegated to others.
         """
-        began = self._now()
+        started_at = self._now()
         zones = self._zone_capacities.choose(queue, identifier, spec)
         record = JobRecord(identifier, queue, spec, 0, 0.0, zones, caller.account)
         answer = await self._store_job(record, caller)
@@ -115,7 +114,7 @@
             count_refusal("submit", answer.code)
             if caller.account:
                 count_account_job(caller.account, "refused")
-        observe_latency("desk", "submit", self._now() - began)
+        observe_latency("desk", "submit", self._now() - started_at)
         return answer
 
     async def _store_job(
@@ -136,18 +135,18 @@
                 epoch=owner.epoch if owner else 0,
                 accepted_at=self._clock.now().timestamp(),
             )
-            sent, expected = self._now(), self._declarations.expected
+            sent_at, expected = self._now(), self._declarations.expected
             answer = await self._store.commit(
                 self._build_transaction(record, expected),
                 self._times.accept_timeout,
                 MAX_COMMIT_REPLY_BYTES if expected else None,
             )
             if isinstance(answer, Written):
-                self._declarations.confirm(expected, sent)
+                self._declarations.confirm(expected, sent_at)
                 self._announce(record)
                 return JobAccepted()
             if isinstance(answer, Mismatch):
-                resolved = self._resolve_mismatch(record, caller, answer, sent)
+                resolved = self._resolve_mismatch(record, caller, answer, sent_at)
                 if not isinstance(resolved, JobRecord):
                     return resolved
                 record = resolved
@@ -168,7 +167,7 @@
         return JobUnconfirmed(code) if may_be_stored else JobNotAccepted(code)
 
     def _resolve_mismatch(
-        self, record: JobRecord, caller: Caller, answer: Mismatch, sent: float
+        self, record: JobRecord, caller: Caller, answer: Mismatch, sent_at: float
     ) -> JobRecord | JobAccepted | CallRejected:
         """Return the record to store in place of one whose commit was refused.
 
@@ -176,7 +175,7 @@
         under the previous document, so that it runs. No attempt can store it under
         another document any more.
         """
-        has_changed = self._declarations.handle_mismatch(answer, sent)
+        has_changed = self._declarations.handle_mismatch(answer, sent_at)
         stored = answer.find(JOBS_PREFIX + record.identifier)
         if stored is not None:
             is_same = is_visible(stored.value, caller)
--- a/src/damaskdeck/state/ledger.py
+++ b/src/damaskdeck/state/ledger.py
@@ -79,7 +79,7 @@
         *,
         append_interval: timedelta = defaults.APPEND_INTERVAL,
         commit_timeout: timedelta = COMMIT_TIMEOUT,
-        value_limit: int = defaults.VALUE_LIMIT,
+        value_limit: int = defaults.MAX_VALUE_BYTES,
         slots: int = DEFAULT_SLOTS,
         queue_limit: int = MAX_QUEUED_COMMITS,
         generate_id: Callable[[], str] = lambda: uuid.uuid4().hex,
@@ -129,9 +129,9 @@
     async def commit(self, records: tuple[bytes, ...]) -> CommitOutcome:
         """Make records durable, all or none of them.
 
-        Promise: "When the system says a request was not run, it truly did not run."
-        The records of a caller that is cancelled while it waits may be committed or
-        not.
+        Guarantee: "When the system says a request was not run, it truly did not
+        run." The records of a caller that is cancelled while it waits may be committed
+        or not.
 
         :returns: ``Deposed`` and ``Rejected`` only if none of the records will ever be
             replayed; ``Lost`` if that is not known within the commit timeout.
--- a/tests/test_pools_workers.py
+++ b/tests/test_pools_workers.py
@@ -8,9 +8,9 @@
 from standins.faults import FaultKind
 from standins.pools import Work
 from tests.poolcluster import (
+    ADVISOR_TIMING,
     SECOND,
     SMALL,
-    TERMS,
     PoolCase,
     make_job,
     make_queue,
@@ -242,8 +242,8 @@
     async def test_a_run_that_would_be_late_on_a_slow_worker_starts_elsewhere(self):
         step = StepSpec(3, SMALL, timedelta(seconds=2))
         await self.run_with_slow_worker(step, 4)
-        took = self.cluster.clock.monotonic()
-        self.assertLess(took, timedelta(seconds=12))
+        duration = self.cluster.clock.monotonic()
+        self.assertLess(duration, timedelta(seconds=12))
         kinds = {row[2] for row in self.cluster.workers["w0"].history}
         self.assertIn(EndKind.STOPPED, kinds)
         self.end()
@@ -302,7 +302,7 @@
     @virtual
     async def test_a_copy_gets_a_fresh_ticket(self):
         step = StepSpec(3, SMALL, timedelta(seconds=2), is_speculative=True)
-        brief = TERMS._replace(ticket_validity=timedelta(milliseconds=400))
+        brief = ADVISOR_TIMING._replace(ticket_validity=timedelta(milliseconds=400))
         await self.run_with_slow_worker(step, 1, advice=brief)
         self.assertLess(self.cluster.clock.monotonic(), timedelta(seconds=9))
         copies = [row for row in self.cluster.list_starts("j0") if row[2] > 1]
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -360,7 +360,7 @@
 
 
 class TestBounds(unittest.TestCase):
-    """Guarantees for a job, whatever other jobs arrive."""
+    """Guarantees for a job that hold under any arrivals of other jobs."""
 
     def test_no_class_and_no_team_starves(self):
         clock, quotas = ManualClock(), make_quotas(Size(1000, 1000, 0))
@@ -518,7 +518,7 @@
         queue.put_back(job)
         self.assertEqual(queue.get("first").tasks, 3)
         self.assertEqual(quotas.read("ash").use, Size(0, 0, 0))
-        self.assertEqual(quotas.read("ash").want, Size(4, 4, 0))
+        self.assertEqual(quotas.read("ash").demand, Size(4, 4, 0))
         self.assertEqual(Pass(queue).next().name, "first")
 
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -26,10 +26,10 @@
 Scenario = Callable[[RequestDeployment], Awaitable[Any]]
 
 
-def start_asks(deployment: Any, prefix: str, count: int) -> list[asyncio.Task[Any]]:
+def start_requests(deployment: Any, prefix: str, count: int) -> list[asyncio.Task[Any]]:
     """Start requests at the first entry, named ``prefix`` and a number from 0."""
-    asks = [deployment.ask("entry-0-0", f"{prefix}{i}") for i in range(count)]
-    return [asyncio.ensure_future(ask) for ask in asks]
+    requests = [deployment.submit("entry-0-0", f"{prefix}{i}") for i in range(count)]
+    return [asyncio.ensure_future(request) for request in requests]
 
 
 def play(scenario: Scenario, layout: Layout | None = None, **options: Any) -> Any:
@@ -51,8 +51,8 @@
 class TestForwarding(unittest.TestCase):
     def test_an_entry_without_free_slots_forwards_to_an_owner(self):
         async def scenario(deployment):
-            asks = [deployment.ask("entry-0-0", f"r{i}") for i in range(4)]
-            outcomes = await asyncio.gather(*asks)
+            requests = [deployment.submit("entry-0-0", f"r{i}") for i in range(4)]
+            outcomes = await asyncio.gather(*requests)
             peaks = [t.peak_running for t in deployment.targets.values()]
             return outcomes, peaks
 
@@ -64,7 +64,7 @@
         async def scenario(deployment):
             for name in ("target-0-0", "target-0-1"):
                 await deployment.table.drop(f"target/{name}")
-            outcome = await deployment.ask("entry-0-0", "r")
+            outcome = await deployment.submit("entry-0-0", "r")
             return outcome, deployment.switch.messages["entry-0-1"]
 
         outcome, sent = play(scenario)
@@ -76,19 +76,19 @@
         async def scenario(deployment):
             await deployment.table.drop("target/target-0-0")
             await asyncio.sleep(60)
-            return await deployment.ask("entry-0-0", "r")
+            return await deployment.submit("entry-0-0", "r")
 
         self.assertEqual(play(scenario), Completed(b"r"))
 
     def test_other_zones_are_used_only_without_free_slots_in_the_own(self):
         async def scenario(deployment):
             first = await asyncio.gather(
-                *(deployment.ask("entry-0-0", f"a{i}") for i in range(4))
+                *(deployment.submit("entry-0-0", f"a{i}") for i in range(4))
             )
             far = [t for n, t in deployment.targets.items() if "-1-" in n]
             before = sum(t.peak_running for t in far)
             second = await asyncio.gather(
-                *(deployment.ask("entry-0-0", f"b{i}") for i in range(8))
+                *(deployment.submit("entry-0-0", f"b{i}") for i in range(8))
             )
             return first + second, before, sum(t.peak_running for t in far)
 
@@ -109,12 +109,12 @@
                 return send(instance, message, kind)
 
             deployment.switch.find("entry-0-0").send = record
-            asks = []
+            requests = []
             for number in range(200):
-                ask = deployment.ask("entry-0-0", f"r{number}")
-                asks.append(asyncio.ensure_future(ask))
+                request = deployment.submit("entry-0-0", f"r{number}")
+                requests.append(asyncio.ensure_future(request))
                 await asyncio.sleep(0.005)
-            await asyncio.gather(*asks)
+            await asyncio.gather(*requests)
             return notified
 
         layout = Layout(zones=12, entries=1, targets=1, slots=1)
@@ -127,7 +127,7 @@
         async def scenario(deployment):
             for target in deployment.targets.values():
                 target.faults.plan("send", FaultKind.LOSE_ANSWER)
-            outcome = await deployment.ask("entry-0-0", "r")
+            outcome = await deployment.submit("entry-0-0", "r")
             return outcome, deployment.log.counts["r"]
 
         self.assertEqual(play(scenario), (Unknown("timeout"), 1))
@@ -136,7 +136,7 @@
         async def scenario(deployment):
             for target in deployment.targets.values():
                 target.faults.plan("send", FaultKind.LOSE_ANSWER)
-            outcome = await deployment.ask("entry-0-0", "r", idempotent=True)
+            outcome = await deployment.submit("entry-0-0", "r", idempotent=True)
             return outcome, deployment.log.counts["r"]
 
         outcome, count = play(scenario)
@@ -147,7 +147,7 @@
         async def scenario(deployment):
             for target in deployment.targets.values():
                 target.die()
-            outcome = await deployment.ask("entry-0-0", "r")
+            outcome = await deployment.submit("entry-0-0", "r")
             return outcome, deployment.log.counts["r"]
 
         outcome, count = play(scenario)
@@ -159,7 +159,7 @@
             for target in deployment.targets.values():
                 target.faults.plan("send", FaultKind.LOSE_ANSWER)
                 target.faults.plan("send", *[FaultKind.REFUSE] * 10)
-            return await deployment.ask("entry-0-0", "r", idempotent=True)
+            return await deployment.submit("entry-0-0", "r", idempotent=True)
 
         self.assertIsInstance(play(scenario), Unknown)
 
@@ -167,7 +167,7 @@
         async def scenario(deployment):
             for target in deployment.targets.values():
                 target.fails_everything = True
-            return await deployment.ask("entry-0-0", "r")
+            return await deployment.submit("entry-0-0", "r")
 
         self.assertEqual(play(scenario), Failed("status_500"))
 
@@ -177,7 +177,7 @@
         async def scenario(deployment):
             deployment.fleet.mark_leaving("target-0-0")
             for number in range(10):
-                await deployment.ask("entry-0-0", f"r{number}")
+                await deployment.submit("entry-0-0", f"r{number}")
             return {e.target for e in deployment.log.executions}
 
         self.assertEqual(play(scenario), {"target-0-1"})
@@ -186,15 +186,15 @@
         async def scenario(deployment):
             instance = deployment.fleet.get("target-0-0")
             deployment.fleet.remove("target-0-0")
-            await deployment.ask("entry-0-0", "r")
+            await deployment.submit("entry-0-0", "r")
             await deployment.table.hand_over("target/target-0-0", "entry-0-1")
             for number in range(6):
-                await deployment.ask("entry-0-1", f"r{number}")
+                await deployment.submit("entry-0-1", f"r{number}")
             before = {e.target for e in deployment.log.executions}
             deployment.fleet.put(instance)
             await asyncio.sleep(1)
             for number in range(6, 12):
-                await deployment.ask("entry-0-1", f"r{number}")
+                await deployment.submit("entry-0-1", f"r{number}")
             return before, {e.target for e in deployment.log.executions}
 
         before, after = play(scenario)
@@ -204,7 +204,7 @@
         async def scenario(deployment):
             target = deployment.targets["target-0-0"]
             target.is_leaving = True
-            outcomes = [await deployment.ask("entry-0-0", f"{i}") for i in range(10)]
+            outcomes = [await deployment.submit("entry-0-0", f"{i}") for i in range(10)]
             state = deployment.fleet.get("target-0-0").state
             return outcomes, target.refused_leaving, state
 
@@ -256,13 +256,13 @@
         async def scenario(deployment):
             router = deployment.routers["entry-0-0"]
             old = [
-                asyncio.ensure_future(deployment.ask("entry-0-0", f"old{i}"))
+                asyncio.ensure_future(deployment.submit("entry-0-0", f"old{i}"))
                 for i in range(20)
             ]
             await asyncio.sleep(0.01)
             drain = asyncio.ensure_future(router.drain())
             await asyncio.sleep(0.01)
-            new = await deployment.ask("entry-0-0", "new")
+            new = await deployment.submit("entry-0-0", "new")
             self.assertFalse(drain.done())
             await drain
             target = deployment.targets["target-0-0"]
@@ -277,20 +277,20 @@
             await deployment.routers["entry-0-0"].drain()
             deployment.kill_entry("entry-0-1")
             await asyncio.sleep(1)
-            return await deployment.ask("entry-0-0", "r")
+            return await deployment.submit("entry-0-0", "r")
 
         outcome = play(scenario)
         self.assertEqual((outcome.code, outcome.retry_after), ("draining", SECOND))
 
     def test_requests_that_wait_move_on_when_the_targets_are_handed_over(self):
         async def scenario(deployment):
-            asks = [
-                asyncio.ensure_future(deployment.ask("entry-0-0", f"r{i}"))
+            requests = [
+                asyncio.ensure_future(deployment.submit("entry-0-0", f"r{i}"))
                 for i in range(8)
             ]
             await asyncio.sleep(0.01)
             await deployment.table.hand_over("target/target-0-0", "entry-0-1")
-            return await asyncio.gather(*asks), deployment.count_overfills()
+            return await asyncio.gather(*requests), deployment.count_overfills()
 
         outcomes, overfills = play(scenario)
         self.assertEqual(outcomes, [Completed(f"r{i}".encode()) for i in range(8)])
@@ -299,12 +299,14 @@
     def test_requests_that_move_are_served_before_those_with_more_time(self):
         async def scenario(deployment):
             soon = timedelta(seconds=0.3)
-            asks = [deployment.ask("entry-0-1", f"b{i}") for i in range(30)]
-            asks += [deployment.ask("entry-0-0", f"a{i}", timeout=soon) for i in "1234"]
-            asks = [asyncio.ensure_future(ask) for ask in asks]
+            requests = [deployment.submit("entry-0-1", f"b{i}") for i in range(30)]
+            requests += [
+                deployment.submit("entry-0-0", f"a{i}", timeout=soon) for i in "1234"
+            ]
+            requests = [asyncio.ensure_future(request) for request in requests]
             await asyncio.sleep(0.01)
             await deployment.table.hand_over("target/target-0-0", "entry-0-1")
-            return {type(outcome) for outcome in await asyncio.gather(*asks)}
+            return {type(outcome) for outcome in await asyncio.gather(*requests)}
 
         self.assertEqual(play(scenario), {Completed})
 
@@ -326,34 +328,34 @@
             calls += 1
 
         async def scenario(deployment):
-            asks = [
+            requests = [
                 asyncio.ensure_future(
-                    deployment.ask("entry-0-0", f"r{i}", team=f"team-{i % 20}")
+                    deployment.submit("entry-0-0", f"r{i}", team=f"team-{i % 20}")
                 )
                 for i in range(size)
             ]
             await asyncio.sleep(0.01)
             sys.setprofile(count)
-            for task in reversed(asks):
+            for task in reversed(requests):
                 task.cancel()
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             sys.setprofile(None)
-            self.assertTrue(all(task.cancelled() for task in asks))
+            self.assertTrue(all(task.cancelled() for task in requests))
 
         play(scenario, keys=keys)
         return calls, keys.calls
 
     def test_a_cancelled_caller_leaves_the_queue(self):
         async def scenario(deployment):
-            asks = [
-                asyncio.ensure_future(deployment.ask("entry-0-0", f"r{i}"))
+            requests = [
+                asyncio.ensure_future(deployment.submit("entry-0-0", f"r{i}"))
                 for i in range(12)
             ]
             await asyncio.sleep(0.01)
-            for task in asks[:11]:
+            for task in requests[:11]:
                 task.cancel()
-            last = await asks[11]
+            last = await requests[11]
             return last, deployment.clock.monotonic(), deployment.log.counts
 
         last, time, counts = play(scenario)
@@ -365,14 +367,14 @@
         async def scenario(deployment):
             lane = deployment.routers["entry-0-0"]._owned.get_lane(SERVICE)
             pool = lane.pools["target-0-0"]
-            first = start_asks(deployment, "a", 4)
+            first = start_requests(deployment, "a", 4)
             await asyncio.sleep(0.01)
-            ask = asyncio.ensure_future(deployment.ask("entry-0-0", "b"))
+            request = asyncio.ensure_future(deployment.submit("entry-0-0", "b"))
             await asyncio.sleep(0)
             pool.target = pool.target._replace(slots=3)
             lane.assign_free_slots()
-            ask.cancel()
-            await asyncio.gather(*first, ask, return_exceptions=True)
+            request.cancel()
+            await asyncio.gather(*first, request, return_exceptions=True)
             return pool.busy
 
         self.assertEqual(play(scenario), 0)
@@ -381,31 +383,31 @@
         async def scenario(deployment):
             lane = deployment.routers["entry-0-0"]._owned.get_lane(SERVICE)
             pool = lane.pools["target-0-0"]
-            first = start_asks(deployment, "a", 4)
+            first = start_requests(deployment, "a", 4)
             await asyncio.sleep(0.01)
-            ask = asyncio.ensure_future(deployment.ask("entry-0-0", "b"))
+            request = asyncio.ensure_future(deployment.submit("entry-0-0", "b"))
             await asyncio.sleep(0)
             pool.target = pool.target._replace(slots=3)
-            ask.cancel()
+            request.cancel()
             lane.assign_free_slots()
-            await asyncio.gather(*first, ask, return_exceptions=True)
+            await asyncio.gather(*first, request, return_exceptions=True)
             return pool.busy
 
         self.assertEqual(play(scenario), 0)
 
     def test_an_offer_during_a_cancellation_goes_to_the_next_waiter(self):
         async def scenario(deployment):
-            first = start_asks(deployment, "a", 4)
+            first = start_requests(deployment, "a", 4)
             await asyncio.sleep(0.01)
-            asks = start_asks(deployment, "b", 2)
+            requests = start_requests(deployment, "b", 2)
             await asyncio.sleep(0)
-            asks[0].cancel()
+            requests[0].cancel()
             router = deployment.routers["entry-0-0"]
             offer = OfferSlots(service=SERVICE, count=1)
             await router._sharing._handle_offer("entry-0-1", offer)
             waiting = len(router._owned.get_lane(SERVICE).queue)
             await asyncio.gather(*first, return_exceptions=True)
-            return waiting, await asks[1]
+            return waiting, await requests[1]
 
         self.assertEqual(play(scenario), (0, Completed(b"b1")))
 
@@ -457,12 +459,12 @@
         async def scenario(deployment):
             await deployment.table.drop("target/target-0-0")
             await asyncio.sleep(0.5)
-            asks = [
-                asyncio.ensure_future(deployment.ask("entry-0-0", f"r{i}"))
+            requests = [
+                asyncio.ensure_future(deployment.submit("entry-0-0", f"r{i}"))
                 for i in range(12)
             ]
             await asyncio.sleep(0.01)
-            for task in asks:
+            for task in requests:
                 task.cancel()
             await asyncio.sleep(1)
             return deployment.log.counts
@@ -505,11 +507,11 @@
         async def scenario(deployment):
             for router in deployment.routers.values():
                 router._sender._targets = answers
-            asks = (
-                deployment.ask("entry-0-0", name, idempotent=idempotent)
+            requests = (
+                deployment.submit("entry-0-0", name, idempotent=idempotent)
                 for name in ("a", "b")
             )
-            return await asyncio.gather(*asks)
+            return await asyncio.gather(*requests)
 
         outcomes = play(scenario)
         for name, outcome in zip(("a", "b"), outcomes, strict=True):
@@ -530,7 +532,7 @@
                 return {**await handler(instance, message), "identifier": "another"}
 
             peers.register(ForwardRequest, cross)
-            return await deployment.ask("entry-0-0", "r"), deployment.log.counts["r"]
+            return await deployment.submit("entry-0-0", "r"), deployment.log.counts["r"]
 
         self.assertEqual(play(scenario), (Unknown("answer_crossed"), 1))
 
@@ -550,7 +552,7 @@
                 return first
 
             peers.register(ForwardRequest, double)
-            return await deployment.ask("entry-0-0", "r"), deployment.log.counts["r"]
+            return await deployment.submit("entry-0-0", "r"), deployment.log.counts["r"]
 
         self.assertEqual(play(scenario), (Completed(b"r"), 1))
 
@@ -570,14 +572,14 @@
     def test_a_request_lost_on_the_way_is_unknown(self):
         async def scenario(deployment):
             deployment.switch.cut("entry-0-0", "entry-0-1")
-            return await deployment.ask("entry-0-0", "r")
+            return await deployment.submit("entry-0-0", "r")
 
         self.assertEqual(self.play(scenario), (Unknown("timeout"), 0))
 
     def test_a_reply_lost_on_the_way_is_unknown(self):
         async def scenario(deployment):
             deployment.switch.cut("entry-0-1", "entry-0-0")
-            return await deployment.ask("entry-0-0", "r")
+            return await deployment.submit("entry-0-0", "r")
 
         self.assertEqual(self.play(scenario), (Unknown("timeout"), 1))
 
@@ -586,17 +588,17 @@
             for name in deployment.routers:
                 deployment.switch.cut_both("entry-0-1", name)
             await asyncio.sleep(2)
-            asks = [deployment.ask("entry-0-1", f"r{i}") for i in range(20)]
-            return {type(outcome) for outcome in await asyncio.gather(*asks)}
+            requests = [deployment.submit("entry-0-1", f"r{i}") for i in range(20)]
+            return {type(outcome) for outcome in await asyncio.gather(*requests)}
 
         self.assertEqual(self.play(scenario)[0], {Completed})
 
     def test_an_owner_that_dies_with_a_forwarded_request_is_unknown(self):
         async def scenario(deployment):
-            ask = asyncio.ensure_future(deployment.ask("entry-0-0", "r"))
+            request = asyncio.ensure_future(deployment.submit("entry-0-0", "r"))
             await asyncio.sleep(0.01)
             deployment.kill_entry("entry-0-1")
-            return await ask
+            return await request
 
         outcome, runs = self.play(scenario)
         self.assertEqual((type(outcome), runs), (Unknown, 1))
@@ -638,8 +640,8 @@
 
     def test_a_key_is_claimed_before_and_settled_after_the_request(self):
         async def scenario(deployment, keys):
-            first = await deployment.ask("entry-0-0", "a", key="k")
-            second = await deployment.ask("entry-0-1", "b", key="k")
+            first = await deployment.submit("entry-0-0", "a", key="k")
+            second = await deployment.submit("entry-0-1", "b", key="k")
             return first, second
 
         outcomes, counts, keys = self.play(scenario)
@@ -650,7 +652,7 @@
     def test_nothing_is_sent_when_the_key_cannot_be_claimed(self):
         async def scenario(deployment, keys):
             keys.is_down = True
-            return await deployment.ask("entry-0-0", "a", key="k")
+            return await deployment.submit("entry-0-0", "a", key="k")
 
         outcome, counts, _ = self.play(scenario)
         self.assertEqual((outcome.code, counts), ("store_down", {}))
@@ -658,8 +660,8 @@
     def test_requests_without_a_key_never_ask_the_store(self):
         async def scenario(deployment, keys):
             keys.is_down = True
-            asks = (deployment.ask("entry-0-0", f"r{i}") for i in range(30))
-            return await asyncio.gather(*asks)
+            requests = (deployment.submit("entry-0-0", f"r{i}") for i in range(30))
+            return await asyncio.gather(*requests)
 
         outcomes, _, keys = self.play(scenario)
         self.assertEqual({type(o) for o in outcomes}, {Completed})
@@ -678,11 +680,13 @@
     def test_an_outcome_is_stored_though_its_caller_is_cancelled(self):
         async def scenario(deployment, keys):
             self.settle_slowly(keys)
-            ask = asyncio.ensure_future(deployment.ask("entry-0-0", "a", key="k"))
+            request = asyncio.ensure_future(
+                deployment.submit("entry-0-0", "a", key="k")
+            )
             await asyncio.sleep(0.07)
-            ask.cancel()
+            request.cancel()
             await asyncio.sleep(0.1)
-            return await deployment.ask("entry-0-0", "b", key="k")
+            return await deployment.submit("entry-0-0", "b", key="k")
 
         outcome, counts, _ = self.play(scenario)
         self.assertEqual((outcome, counts), (Completed(b"a"), {"a": 1}))
@@ -697,11 +701,13 @@
                 return found
 
             keys.claim_key = claim_slowly
-            ask = asyncio.ensure_future(deployment.ask("entry-0-0", "a", key="k"))
+            request = asyncio.ensure_future(
+                deployment.submit("entry-0-0", "a", key="k")
+            )
             await asyncio.sleep(0.01)
-            ask.cancel()
+            request.cancel()
             await asyncio.sleep(0.1)
-            return await deployment.ask("entry-0-0", "b", key="k")
+            return await deployment.submit("entry-0-0", "b", key="k")
 
         outcome, counts, _ = self.play(scenario)
         self.assertEqual((outcome, counts), (Refused("cancelled"), {}))
@@ -709,9 +715,11 @@
     def test_draining_waits_until_outcomes_are_stored(self):
         async def scenario(deployment, keys):
             self.settle_slowly(keys)
-            ask = asyncio.ensure_future(deployment.ask("entry-0-0", "a", key="k"))
+            request = asyncio.ensure_future(
+                deployment.submit("entry-0-0", "a", key="k")
+            )
             await asyncio.sleep(0.01)
-            ask.cancel()
+            request.cancel()
             await asyncio.sleep(0)
             await deployment.routers["entry-0-0"].drain()
             return keys.claimed["k"]
@@ -721,11 +729,13 @@
 
     def test_a_cancelled_keyed_request_is_settled_with_its_answer(self):
         async def scenario(deployment, keys):
-            ask = asyncio.ensure_future(deployment.ask("entry-0-0", "a", key="k"))
+            request = asyncio.ensure_future(
+                deployment.submit("entry-0-0", "a", key="k")
+            )
             await asyncio.sleep(0.01)
-            ask.cancel()
+            request.cancel()
             await asyncio.sleep(0.1)
-            return await deployment.ask("entry-0-0", "b", key="k")
+            return await deployment.submit("entry-0-0", "b", key="k")
 
         outcome, counts, _ = self.play(scenario)
         self.assertEqual((outcome, counts), (Completed(b"a"), {"a": 1}))
