--- a/src/damaskdeck/clock.py
+++ b/src/damaskdeck/clock.py
@@ -9,8 +9,9 @@
 from datetime import UTC, datetime, timedelta
 from typing import Protocol
 
-# Sleeps of at least MIN_ALIGNED_SLEEP_SECONDS are extended to the next multiple of
-# SLEEP_GRID_SECONDS. For shorter ones a tenth of a second would be too large a change.
+# Sleeps of at least MIN_ALIGNED_SLEEP_SECONDS are extended so that they end at a
+# multiple of SLEEP_GRID_SECONDS on the monotonic clock. For shorter ones a tenth of a
+# second would be too large a change.
 SLEEP_GRID_SECONDS = 0.1
 MIN_ALIGNED_SLEEP_SECONDS = 0.2
 
--- a/src/damaskdeck/coordination/configuration/relay.py
+++ b/src/damaskdeck/coordination/configuration/relay.py
@@ -1,4 +1,4 @@
-"""Distribution of the configuration from the store to every daemon."""
+"""Distribution of the configuration to every daemon; only a few watch the store."""
 
 import asyncio
 from datetime import timedelta
--- a/src/damaskdeck/coordination/configuration/reports.py
+++ b/src/damaskdeck/coordination/configuration/reports.py
@@ -76,10 +76,11 @@
         return len(self.read()) > 1
 
     async def collect(self, peers: Peers) -> dict[str, ConfigurationReport]:
-        """Request the current report of each live daemon; heartbeats carry it later.
+        """Request and return the current report of each live daemon.
 
-        For a daemon that doesn't answer, its last heartbeat counts, as a daemon never
-        goes back to an earlier revision.
+        Heartbeats would bring it only later. For a daemon that doesn't answer, the
+        report of its last heartbeat counts, as a daemon never goes back to an earlier
+        revision.
         """
         names = [member.name for member in self._members.list_live()]
         names.remove(self._members.self.name)
--- a/src/damaskdeck/coordination/configuration/writes.py
+++ b/src/damaskdeck/coordination/configuration/writes.py
@@ -188,7 +188,8 @@
     ) -> Written | Conflict | Refused | Unknown:
         """Write once; after a lost answer, repeat the call until its outcome is known.
 
-        The expected revision lets only one of the repeated calls take effect.
+        After ``resolve_limit`` it returns :class:`Unknown`. The expected revision lets
+        only one of the repeated calls take effect.
         """
         revision_before = self._configuration.revision
         deadline = self._clock.monotonic() + self._resolve_limit
--- a/src/damaskdeck/coordination/jobs/controllers.py
+++ b/src/damaskdeck/coordination/jobs/controllers.py
@@ -36,7 +36,8 @@
     """Runs one owned ledger with its queue, launches and task tracking.
 
     :param ledger: the ledger, which isn't open yet.
-    :param watch: called with the background task of the controller once it ends.
+    :param watch: called with the background task of the controller, and with each
+        launch, once it ends.
     :param ledger_count: number of ledgers of the deployment.
     """
 
--- a/src/damaskdeck/coordination/jobs/impossible.py
+++ b/src/damaskdeck/coordination/jobs/impossible.py
@@ -51,7 +51,8 @@
     async def update(self, waiting: Iterable[str]) -> None:
         """Check all waiting jobs and refuse those that have long been impossible.
 
-        Jobs are checked after a change of the fleet, and from time to time.
+        Jobs are checked after a change of the fleet, and from time to time. Jobs of
+        services are never refused.
         """
         now = self._clock.monotonic()
         if self._checked_workers is self._shapes.names and now < self._next_check:
--- a/src/damaskdeck/coordination/jobs/launches.py
+++ b/src/damaskdeck/coordination/jobs/launches.py
@@ -41,8 +41,8 @@
     """Starts tasks of one owned ledger through the owners of workers.
 
     Guarantee: "A request marked as non-idempotent runs at most once." No start is
-    sent before the placement, which is its start mark, is durable, and the start
-    of each attempt is sent once.
+    sent before the placement, with its start mark, is durable, and the start of each
+    attempt is sent once.
 
     :param mark_unconfirmed: called with the tasks that may or may not have started.
     """
--- a/src/damaskdeck/coordination/jobs/shapes.py
+++ b/src/damaskdeck/coordination/jobs/shapes.py
@@ -47,7 +47,10 @@
 
 
 def find_shortage(need: Size, sizes: set[Size]) -> str:
-    """Return the dimension in which every size is too small, or all of them."""
+    """Return the dimension in which every size is too small.
+
+    :returns: all dimensions together if no single one is too small everywhere.
+    """
     for index, name in enumerate(Size._fields):
         if all(need[index] > size[index] for size in sizes):
             return name
--- a/src/damaskdeck/coordination/jobs/tracker.py
+++ b/src/damaskdeck/coordination/jobs/tracker.py
@@ -31,8 +31,9 @@
     """Tracks the tasks of one owned ledger that are on workers.
 
     An unconfirmed task may or may not have started; the owner of its worker is
-    called until it reports the state. A task moves only on a report of an owner,
-    so the tasks of an unreachable availability zone stay where they are.
+    called until it reports the state. A task moves only on a report of an owner, or
+    once the platform has not listed its worker for ``REMOVED_WORKER_TIMEOUT``. So the
+    tasks of an unreachable availability zone stay where they are.
 
     :param is_listed: returns whether the platform lists a worker.
     """
@@ -100,7 +101,10 @@
                 self._unconfirmed[name] = None
 
     def _stop_gang(self, job: Job) -> None:
-        """Stop the running tasks of a gang, because others of it must wait again."""
+        """Stop the placed and running tasks of a gang if others must wait again.
+
+        The tasks of a gang run all at once or not at all.
+        """
         for task in self._ledger.table.list_tasks(job):
             if task.state in PLACED_STATES:
                 self._stops[task.name] = None
@@ -187,9 +191,9 @@
                 self._unconfirmed.update(tasks)
 
     async def _report_unlisted_as_lost(self) -> None:
-        """Report the tasks of workers as lost that the platform no longer lists.
+        """Report tasks as lost if the platform no longer lists their worker.
 
-        The time limit lets a remaining owner report them first.
+        ``REMOVED_WORKER_TIMEOUT`` lets a remaining owner report them first.
         """
         now = self._clock.monotonic()
         for worker, tasks in list(self._worker_tasks.items()):
--- a/src/damaskdeck/coordination/jobs/updates.py
+++ b/src/damaskdeck/coordination/jobs/updates.py
@@ -25,7 +25,8 @@
     :param started: attempts to record as started.
     :param returns: attempts to requeue.
     :param ends: ends of tasks to record.
-    :param noted: attempts whose updates are complete once the records are durable.
+    :param noted: attempts whose updates needn't be sent again once the records are
+        durable.
     :param stop: attempts that run and must not.
     :param sizes: sizes in bytes of the results that aren't durable yet, by job and
         task.
--- a/src/damaskdeck/coordination/members/membership.py
+++ b/src/damaskdeck/coordination/members/membership.py
@@ -191,9 +191,10 @@
     def can_take_over_from(self, name: str) -> bool:
         """Return whether shards of a member of this zone may be taken over.
 
-        Its lease must have expired in the store, it must be silent, and no lease grant
-        to it may be valid. It must also have known this daemon's session, as otherwise
-        it may act without a grant of this daemon; a new daemon waits instead.
+        Its lease must have expired in the store, it must be silent, and all lease
+        grants to it that bind this daemon must have ended. It must also have known this
+        daemon's session, as otherwise it may act without a grant of this daemon; if it
+        hasn't, the session must have lasted for ``newcomer_delay``.
         """
         now = self._clock.monotonic()
         if self.is_registered(name) or self.owner_lease is None:
@@ -315,8 +316,9 @@
     def _choose_grant(self, now: timedelta) -> timedelta:
         """Return a longer grant while the store is out of reach.
 
-        No takeover can be written then anyway, and the restart of a peer during the
-        outage doesn't stop the owners of its zone.
+        This costs nothing, as no takeover can be written then anyway. Due to the longer
+        grant, the restart of a peer during the outage doesn't stop the owners of its
+        zone.
         """
         return LEASE_GRANT if self._registry.can_write(now) else OUTAGE_LEASE_GRANT
 
--- a/src/damaskdeck/coordination/members/ownerleases.py
+++ b/src/damaskdeck/coordination/members/ownerleases.py
@@ -12,9 +12,10 @@
 
     While the lease in the store is valid, the session is visible to all members.
     After it, lease grants of all other live members of the zone extend the time,
-    but only without a gap: once no grant is valid, a member may have taken over,
-    so a later grant must not make the lease valid again. A renewal of the lease in
-    the store may, as it proves that the session was visible all the time.
+    but only without a gap: once the lease in the store has expired and one of the
+    grants has ended, a member may have taken over. Later grants must not make the
+    owner lease valid again then. A renewal of the lease in the store may do so, as
+    it proves that the session was visible all the time.
 
     :param session: names the lease in the store; never reused for another lease.
     :param revision: the store's revision from which on the session is visible.
--- a/src/damaskdeck/coordination/places/backfill.py
+++ b/src/damaskdeck/coordination/places/backfill.py
@@ -20,7 +20,7 @@
 # the time that it has run so far.
 _OVERRUN_SHARE = 0.25
 _REPLAN_INTERVAL = timedelta(seconds=5)
-# No plan starts later than this, for example behind services that never end.
+# No plan starts further ahead than this, for example behind services that never end.
 _PLANNING_HORIZON = timedelta(days=1)
 
 Estimate = Callable[[TaskNeed], timedelta]
@@ -111,7 +111,7 @@
         return self._plan
 
     def count_within_horizon(self, need: TaskNeed) -> int:
-        """Return how many tasks like ``need`` are expected to fit within a day."""
+        """Return how many tasks like ``need`` should fit at once within a day."""
         now = self._clock.monotonic()
         free_by_worker = self._collect_free_capacity(need)
         for end, name, size in self._predict_ends(free_by_worker, now):
--- a/src/damaskdeck/coordination/places/estimates.py
+++ b/src/damaskdeck/coordination/places/estimates.py
@@ -9,8 +9,7 @@
 
 # Tasks observed before a size is reduced or an observed run time is used.
 MIN_SAMPLES = 8
-# A size is corrected after each such number of observed tasks, by at most the
-# factors below.
+# A size is corrected once per this many observed tasks, by at most the factors below.
 SAMPLES_PER_STEP = 2
 MAX_STEP_UP = 1.25
 MAX_STEP_DOWN = 0.85
@@ -18,8 +17,8 @@
 # estimate.
 MARGIN = 0.15
 SIZE_QUANTILE = 0.98
-# After each such number of reports, the peak of a running task counts as an
-# observed task, so that services, which never end, are learned too.
+# The peak of a running task counts as an observed task once per this many reports,
+# so that services, which never end, are learned too.
 LONG_RUNNING_REPORTS = 64
 # A corrected size is at least this share of the declared size.
 MIN_DECLARED_SHARE = 0.1
@@ -30,7 +29,8 @@
     """The estimate of a workload, for display.
 
     :param declared: size of one task as the operator declared it.
-    :param size: size that is currently reserved for a new task.
+    :param size: corrected size of one task. A new task reserves at least this, and
+        the peak of running tasks if that is larger.
     :param peak: highest usage known of any running task, by dimension.
     :param samples: number of observed tasks.
     """
--- a/src/damaskdeck/coordination/places/failures.py
+++ b/src/damaskdeck/coordination/places/failures.py
@@ -24,7 +24,7 @@
     """The workers on which a workload failed or succeeded.
 
     :ivar failed_on: the workers on which it failed since its last success, each
-        with whether the worker has completed any task since.
+        with whether any task has succeeded on the worker since.
     :ivar succeeded_on: the workers on which it succeeded, each with the monotonic
         time of the last success.
     """
@@ -109,8 +109,8 @@
     ) -> bool:
         """Return whether a workload fails wherever it runs.
 
-        Failures don't count on a worker that also fails other workloads and has
-        not completed any task since.
+        Failures don't count on a worker that also fails other workloads and on which
+        no task has succeeded since.
 
         :param suspects: workers whose failures are no evidence against a
             workload, for example those in quarantine.
--- a/src/damaskdeck/coordination/places/gangreservations.py
+++ b/src/damaskdeck/coordination/places/gangreservations.py
@@ -73,7 +73,7 @@
     def reserve(self, need: TaskNeed, gang: GangRequest) -> None:
         """Reserve capacity for a gang or extend its reservation.
 
-        Nothing changes while a gang of higher priority has a reservation, or
+        Nothing changes while a gang that goes before this one has a reservation, or
         during the cooldown of this gang.
         """
         now = self._clock.monotonic()
--- a/src/damaskdeck/coordination/places/preemption.py
+++ b/src/damaskdeck/coordination/places/preemption.py
@@ -154,7 +154,7 @@
         accounts.subscribe(self._handle_account)
 
     def choose(self, need: TaskNeed) -> Victims | NoVictims:
-        """Choose victims for ``need`` and claim their capacity for it.
+        """Choose victims to free capacity for ``need``, and claim its size for it.
 
         Nothing is stopped here. The victims count as being stopped until
         :meth:`record_end` is called for them.
--- a/src/damaskdeck/coordination/places/quarantine.py
+++ b/src/damaskdeck/coordination/places/quarantine.py
@@ -82,7 +82,7 @@
 
     @property
     def cap(self) -> int:
-        """Maximum number of isolated workers: at least one, except of a single one."""
+        """Maximum number of isolated workers: at least 1, but 0 of a single worker."""
         count = len(self._fleet)
         return max(int(count * self._cap_share), min(1, count - 1), 0)
 
--- a/src/damaskdeck/coordination/pools/accountlimits.py
+++ b/src/damaskdeck/coordination/pools/accountlimits.py
@@ -1,8 +1,8 @@
 """Enforcement of the quotas of client accounts.
 
 What counts against a quota is everything that may be running: confirmed runs, orders
-without an answer, runs that are being stopped, speculative copies, and the runs of a
-worker that doesn't answer until its lease has expired. After a takeover that is more
+without an answer, runs that are being stopped, speculative copies and, until its lease
+has expired, all runs of a worker that doesn't answer. After a takeover that is more
 than the owner knows about, because a worker that has not answered yet may run what the
 previous owner ordered there.
 """
--- a/src/damaskdeck/coordination/pools/accountmetrics.py
+++ b/src/damaskdeck/coordination/pools/accountmetrics.py
@@ -21,8 +21,7 @@
     """Publishes the waiting, running and ended jobs of each client account.
 
     :param job_index: The jobs of the owner.
-    :param read_running: Returns the millicores used by the running tasks of an
-        account.
+    :param read_running: Returns the millicores that count as used by an account.
     """
 
     def __init__(self, job_index: JobIndex, read_running: Callable[[str], int]) -> None:
--- a/src/damaskdeck/coordination/pools/adviceplanner.py
+++ b/src/damaskdeck/coordination/pools/adviceplanner.py
@@ -22,8 +22,8 @@
 REFRESH_SLACK_SECONDS = 0.3
 # Only this many of the most urgent steps have their tickets kept fresh.
 REFRESH_STEPS = 12
-# The interval between two queries for a step's missing tickets. Choosing the workers
-# reads all of them.
+# The pause after a search that found no worker to query about for a step that lacks
+# capacity, because each search reads all workers.
 QUERY_INTERVAL_SECONDS = 0.1
 # The number of workers of one query while several daemons are idle. Users plan for a
 # call of this size, and naming more workers takes longer than a second call in
@@ -69,7 +69,7 @@
         lacks_capacity: bool = False,
         reserved: frozenset[str] = frozenset(),
     ) -> None:
-        """Request tickets that are about to expire or that are still missing.
+        """Renew tickets that are about to expire, and request missing ones.
 
         :param position: The position of the step in the order of urgency.
         :param lacks_capacity: Whether the workers with a ticket could not hold the
@@ -123,12 +123,12 @@
         return [key for key in eligible if expiries.get(key, math.inf) < limit]
 
     def _choose_new(self, step: Step, pool: str, advice: StepAdvice) -> list[str]:
-        """Choose workers without a ticket, enough of them to hold the step.
+        """Choose workers that the advisor has not answered about, enough for the step.
 
-        All workers are chosen if one query can name them. Otherwise workers in the
-        zones that the job is confined to come first, then those with the most free
-        capacity. Equal workers are shuffled differently for each step, so that not all
-        steps choose the same ones.
+        All of them are chosen if there are at most ``QUERY_WORKERS``. Otherwise workers
+        in the zones that the job is confined to come first, then those with the most
+        free capacity. Equal workers are shuffled differently for each step, so that not
+        all steps choose the same ones.
         """
         contacts, spec = self._get_contacts(), step.spec
         tasks = len(step.tasks)
--- a/src/damaskdeck/coordination/pools/authorization.py
+++ b/src/damaskdeck/coordination/pools/authorization.py
@@ -28,8 +28,8 @@
 
     While the store answers, no call is authorized by a document that may have been
     replaced for longer than the bound. The bound for keys also applies to daemons that
-    are cut off from the store: no daemon serves a call that was sent later than that
-    after its key was revoked.
+    are cut off from the store: once a key has been revoked for that long, no daemon
+    serves calls that are then sent with it.
     """
 
     def __init__(self, declarations: Declarations) -> None:
--- a/src/damaskdeck/coordination/pools/candidates.py
+++ b/src/damaskdeck/coordination/pools/candidates.py
@@ -1,7 +1,7 @@
 """The workers that may get tasks during one pass over the pending steps.
 
-A worker is evaluated when a step first needs it, and once per pass. The cost of a pass
-therefore depends on the steps that it places and not on the number of workers.
+A worker is evaluated at most once per pass, when a step first needs it. The cost of a
+pass therefore depends on the steps that it places and not on the number of workers.
 """
 
 from collections.abc import Iterable, Iterator
--- a/src/damaskdeck/coordination/pools/ceilings.py
+++ b/src/damaskdeck/coordination/pools/ceilings.py
@@ -62,8 +62,8 @@
         try:
             record = decode_record(CeilingsRecord, found.entry.value)
         except MessageError as error:
-            # Without a ceiling the previous owner is assumed to have run as much as
-            # the workers can hold.
+            # Without a ceiling the previous owner is assumed to have run as much as the
+            # unreconciled workers can hold and the account's jobs may have running.
             _log.error(
                 "Failed to decode the ceilings.", code=error.code, error=str(error)
             )
@@ -83,7 +83,8 @@
     def limit(self, account: str, quota: Size, needed: Size, now: float) -> Size:
         """Return the part of a quota that may be used now.
 
-        It is never more than the ceiling that is durable or in flight.
+        It is at most the smallest of the durable ceiling, the one in flight and the one
+        that is wanted: a raise applies once it is durable, a lower ceiling at once.
 
         :param needed: The usage that is wanted. If it exceeds the ceiling, the ceiling
             is raised and applies once it is durable.
--- a/src/damaskdeck/coordination/pools/contacts.py
+++ b/src/damaskdeck/coordination/pools/contacts.py
@@ -68,8 +68,8 @@
 
     :ivar info: The last entry in the registry.
     :ivar is_listed: Whether the registry lists the worker.
-    :ivar is_synchronized: Whether the worker's tasks were read under this epoch and it
-        has not become silent since.
+    :ivar is_synchronized: Whether the worker's tasks were read under this epoch and no
+        poll has failed since. It is unset once the incarnation has ended.
     :ivar is_gone: Whether this incarnation has ended for certain.
     :ivar is_cordoned: Whether the worker gets no orders, see :mod:`.cordons`.
     :ivar is_rostered: Whether the durable roster covers the worker at its peak size.
@@ -178,8 +178,8 @@
         peak_size = compute_max_size(self.peak_size, size)
         if peak_size != self.peak_size:
             self.peak_size = peak_size
-            # Before a larger capacity is used, a successor must be able to know about
-            # what it may hold.
+            # A successor must be able to bound what the worker runs, so the roster has
+            # to contain a larger capacity before that is used.
             self.is_rostered = False
 
     def _now(self) -> float:
@@ -247,10 +247,12 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether a successor can learn of everything that the worker may run.
+        """Whether everything that the worker may run is known, also to a successor.
 
-        This is the case when its tasks were read under this epoch and all ends that it
-        reported are durable. Otherwise a successor might count ended tasks as unknown.
+        Its tasks must have been read under this epoch, none of them may be unknown
+        here, and all ends that it reported must be durable. Without the last condition
+        a successor might count ended tasks as unknown. Once the incarnation has ended,
+        this is never the case.
         """
         is_run_set_known = (
             self._is_reconciled and not self.unknown_runs and not self.is_gone
@@ -414,11 +416,11 @@
                 stop.cancel()
 
     def _may_have_runs(self) -> bool:
-        """Whether something may run on the worker, so that its contact must be kept.
+        """Whether the contact must be kept: runs may exist or ends are not yet durable.
 
-        A worker whose tasks were read under this epoch runs only what is known here,
-        whatever its lease. A worker that left empty must not delay a successor, which
-        can't poll it any more.
+        A worker whose tasks were read under this epoch runs only what is known here.
+        Its lease is therefore not waited for: a worker that left empty must not delay a
+        successor, which can't poll it any more.
         """
         if (
             self.runs
--- a/src/damaskdeck/coordination/pools/crashes.py
+++ b/src/damaskdeck/coordination/pools/crashes.py
@@ -52,7 +52,8 @@
 class CrashCount(NamedTuple):
     """The evidence against a task.
 
-    :param crashes: The number of workers that crashed while they ran it.
+    :param crashes: The number of workers that crashed while they ran it or may have run
+        it.
     :param suspected: The number of these crashes for which no other task was as likely
         the cause.
     """
@@ -128,8 +129,9 @@
 def _find_suspected(contact: WorkerContact, started: list[Run]) -> list[Run]:
     """Return the runs that are the most likely cause of a worker's crash.
 
-    These are among the last orders. Runs that this owner adopted are left out, because
-    it doesn't know when they were started.
+    These are confirmed runs of the last orders after which the worker was hardly seen.
+    The result is empty for a worker that was restarted just now. Runs that this owner
+    adopted are left out, because it doesn't know when they were started.
     """
     confirmed = [run for run in started if run.phase is RunPhase.RUNNING]
     if not confirmed or contact.age < WARM_UP_SECONDS:
--- a/src/damaskdeck/coordination/pools/delegates.py
+++ b/src/damaskdeck/coordination/pools/delegates.py
@@ -1,4 +1,4 @@
-"""The daemons that execute for this one what the store doesn't."""
+"""The daemons that act for this one while the store doesn't answer it."""
 
 from damaskdeck.clock import Clock
 from damaskdeck.coordination.pools.leadership import Leadership
--- a/src/damaskdeck/coordination/pools/departures.py
+++ b/src/damaskdeck/coordination/pools/departures.py
@@ -21,10 +21,11 @@
 ) -> Iterator[Run]:
     """Yield the runs to stop because they can't end on their departing workers.
 
-    A run that keeps checkpoints continues until its worker leaves. A run without
-    checkpoints is stopped as soon as it is clear that it would be cut off. A run that
-    is cut off can't start elsewhere until its worker's lease expires, 6 s or more,
-    whereas one that is stopped in time starts elsewhere at once.
+    Long-running tasks are stopped at once. A run that keeps checkpoints continues as
+    long as its worker's stay leaves time for a stop. A run without checkpoints is
+    stopped as soon as it is clear that it would be cut off. A run that is cut off can't
+    start elsewhere until its worker's lease expires, 6 s or more, whereas one that is
+    stopped in time starts elsewhere at once.
 
     :param max_stop_time: the longest time that a worker needs for a stop.
     """
--- a/src/damaskdeck/coordination/pools/dispatcher.py
+++ b/src/damaskdeck/coordination/pools/dispatcher.py
@@ -252,7 +252,8 @@
         A step that was tried before and has not changed since only checks the freed
         workers: the others had no capacity for it and have no more now.
 
-        :param freed: The workers that have gained capacity since the last pass.
+        :param freed: The workers that have gained capacity or become usable since the
+            last pass.
         :param position: The position of the step in the order of urgency.
         """
         step, tasks = pending.step, pending.tasks
--- a/src/damaskdeck/coordination/pools/intake.py
+++ b/src/damaskdeck/coordination/pools/intake.py
@@ -194,7 +194,7 @@
             self._owner.cancel(job)
 
     async def follow(self) -> None:
-        """Accept what daemons store until cancelled, as messages may be lost."""
+        """Until cancelled, accept what daemons store, as messages may be lost."""
         while True:
             answer = await self._store.watch(
                 INBOX_PREFIX, self._inbox_revision, WATCH_WAIT
--- a/src/damaskdeck/coordination/pools/jobfrontend.py
+++ b/src/damaskdeck/coordination/pools/jobfrontend.py
@@ -1,6 +1,6 @@
 """The interface of every daemon to callers: submits, reads and cancels jobs.
 
-Jobs are accepted by storing them, and the owner answers for their states.
+Jobs are accepted by storing them, and their states are read from the owner.
 """
 
 import asyncio
@@ -78,8 +78,8 @@
     """Answers callers on one daemon and calls the owner over the peer channels.
 
     :param instance: The name of this daemon.
-    :param get_owner: Returns the owner on this daemon, ``None`` if another daemon owns
-        the pools.
+    :param get_owner: Returns the owner on this daemon, ``None`` if this daemon is not
+        the owner.
     :param on_owner_epoch: Called with the epoch of each capacity report, which shows
         that its owner is alive.
     """
--- a/src/damaskdeck/coordination/pools/leadership.py
+++ b/src/damaskdeck/coordination/pools/leadership.py
@@ -2,9 +2,9 @@
 
 Every daemon holds a store lease that its member key is bound to. The owner's record
 names the owner and its epoch and is bound to no lease, as a key with a lease may vanish
-at any time. The lead key is bound to the owner's lease; its absence is only a hint that
-a takeover is due. A takeover is safe at any time: workers refuse the older epoch, and
-the fence key makes the store refuse the older owner's writes.
+at any time. The lead key is bound to the owner's store lease; its absence is only a
+hint that a takeover is due. A takeover is safe at any time: workers refuse the older
+epoch, and the fence key makes the store refuse the older owner's writes.
 """
 
 import asyncio
@@ -171,7 +171,10 @@
         return self._store.measure_silence() > self._times.member_ttl
 
     def may_decide(self) -> bool:
-        """Whether this daemon is the owner and its owner lease has not expired."""
+        """Whether this daemon is the owner by a recent enough confirmation.
+
+        The store must have named it in a call sent less than ``owner_lease`` ago.
+        """
         if self._term is None:
             return False
         age = self._clock.monotonic().total_seconds() - self._confirmed_at
--- a/src/damaskdeck/coordination/pools/liveness.py
+++ b/src/damaskdeck/coordination/pools/liveness.py
@@ -67,7 +67,7 @@
         return self._clock.monotonic().total_seconds()
 
     def follow(self, epoch: int) -> None:
-        """Follow a newer owner, which counts as alive from now on."""
+        """Follow a newer owner; learning of it counts as evidence that it is alive."""
         if epoch > self.epoch:
             self.epoch = epoch
             self._round_trips = RoundTrips()
@@ -92,7 +92,7 @@
         """Record that the owner has stored something.
 
         This counts for a limited time only, as an owner that is cut off from the other
-        daemons may still store changes of its own availability zone.
+        daemons may still store what it does within its own availability zone.
         """
         if self._now() - self._message_at < MAX_SILENCE.total_seconds():
             self._alive_at = self._now()
--- a/src/damaskdeck/coordination/pools/monitoredstore.py
+++ b/src/damaskdeck/coordination/pools/monitoredstore.py
@@ -55,7 +55,8 @@
     The lease of the member is renewed several times a second, so the return of the
     store is noticed almost at once.
 
-    :ivar write_times: The times since which the store's revisions exist.
+    :ivar write_times: The earliest times at which the store's revisions may have been
+        written.
     """
 
     def __init__(self, store: TransactionalStore, clock: Clock) -> None:
--- a/src/damaskdeck/coordination/pools/owner.py
+++ b/src/damaskdeck/coordination/pools/owner.py
@@ -293,10 +293,10 @@
         self._confirm_jobs()
 
     def may_have_started(self, job: Job) -> bool:
-        """Whether a predecessor may have started runs of a job unknown to this owner.
+        """Whether a job may have runs of a predecessor that this owner doesn't know.
 
-        Only workers in the zones that the job was confined to count, as of the moment
-        when this owner's takeover ended the commits of its predecessor.
+        They can only be on workers of the zones that the job was confined to when this
+        owner's takeover ended the commits of its predecessor.
         """
         is_older = job.record.epoch < self.term.epoch
         return is_older and not self._fleet.are_workers_reconciled(
@@ -304,7 +304,7 @@
         )
 
     def _confirm_jobs(self) -> None:
-        """Release the jobs for which all workers have reported what they run."""
+        """Let jobs start tasks once no worker can hold unknown runs of them."""
         if not self._fleet.unreconciled_count:
             _log.info("All workers are reconciled.", epoch=self.term.epoch)
         for job in self.job_index.open_jobs.values():
--- a/src/damaskdeck/coordination/pools/ownermonitor.py
+++ b/src/damaskdeck/coordination/pools/ownermonitor.py
@@ -1,9 +1,9 @@
 """Detects the loss of the owner before the owner's lease in the store expires.
 
 A few daemons request heartbeats from the owner. If one of them gets none for longer
-than usual, it consults other daemons. If more than half of them can't reach the owner
-either, and none of them can, it requests a takeover. So a daemon that is cut off
-together with a minority does nothing.
+than usual, it consults other daemons. If more than half of these daemons, itself
+included, report that they can't reach the owner before any reports that it can, it
+requests a takeover. So a daemon that is cut off together with a minority does nothing.
 
 A false detection is safe, as every takeover is, but it costs a load of all jobs and
 workers, and the successor of an owner that was merely overloaded is overloaded as well.
--- a/src/damaskdeck/coordination/pools/planning.py
+++ b/src/damaskdeck/coordination/pools/planning.py
@@ -182,11 +182,12 @@
     def _choose_candidate(
         self, task: Task, candidates: list[Candidate], allow_failed: bool
     ) -> Candidate | None:
-        """Return the candidate that is left with the least free capacity.
+        """Return the best candidate with capacity for a task, ``None`` without one.
 
         Preferred in this order: candidates on which the task has not failed, candidates
-        that are not slow, candidates near its data, faster workers. Long-running tasks
-        prefer slower workers, as speed does not matter for them.
+        that are not slow, candidates near its data, faster workers, and those with the
+        fewest free processors. Long-running tasks prefer slower workers, as speed does
+        not matter for them.
         """
         spec = self._spec
         best, best_score = None, (True, True, True, 0, 0)
--- a/src/damaskdeck/coordination/pools/relocation.py
+++ b/src/damaskdeck/coordination/pools/relocation.py
@@ -42,8 +42,7 @@
     if progress_rate is None or not expected_rate:
         return False
     remaining_here = (100 - run.percent) / progress_rate.rate
-    # Slack is counted until the start, so a run may end later than that by its
-    # estimate.
+    # Slack lasts until the latest start, so a run may end a whole estimate after it.
     deadline_status, _, slack = measure_urgency(run.task.step, now)
     estimate = run.task.step.spec.estimate.total_seconds()
     if deadline_status is DeadlineStatus.LOST or remaining_here <= slack + estimate:
--- a/src/damaskdeck/coordination/pools/reservations.py
+++ b/src/damaskdeck/coordination/pools/reservations.py
@@ -3,7 +3,7 @@
 A gang needs all its capacity at one moment. In a full pool capacity is freed in pieces
 that other steps take at once, so a wide gang would wait until the load ends. Therefore
 the workers that will first have enough free capacity are reserved for the gang. Until
-it can start, other steps get only tasks there that will have ended by then.
+it can start, other steps may start only tasks there that will have ended by then.
 """
 
 import bisect
--- a/src/damaskdeck/coordination/pools/revisions.py
+++ b/src/damaskdeck/coordination/pools/revisions.py
@@ -31,7 +31,8 @@
     def find_write_time(self, revision: int) -> float:
         """Return the earliest time at which a revision may have been written.
 
-        It is negative infinity for revisions that are older than the first record.
+        It is negative infinity for revisions not later than the oldest one recorded,
+        and for all of them before the first record.
         """
         index = bisect_left(self._entries, (revision,))
         return self._entries[index - 1][1] if index else float("-inf")
--- a/src/damaskdeck/coordination/pools/submitter.py
+++ b/src/damaskdeck/coordination/pools/submitter.py
@@ -161,8 +161,8 @@
                 break
             count_retry("submit", code)
             if expected == self._declarations.expected:
-                # If the document has changed, the call was authorized again and can be
-                # retried at once.
+                # Otherwise the document has changed, so the call was usually authorized
+                # again, and there is nothing to wait for.
                 await self._clock.sleep(RETRY_DELAY)
         return JobUnconfirmed(code) if may_be_stored else JobNotAccepted(code)
 
@@ -172,8 +172,8 @@
         """Return the record to store in place of one whose commit was refused.
 
         A stored job takes precedence: an attempt without an answer may have stored it
-        under the previous document, so that it runs. No attempt can store it under
-        another document any more.
+        under the previous document, so that it runs. Once the document has changed, no
+        earlier attempt can store it any more.
         """
         has_changed = self._declarations.handle_mismatch(answer, sent_at)
         stored = answer.find(JOBS_PREFIX + record.identifier)
--- a/src/damaskdeck/coordination/pools/succession.py
+++ b/src/damaskdeck/coordination/pools/succession.py
@@ -10,9 +10,9 @@
 # Daemons whose start times round to the same multiple of this count as equally old.
 # Clocks differ, and when the whole system starts all daemons do so within a second.
 AGE_RESOLUTION = timedelta(seconds=1)
-# An owner hands over to a member with this multiple of its own power. A handover costs
-# a tenth of a second without starts, while a slow owner delays everything as long as
-# it stays.
+# An owner hands over to a member with at least this multiple of its own power. A
+# handover costs a tenth of a second without starts, while a slow owner delays
+# everything as long as it stays.
 HANDOVER_POWER_RATIO = 1.5
 
 
--- a/src/damaskdeck/coordination/pools/supervision.py
+++ b/src/damaskdeck/coordination/pools/supervision.py
@@ -1,4 +1,4 @@
-"""Supervision of runs: stops those that can't end where they are, and starts copies."""
+"""Supervision of runs: stops those better run elsewhere, and starts copies."""
 
 from damaskdeck.coordination.pools.advice import AdviceScheduler
 from damaskdeck.coordination.pools.departures import find_runs_to_stop
--- a/src/damaskdeck/coordination/pools/times.py
+++ b/src/damaskdeck/coordination/pools/times.py
@@ -77,9 +77,9 @@
     """
     lease = bounds.max_worker_lease
     lease_expiry = lease / (1 - CLOCK_SLOWNESS)
-    # As long as a worker lease: an owner that cannot reach the store for that time lets
-    # the leases of its workers expire only then, which doubles the outage that tasks
-    # survive.
+    # As long as a worker lease: an owner that cannot reach the store extends the leases
+    # of its workers for that time, and only then lets them run out. This doubles the
+    # outage that tasks survive.
     owner_lease = lease
     member_ttl = max(bounds.min_store_lease, timedelta(milliseconds=1200))
     # A worker that stops answering is noticed within little more than this time.
--- a/src/damaskdeck/coordination/pools/urgency.py
+++ b/src/damaskdeck/coordination/pools/urgency.py
@@ -9,8 +9,8 @@
 from damaskdeck.state.pooljobs import RunPhase, Step
 
 # The advisor is queried about a step when the steps before it need at most this time
-# and the time of the advisor's answer. A fifth of the validity of its tickets has
-# passed by then.
+# and the time of the advisor's answer. When the step can start, a fifth of the validity
+# of its tickets has passed.
 ADVICE_LEAD_SECONDS = 0.5
 # A job earns less once its objective has passed, and nothing from this multiple of the
 # objective on.
--- a/src/damaskdeck/coordination/pools/workerfleet.py
+++ b/src/damaskdeck/coordination/pools/workerfleet.py
@@ -57,7 +57,7 @@
     :param is_pool_declared: returns whether the operators have declared a pool.
     :param delay: the current delay of this process's event loop.
     :param find_write_time: returns the earliest time at which a revision of the store
-        was written.
+        may have been written.
     """
 
     leadership: Leadership
@@ -76,8 +76,9 @@
 
     :param on_change: called when the set of usable workers has changed.
     :param on_roster_change: called when the roster has to be written.
-    :param on_reconciled: called when all workers of another availability zone that a
-        predecessor may have used are reconciled.
+    :param on_reconciled: called when all workers that a predecessor may have used,
+        cordoned ones aside, are reconciled in one more availability zone, and when a
+        cordoned worker is reconciled.
     :param on_cordon_change: called when the cordons have to be written.
     :param on_inherited_crash: called with the runs that a predecessor recorded for an
         incarnation of a worker that is lost.
@@ -134,7 +135,7 @@
         self._failure: asyncio.Future[None] | None = None
 
     def are_workers_reconciled(self, zones: frozenset[str], job: str) -> bool:
-        """Whether no run unknown to this owner can exist of a job in the given zones.
+        """Whether all runs of a job on workers of the given zones must be known.
 
         :param zones: availability zones; all zones if empty.
         """
@@ -347,7 +348,10 @@
         return is_new
 
     def check_capacity_ages(self, now: float) -> None:
-        """Find workers whose capacity reports are too old, and log changes."""
+        """Find workers whose capacity reports became too old, and notify the owner.
+
+        It is logged when the first report is too old, and when all are fresh again.
+        """
         stale = {
             name
             for name, contact in self.contacts.items()
--- a/src/damaskdeck/coordination/pools/zoneconfinement.py
+++ b/src/damaskdeck/coordination/pools/zoneconfinement.py
@@ -1,9 +1,9 @@
 """The availability zones that a job is confined to when it is accepted.
 
 After a takeover the new owner knows what runs in the zones that it can reach. A job
-that is confined to these zones can't run anywhere else, so it continues at once. A job
-that may run anywhere has to wait for the workers that don't answer while a zone is cut
-off.
+that is confined to these zones can't run anywhere else, so it continues at once. While
+a zone is cut off, a job that may run anywhere has to wait for the workers that don't
+answer.
 """
 
 from collections.abc import Iterable
--- a/src/damaskdeck/coordination/queues/queueing.py
+++ b/src/damaskdeck/coordination/queues/queueing.py
@@ -41,10 +41,10 @@
     Classes are ordered by urgency. Within a class, the team with the lowest
     weighted dominant share goes first, and within a team the oldest job whose
     shape may fit. One of every ``overdue_turn`` jobs taken is the one that has
-    been overdue longest, regardless of its class and team. An overdue job that
-    fits and is within its quota is therefore preceded by at most
-    ``overdue_turn`` x (n + 1) jobs, where n is the number of jobs that were due
-    before it.
+    been overdue longest, regardless of its class and team. So from the time when a
+    job becomes overdue, and as long as it fits and its quota or borrowing allows it,
+    at most ``overdue_turn`` x (n + 1) jobs are taken before it, where n is the number
+    of jobs that were due before it.
 
     :param clock: determines which jobs are overdue.
     :param quotas: charged for jobs taken, and updated with the demand of waiting
@@ -158,7 +158,7 @@
         self.push(job._replace(tasks=left + job.offered))
 
     def unblock_fitting(self, capacity: Size) -> None:
-        """Allow the shapes again that fit into the free ``capacity`` of one worker."""
+        """Let shapes be tried again that may fit into ``capacity`` of one worker."""
         self.blocks.remove_fitting(capacity)
 
     def skip(self, name: str, reason: str) -> None:
@@ -184,8 +184,8 @@
     def find_longest_overdue(self) -> WaitingJob | None:
         """Return the job that has been overdue longest, to plan capacity for it.
 
-        Jobs that exceed the quota of their team now are ignored. This examines all
-        groups, so call it every few seconds and not for each decision.
+        Jobs that the quota of their team doesn't allow now are ignored. This examines
+        all groups, so call it every few seconds and not for each decision.
         """
         heads = [
             head.job
@@ -202,7 +202,10 @@
         return self._since_overdue >= self.overdue_turn - 1
 
     def find_shortfall(self, job: WaitingJob) -> str | None:
-        """Return the dimension in which a job exceeds its team's quota, if any."""
+        """Return the dimension in which its team's quota keeps a job out, if any.
+
+        A job above the quota isn't kept out if the team can borrow idle capacity.
+        """
         return self.quotas.find_shortfall(job.team, job.need, RANKS[job.urgency])
 
     def end_overdue_turn(self) -> None:
--- a/src/damaskdeck/coordination/queues/waiting.py
+++ b/src/damaskdeck/coordination/queues/waiting.py
@@ -9,8 +9,7 @@
 from damaskdeck.protocol.sizes import Size
 from damaskdeck.state.quotas import scale_size
 
-# Number of dead entries that a heap may have, beyond the live ones, before it is
-# rebuilt.
+# A heap is rebuilt once its dead entries outnumber the live ones by more than this.
 _DEAD_ENTRY_ALLOWANCE = 8
 
 
--- a/src/damaskdeck/coordination/requests/keyed.py
+++ b/src/damaskdeck/coordination/requests/keyed.py
@@ -70,14 +70,18 @@
     async def _settle_unserved(
         self, name: tuple[str, str, str], claiming: "asyncio.Task[Any]"
     ) -> None:
-        """Settle the key of a request that was cancelled before it was served."""
+        """Settle a key as not run: its request was cancelled before it was served."""
         if isinstance(await claiming, ClaimedKey):
             await self._keys.settle_key(*name, Refused("cancelled"))
 
     async def _settle_cancelled(
         self, name: tuple[str, str, str], context: RequestContext
     ) -> None:
-        """Settle the key of a request that was cancelled while it was served."""
+        """Settle the key of a request that was cancelled while it was served.
+
+        The outcome is that of its open call, if there is one. Otherwise it is unknown
+        if the request may have run, and not run if not.
+        """
         outcome: Outcome = Refused("cancelled")
         if context.lost_code:
             outcome = Unknown(context.lost_code)
--- a/src/damaskdeck/coordination/requests/ownedtargets.py
+++ b/src/damaskdeck/coordination/requests/ownedtargets.py
@@ -53,7 +53,8 @@
     :param margin: added to it before a slot is free without an answer.
     :param queue_limit: maximum number of waiters of one team and urgency class per
         service.
-    :param on_slots_available: called once all waiters of a lane have got slots.
+    :param on_slots_available: called once all waiters of a lane have got slots, or no
+        slot of it is left.
     """
 
     def __init__(
--- a/src/damaskdeck/coordination/requests/routing.py
+++ b/src/damaskdeck/coordination/requests/routing.py
@@ -54,8 +54,8 @@
 HOP_TIME_SECONDS = 0.001
 CROSS_ZONE_HOP_TIME_SECONDS = 0.003
 
-# A request that could wait for own slots isn't redirected after this many free
-# refusals elsewhere.
+# A request that could wait for own slots isn't redirected any more after this many
+# refusals elsewhere that cost no retry.
 MAX_REDIRECTS_WITH_LOCAL_SLOTS = 2
 FREE_RETRY_LIMIT = 16
 
@@ -364,7 +364,7 @@
         await self._clock.sleep(min(wait, remaining))
 
     def _refuse_early(self, context: RequestContext) -> Refused | None:
-        """Refuse a request that can't meet its deadline before its key is claimed."""
+        """Before a key is claimed, refuse a request that can't meet its deadline."""
         lane = self._owned.get_lane(context.request.service)
         slots = lane.count_slots()
         if not len(lane.queue) or not slots:
--- a/src/damaskdeck/coordination/workers/fleet.py
+++ b/src/damaskdeck/coordination/workers/fleet.py
@@ -33,7 +33,7 @@
 
 
 class Fleet:
-    """Keeps the last valid list, and keeps instances leaving once they were.
+    """Keeps the last valid list; an instance that was listed as leaving stays so.
 
     Guarantee: "A target that is leaving receives no new work after a few seconds."
     The list lags, and an answer may be older than the one before. Therefore an
--- a/src/damaskdeck/coordination/workers/orders.py
+++ b/src/damaskdeck/coordination/workers/orders.py
@@ -164,7 +164,7 @@
             session.set_unconfirmed(True)
 
     def _clear_cause(self, task: str, attempt: int) -> None:
-        """Allow another attempt to stop a task after a call without effect."""
+        """Clear the cause after a stop had no effect, so that it can be repeated."""
         hosted = self._roster.find(task, attempt)
         if hosted is not None:
             self._roster.set_cause(hosted, "")
--- a/src/damaskdeck/coordination/workers/owners.py
+++ b/src/damaskdeck/coordination/workers/owners.py
@@ -57,9 +57,11 @@
         return bool(new_reports)
 
     def choose(self, need: TaskNeed) -> str | None:
-        """Return an owner to ask for ``need``, and deduct ``need`` from its capacity.
+        """Return an owner to ask for ``need``, or ``None``.
 
-        An owner that is preempting tasks for ``need`` is asked again.
+        An owner that is preempting tasks for ``need`` is asked again. Otherwise, an
+        owner with free capacity is chosen, and ``need`` is deducted from its summary;
+        if there is none, an owner that could preempt tasks for ``need``.
         """
         now = self._clock.monotonic()
         owner, until = self._preempting_owners.get(need.task, ("", now))
--- a/src/damaskdeck/coordination/workers/summaries.py
+++ b/src/damaskdeck/coordination/workers/summaries.py
@@ -161,8 +161,8 @@
     """Return an owner to ask for ``need``; ``None`` when no summary has capacity.
 
     A few owners are drawn, weighted by how many of their slices hold the task and by
-    the age of their summaries, so that ledger owners don't all ask the same one. Of
-    these, the one that the task fits tightest is returned.
+    how recent their summaries are, so that ledger owners don't all ask the same one.
+    Of these, the one that the task fits tightest is returned.
     """
     allowed = [view for view in views if not need.zones or view.zone in need.zones]
     if len(allowed) > _SAMPLE_SIZE:
--- a/src/damaskdeck/platform/nodes.py
+++ b/src/damaskdeck/platform/nodes.py
@@ -150,7 +150,10 @@
         return timedelta(milliseconds=self.read_number(name, default) * scale)
 
     def read_number(self, name: str, default: float) -> float:
-        """Return a number, or ``default`` if the setting is missing or malformed."""
+        """Return a number, or ``default`` if the setting is missing.
+
+        A malformed value is recorded as a fault; ``default`` is returned for it, too.
+        """
         text = self.values.get(name, "")
         try:
             return float(text) if text else default
--- a/src/damaskdeck/protocol/callresults.py
+++ b/src/damaskdeck/protocol/callresults.py
@@ -27,8 +27,8 @@
     def may_see(self, account: str, queue: str) -> bool:
         """Whether this caller may see a job of an account on a queue.
 
-        Jobs and callers of a queue that is or was public may have no account. They
-        are compared by queue.
+        Either the accounts are equal, or one of the two has no account, as on a queue
+        that is or was public, and the queues are equal.
         """
         is_shared = not (self.account and account) and self.queue == queue
         return self.account == account or is_shared
--- a/src/damaskdeck/protocol/clientaccounts.py
+++ b/src/damaskdeck/protocol/clientaccounts.py
@@ -23,7 +23,7 @@
 
     :param digests: digests of its keys; see :func:`digest_key`.
     :param weight: its share when all capacity is used, and the number of jobs per
-        second that it is guaranteed to submit.
+        second that it can count on.
     :param rank: rank of its jobs; 0 comes first.
     :param quota: what it may have running in all pools together; a dimension
         without a limit is :data:`UNLIMITED`.
--- a/src/damaskdeck/protocol/forwarding.py
+++ b/src/damaskdeck/protocol/forwarding.py
@@ -92,7 +92,7 @@
 
     ``epoch`` is the last epoch in which the sender was the owner, 0 if never;
     ``remaining`` has an upper bound in seconds for each slot that the sender
-    filled, ``inherited`` the same for even earlier owners, by their names.
+    filled, ``inherited`` for each slot of still earlier owners, by owner name.
     """
 
     target: str
--- a/src/damaskdeck/protocol/messages.py
+++ b/src/damaskdeck/protocol/messages.py
@@ -139,7 +139,7 @@
 
 
 def has_reply(name: str) -> bool:
-    """Whether messages of type ``name`` are answered by a message with a type."""
+    """Whether a message type is declared for the replies to type ``name``."""
     return name in _replies
 
 
--- a/src/damaskdeck/protocol/poolmessages.py
+++ b/src/damaskdeck/protocol/poolmessages.py
@@ -178,9 +178,12 @@
 
 @message("pool.stand")
 class RequestTakeover(TypedDict):
-    """No daemon reaches the owner of that epoch; the receiver should succeed it.
+    """Most of the consulted daemons don't reach the owner of that epoch.
 
-    :ivar absent: daemons that did not answer either.
+    None has reported that it does; the receiver should succeed the owner.
+
+    :ivar absent: consulted daemons that did not reply; the election does not wait
+        for them.
     """
 
     epoch: Count
--- a/src/damaskdeck/protocol/pools.py
+++ b/src/damaskdeck/protocol/pools.py
@@ -20,7 +20,7 @@
 
     :param identifier: identifier of this incarnation of the machine.
     :param address: IP address and port.
-    :param labels: labels that steps may require.
+    :param labels: labels that steps may require; the rack, if given, is one of them.
     :param remaining: minimum time left for a worker that is leaving.
     """
 
--- a/src/damaskdeck/protocol/queues.py
+++ b/src/damaskdeck/protocol/queues.py
@@ -80,7 +80,7 @@
         self._prefix_lengths = sorted(lengths, reverse=True)
 
     def find(self, host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix of ``path``."""
+        """Return the queue with the longest prefix that ``path`` starts with."""
         prefixes = (path[:length] for length in self._prefix_lengths)
         found = (self._queues_by_prefix.get((host, prefix)) for prefix in prefixes)
         return next((queue for queue in found if queue is not None), None)
--- a/src/damaskdeck/protocol/summaries.py
+++ b/src/damaskdeck/protocol/summaries.py
@@ -17,7 +17,8 @@
 
     :param workers: number of open workers.
     :param free: total free capacity.
-    :param slices: free capacity of the workers with most of it, by dimension.
+    :param slices: free capacity of single workers: those with the most free capacity
+        in each dimension.
     :param largest: the largest worker size in each dimension.
     """
 
--- a/src/damaskdeck/state/changehistory.py
+++ b/src/damaskdeck/state/changehistory.py
@@ -82,7 +82,10 @@
         self._notify_waiters()
 
     def reset(self, revision: int) -> None:
-        """Discard the history when the changes up to ``revision`` are not known."""
+        """Discard all changes and restart the history at ``revision``.
+
+        For use when the changes up to ``revision`` are not known.
+        """
         self._changes.clear()
         self._oldest = self._revision = revision
         self._notify_waiters()
--- a/src/damaskdeck/state/commits.py
+++ b/src/damaskdeck/state/commits.py
@@ -98,7 +98,7 @@
         return group
 
     def remove_group(self, group: list[Commit]) -> None:
-        """Remove the last result of :meth:`take_group`; its append has a result."""
+        """Remove the group that :meth:`take_group` returned last, after its append."""
         self.refusal = Rejected("store_unavailable")
         for _ in group:
             self._commits.popleft()
@@ -109,7 +109,11 @@
             settle(self._commits.popleft())
 
     async def expire(self) -> None:
-        """Return a result to each commit that has reached its deadline."""
+        """Answer each commit that has reached its deadline with what is known of it.
+
+        The result is ``Lost`` if its append may take effect, and :attr:`refusal` if it
+        was not sent.
+        """
         while waiting := self.list_waiting():
             await self._clock.sleep(waiting[0].deadline - self._clock.monotonic())
             now = self._clock.monotonic()
--- a/src/damaskdeck/state/compaction.py
+++ b/src/damaskdeck/state/compaction.py
@@ -25,8 +25,9 @@
 
     Each snapshot has part keys of its own, so the parts have no effect until a
     compare-and-swap replaces the head. Before that the old snapshot and the log
-    are valid, afterwards the new ones. Parts of an owner that stopped in between
-    are removed by the next owner once the head has its epoch.
+    are valid, afterwards the new snapshot and the log after its base. Parts of an
+    owner that stopped in between are removed by the next owner once the head has
+    its epoch.
 
     Writes are rate limited to leave the store to the commits.
 
--- a/src/damaskdeck/state/quotas.py
+++ b/src/damaskdeck/state/quotas.py
@@ -190,7 +190,7 @@
         rank: int = PREEMPTING_RANKS,
         lend_claims: bool = False,
     ) -> str | None:
-        """Return the first dimension in which ``team`` may not use ``need``, if any.
+        """Return the first dimension in which ``team`` may not add ``need``, if any.
 
         :param rank: rank of the class that needs it; 0 is the most urgent.
         :param lend_claims: whether to lend what other teams claim, too, as no free
--- a/src/damaskdeck/transport/api/streams.py
+++ b/src/damaskdeck/transport/api/streams.py
@@ -33,7 +33,9 @@
 
 
 class LineStream(Response):
-    """A response that sends JSON lines; clients that don't read them are dropped.
+    """A response that sends JSON lines; clients that stop reading are dropped.
+
+    A client is dropped when a line can't be sent for ``SEND_TIMEOUT_SECONDS``.
 
     :param lines: the documents to send.
     :raises ProblemError: ``too_many_watches`` when all slots are taken.
--- a/src/damaskdeck/transport/store.py
+++ b/src/damaskdeck/transport/store.py
@@ -116,7 +116,7 @@
     async def watch(
         self, prefix: str, revision: int, wait: timedelta
     ) -> Events | RevisionTooOld | Rejected | Lost:
-        """Return the changes after ``revision``, after a wait of up to ``wait``."""
+        """Return the changes after ``revision``, waiting up to ``wait`` for one."""
         count_store_call("watch")
         url = self._url(
             "watch", prefix=prefix, revision=revision, wait=wait.total_seconds()
